--- a/src/jacinthdeck/query/effects.h
+++ b/src/jacinthdeck/query/effects.h
@@ -54,7 +54,7 @@
   //! Requests newly suspected of crashing targets, to be told to the peers.
   std::vector<Fingerprint> suspects;
   //! Requests newly convicted of it, to be told to the peers.
-  std::vector<Fingerprint> convicted;
+  std::vector<Fingerprint> quarantined;
 };
 
 /*! \brief End of an attempt as the transport saw it. */
--- a/src/jacinthdeck/query/engine.cc
+++ b/src/jacinthdeck/query/engine.cc
@@ -51,14 +51,16 @@
   open.wake = open.call.deadline;
   m_timers.Set(open.call.id, open.wake);
   const Fingerprint fingerprint = open.call.fingerprint;
-  const bool suspect = m_quarantine.Of(fingerprint, now) == Suspicion::kSuspect;
+  const bool suspect =
+      m_quarantine.StateOf(fingerprint, now) == QuarantineState::kSuspect;
   // A suspect's first shard is its probe; where it killed a target before, the
   // probe tells most.
   std::vector<std::size_t> order(open.shards.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   if (suspect) {
     std::stable_partition(order.begin(), order.end(), [&](std::size_t shard) {
-      return m_quarantine.DiedIn(fingerprint, open.shards[shard].shard->range);
+      return m_quarantine.CrashedInRange(fingerprint,
+                                         open.shards[shard].shard->range);
     });
   }
   for (const std::size_t shard : order) {
--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -106,10 +106,12 @@
 
   /*! \brief Takes a peer's word that a request is suspected of crashing
    * targets. */
-  void SuspectTold(Fingerprint fingerprint, TimePoint now);
+  void AddPeerSuspect(Fingerprint fingerprint, TimePoint now);
 
   /*! \brief Takes a peer's word that a request is convicted of it. */
-  void ConvictionTold(Fingerprint fingerprint, TimePoint now, Effects& effects);
+  void AddPeerQuarantine(Fingerprint fingerprint,
+                         TimePoint now,
+                         Effects& effects);
 
   /**
    * \brief Ends what is held against a request, on an operator's word.
@@ -251,11 +253,11 @@
                    AttemptKind kind,
                    TimePoint now,
                    Effects& effects);
-  [[nodiscard]] HeldShards Judge(const OpenAttempt& attempt,
-                                 AttemptStatus status,
-                                 TimePoint now,
-                                 Effects& effects);
-  void Resume(const HeldShards& held, TimePoint now, Effects& effects);
+  [[nodiscard]] HeldShards UpdateQuarantine(const OpenAttempt& attempt,
+                                            AttemptStatus status,
+                                            TimePoint now,
+                                            Effects& effects);
+  void ResumeHeld(const HeldShards& held, TimePoint now, Effects& effects);
 
   Router& m_router;
   //! Referred to by the queues of m_services.
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -39,7 +39,8 @@
   if (call.deadline <= now) {
     return AnswerReason::kDeadline;
   }
-  if (m_quarantine.Of(call.fingerprint, now) == Suspicion::kConvicted) {
+  if (m_quarantine.StateOf(call.fingerprint, now) ==
+      QuarantineState::kQuarantined) {
     return AnswerReason::kQuarantined;
   }
   if (!m_versions.Knows(call.method->service)) {
@@ -160,7 +161,7 @@
   Answer answer;
   answer.reason = reason;
   answer.retry_after = RetryAfter(reason);
-  if (const auto until = m_quarantine.ConvictedUntil(call.fingerprint, now)) {
+  if (const auto until = m_quarantine.QuarantinedUntil(call.fingerprint, now)) {
     answer.retry_after = std::chrono::duration_cast<Duration>(*until - now);
   }
   if (reason == AnswerReason::kOverload ||
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -23,14 +23,16 @@
                        AttemptKind kind,
                        TimePoint now,
                        Effects& effects) {
-  const Suspicion suspicion = m_quarantine.Of(open.call.fingerprint, now);
-  if (suspicion != Suspicion::kNone && kind == AttemptKind::kHedge) {
+  const QuarantineState quarantine_state =
+      m_quarantine.StateOf(open.call.fingerprint, now);
+  if (quarantine_state != QuarantineState::kNone &&
+      kind == AttemptKind::kHedge) {
     return;
   }
-  if (suspicion == Suspicion::kConvicted) {
+  if (quarantine_state == QuarantineState::kQuarantined) {
     return GiveUp(open, open.shards[shard], AnswerReason::kQuarantined);
   }
-  if (suspicion == Suspicion::kSuspect) {
+  if (quarantine_state == QuarantineState::kSuspect) {
     return SendSuspect(open, shard, kind, now, effects);
   }
   const auto choice = Choose(open, open.shards[shard], kind, now);
@@ -206,7 +208,8 @@
     OpenCall& open = m_calls.at(first.call);
     const std::size_t shard = first.shard;
     const AttemptKind kind = first.kind;
-    if (m_quarantine.Of(open.call.fingerprint, now) != Suspicion::kNone) {
+    if (m_quarantine.StateOf(open.call.fingerprint, now) !=
+        QuarantineState::kNone) {
       m_waiting.Remove(*key);
       open.shards[shard].waiting.reset();
       SendShard(open, shard, kind, now, effects);
--- a/src/jacinthdeck/query/engine_finish.cc
+++ b/src/jacinthdeck/query/engine_finish.cc
@@ -116,7 +116,7 @@
        method.repeat == Repeat::kIdempotent)) {
     answer.retry_after = RetryAfter(answer.reason);
     if (const auto until =
-            m_quarantine.ConvictedUntil(open.call.fingerprint, now)) {
+            m_quarantine.QuarantinedUntil(open.call.fingerprint, now)) {
       answer.retry_after = std::chrono::duration_cast<Duration>(*until - now);
     }
   }
--- a/src/jacinthdeck/query/engine_quarantine.cc
+++ b/src/jacinthdeck/query/engine_quarantine.cc
@@ -16,7 +16,7 @@
   ShardState& state = open.shards[shard];
   const Fingerprint fingerprint = open.call.fingerprint;
   const HeldShard held{open.call.id, open.epoch, shard, kind};
-  if (m_probes.Probing(fingerprint)) {
+  if (m_probes.IsProbing(fingerprint)) {
     state.held = true;
     return m_probes.Hold(fingerprint, held);
   }
@@ -40,32 +40,34 @@
   OnRefusal(open, shard, kind, refusal, now);
 }
 
-Engine::HeldShards Engine::Judge(const OpenAttempt& attempt,
-                                 AttemptStatus status,
-                                 TimePoint now,
-                                 Effects& effects) {
+Engine::HeldShards Engine::UpdateQuarantine(const OpenAttempt& attempt,
+                                            AttemptStatus status,
+                                            TimePoint now,
+                                            Effects& effects) {
   const Fingerprint fingerprint = attempt.fingerprint;
   if (status == AttemptStatus::kLost) {
-    const Suspicion led_to =
-        m_quarantine.Blame(fingerprint, attempt.range, attempt.probe, now);
-    if (led_to == Suspicion::kSuspect) {
+    const QuarantineState new_state = m_quarantine.RecordCrash(
+        fingerprint, attempt.range, attempt.probe, now);
+    if (new_state == QuarantineState::kSuspect) {
       effects.suspects.push_back(fingerprint);
     }
-    if (led_to == Suspicion::kConvicted) {
-      effects.convicted.push_back(fingerprint);
+    if (new_state == QuarantineState::kQuarantined) {
+      effects.quarantined.push_back(fingerprint);
     }
   }
-  const bool ran_to_its_end =
+  const bool completed =
       status == AttemptStatus::kAnswered || status == AttemptStatus::kFailed;
-  const bool cleared =
-      ran_to_its_end && m_quarantine.Survived(fingerprint, attempt.range, now);
+  const bool cleared = completed && m_quarantine.RecordCompletion(
+                                        fingerprint, attempt.range, now);
   if (attempt.probe) {
     return m_probes.End(fingerprint, attempt.target);
   }
   return cleared ? m_probes.Release(fingerprint) : HeldShards();
 }
 
-void Engine::Resume(const HeldShards& held, TimePoint now, Effects& effects) {
+void Engine::ResumeHeld(const HeldShards& held,
+                        TimePoint now,
+                        Effects& effects) {
   for (const HeldShard& one : held) {
     const auto call = m_calls.find(one.call);
     if (call == m_calls.end() || call->second.epoch != one.epoch ||
@@ -79,15 +81,15 @@
   }
 }
 
-void Engine::SuspectTold(Fingerprint fingerprint, TimePoint now) {
-  m_quarantine.SuspectTold(fingerprint, now);
+void Engine::AddPeerSuspect(Fingerprint fingerprint, TimePoint now) {
+  m_quarantine.AddPeerSuspect(fingerprint, now);
 }
 
-void Engine::ConvictionTold(Fingerprint fingerprint,
-                            TimePoint now,
-                            Effects& effects) {
-  m_quarantine.ConvictionTold(fingerprint, now);
-  Resume(m_probes.Release(fingerprint), now, effects);
+void Engine::AddPeerQuarantine(Fingerprint fingerprint,
+                               TimePoint now,
+                               Effects& effects) {
+  m_quarantine.AddPeerQuarantine(fingerprint, now);
+  ResumeHeld(m_probes.Release(fingerprint), now, effects);
   StartWaiting(now, effects);
 }
 
@@ -95,7 +97,7 @@
                                TimePoint now,
                                Effects& effects) {
   const bool released = m_quarantine.Release(fingerprint);
-  Resume(m_probes.Release(fingerprint), now, effects);
+  ResumeHeld(m_probes.Release(fingerprint), now, effects);
   StartWaiting(now, effects);
   return released;
 }
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -50,7 +50,7 @@
     status = AttemptStatus::kFailed;
   }
   Learn(attempt, status, reply, now);
-  const HeldShards held = Judge(attempt, status, now, effects);
+  const HeldShards held = UpdateQuarantine(attempt, status, now, effects);
   const auto call = m_calls.find(attempt.call);
   if (call == m_calls.end() || attempt.cancelled ||
       call->second.epoch != attempt.epoch) {
@@ -58,7 +58,7 @@
   } else {
     TakeReply(call->second, attempt, status, reply, now, effects);
   }
-  Resume(held, now, effects);
+  ResumeHeld(held, now, effects);
   PumpWaiting(attempt.target, now, effects);
   StartWaiting(now, effects);
 }
@@ -126,10 +126,10 @@
   const bool survived = status == AttemptStatus::kFailed;
   if (attempt.probe && !ProvesNotRun(status) && !survived) {
     // A suspect is retried once, and this was the retry.
-    const bool convicted =
-        m_quarantine.Of(attempt.fingerprint, now) == Suspicion::kConvicted;
+    const bool quarantined = m_quarantine.StateOf(attempt.fingerprint, now) ==
+                             QuarantineState::kQuarantined;
     return GiveUp(open, state,
-                  convicted ? AnswerReason::kQuarantined : state.reason);
+                  quarantined ? AnswerReason::kQuarantined : state.reason);
   }
   Retry(open, attempt.shard, status, now, effects);
 }
--- a/src/jacinthdeck/query/fwd.h
+++ b/src/jacinthdeck/query/fwd.h
@@ -41,7 +41,7 @@
 struct WaitingKey;
 struct WaitingOptions;
 enum class AnswerReason;
-enum class Suspicion;
+enum class QuarantineState;
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/query/probe_gate.h
+++ b/src/jacinthdeck/query/probe_gate.h
@@ -32,7 +32,7 @@
 class ProbeGate {
  public:
   /*! \brief Tells whether a probe of a fingerprint is in flight. */
-  [[nodiscard]] bool Probing(Fingerprint fingerprint) const {
+  [[nodiscard]] bool IsProbing(Fingerprint fingerprint) const {
     return m_fingerprints.contains(fingerprint);
   }
 
--- a/src/jacinthdeck/query/quarantine.cc
+++ b/src/jacinthdeck/query/quarantine.cc
@@ -13,115 +13,120 @@
 
 }  // namespace internal
 
-Suspicion Quarantine::Now(const Entry& entry, TimePoint now) const {
-  if (now < entry.until) {
-    return entry.suspicion;
+QuarantineState Quarantine::StateAt(const Entry& entry, TimePoint now) const {
+  if (now < entry.expires_at) {
+    return entry.state;
   }
   // A conviction that ended leaves a suspicion behind: a request that still
   // crashes targets then costs one more target, not a whole first round.
-  const bool probation = entry.suspicion == Suspicion::kConvicted &&
-                         now < entry.until + m_options.suspect_life;
-  return probation ? Suspicion::kSuspect : Suspicion::kNone;
+  const bool downgraded = entry.state == QuarantineState::kQuarantined &&
+                          now < entry.expires_at + m_options.suspect_ttl;
+  return downgraded ? QuarantineState::kSuspect : QuarantineState::kNone;
 }
 
-Suspicion Quarantine::Of(Fingerprint fingerprint, TimePoint now) const {
+QuarantineState Quarantine::StateOf(Fingerprint fingerprint,
+                                    TimePoint now) const {
   if (m_entries.empty()) {
-    return Suspicion::kNone;
+    return QuarantineState::kNone;
   }
   const auto found = m_entries.find(fingerprint);
-  return found == m_entries.end() ? Suspicion::kNone : Now(found->second, now);
+  return found == m_entries.end() ? QuarantineState::kNone
+                                  : StateAt(found->second, now);
 }
 
-std::optional<TimePoint> Quarantine::ConvictedUntil(Fingerprint fingerprint,
-                                                    TimePoint now) const {
-  if (Of(fingerprint, now) != Suspicion::kConvicted) {
+std::optional<TimePoint> Quarantine::QuarantinedUntil(Fingerprint fingerprint,
+                                                      TimePoint now) const {
+  if (StateOf(fingerprint, now) != QuarantineState::kQuarantined) {
     return std::nullopt;
   }
-  return m_entries.at(fingerprint).until;
+  return m_entries.at(fingerprint).expires_at;
 }
 
-bool Quarantine::DiedIn(Fingerprint fingerprint, const KeyRange& range) const {
+bool Quarantine::CrashedInRange(Fingerprint fingerprint,
+                                const KeyRange& range) const {
   const auto found = m_entries.find(fingerprint);
   return found != m_entries.end() &&
          std::ranges::any_of(found->second.ranges,
-                             [&range](const KeyRange& died) {
-                               return internal::Overlap(died, range);
+                             [&range](const KeyRange& crashed) {
+                               return internal::Overlap(crashed, range);
                              });
 }
 
 std::vector<QuarantineEntry> Quarantine::Entries(TimePoint now) const {
   std::vector<QuarantineEntry> entries;
   for (const auto& [fingerprint, entry] : m_entries) {
-    const Suspicion suspicion = Now(entry, now);
-    if (suspicion == Suspicion::kNone) {
+    const QuarantineState state = StateAt(entry, now);
+    if (state == QuarantineState::kNone) {
       continue;
     }
-    const bool probation = suspicion != entry.suspicion;
-    entries.push_back(QuarantineEntry{
-        fingerprint, suspicion, entry.kills,
-        probation ? entry.until + m_options.suspect_life : entry.until});
+    const bool downgraded = state != entry.state;
+    entries.push_back(
+        QuarantineEntry{fingerprint, state, entry.crash_rounds,
+                        downgraded ? entry.expires_at + m_options.suspect_ttl
+                                   : entry.expires_at});
   }
   std::ranges::sort(entries, {}, &QuarantineEntry::fingerprint);
   return entries;
 }
 
-Suspicion Quarantine::Blame(Fingerprint fingerprint,
-                            const KeyRange& range,
-                            bool probe,
-                            TimePoint now) {
-  const Suspicion before = Of(fingerprint, now);
-  Entry* entry = Hold(fingerprint, now);
-  if (entry == nullptr || before == Suspicion::kConvicted) {
-    return Suspicion::kNone;
+QuarantineState Quarantine::RecordCrash(Fingerprint fingerprint,
+                                        const KeyRange& range,
+                                        bool probe,
+                                        TimePoint now) {
+  const QuarantineState before = StateOf(fingerprint, now);
+  Entry* entry = FindOrAdd(fingerprint, now);
+  if (entry == nullptr || before == QuarantineState::kQuarantined) {
+    return QuarantineState::kNone;
   }
-  if (entry->ranges.size() < kMaxRanges) {
+  if (entry->ranges.size() < kMaxCrashRanges) {
     entry->ranges.push_back(range);
   }
-  entry->until = now + m_options.suspect_life;
-  if (before == Suspicion::kNone) {
-    return Suspicion::kSuspect;
+  entry->expires_at = now + m_options.suspect_ttl;
+  if (before == QuarantineState::kNone) {
+    return QuarantineState::kSuspect;
   }
   // Attempts that were out before the first death was seen are one round: when
   // a failure domain is lost, an innocent request loses many of them at once.
-  if (!probe || ++entry->kills < m_options.kills_to_convict) {
-    return Suspicion::kNone;
+  if (!probe || ++entry->crash_rounds < m_options.crash_rounds_to_quarantine) {
+    return QuarantineState::kNone;
   }
-  entry->suspicion = Suspicion::kConvicted;
-  entry->until = now + m_options.conviction_life;
-  return Suspicion::kConvicted;
+  entry->state = QuarantineState::kQuarantined;
+  entry->expires_at = now + m_options.quarantine_ttl;
+  return QuarantineState::kQuarantined;
 }
 
-bool Quarantine::Survived(Fingerprint fingerprint,
-                          const KeyRange& range,
-                          TimePoint now) {
-  if (Of(fingerprint, now) != Suspicion::kSuspect) {
+bool Quarantine::RecordCompletion(Fingerprint fingerprint,
+                                  const KeyRange& range,
+                                  TimePoint now) {
+  if (StateOf(fingerprint, now) != QuarantineState::kSuspect) {
     return false;
   }
   if (!m_entries.at(fingerprint).ranges.empty() &&
-      !DiedIn(fingerprint, range)) {
+      !CrashedInRange(fingerprint, range)) {
     return false;
   }
   m_entries.erase(fingerprint);
   return true;
 }
 
-void Quarantine::SuspectTold(Fingerprint fingerprint, TimePoint now) {
-  if (Of(fingerprint, now) != Suspicion::kNone) {
+void Quarantine::AddPeerSuspect(Fingerprint fingerprint, TimePoint now) {
+  if (StateOf(fingerprint, now) != QuarantineState::kNone) {
     return;
   }
-  if (Entry* entry = Hold(fingerprint, now)) {
-    entry->until = now + m_options.suspect_life;
+  if (Entry* entry = FindOrAdd(fingerprint, now)) {
+    entry->expires_at = now + m_options.suspect_ttl;
   }
 }
 
-void Quarantine::ConvictionTold(Fingerprint fingerprint, TimePoint now) {
-  if (Of(fingerprint, now) == Suspicion::kConvicted) {
+void Quarantine::AddPeerQuarantine(Fingerprint fingerprint, TimePoint now) {
+  if (StateOf(fingerprint, now) == QuarantineState::kQuarantined) {
     return;
   }
-  if (Entry* entry = Hold(fingerprint, now)) {
-    entry->suspicion = Suspicion::kConvicted;
-    entry->kills = std::max(entry->kills, m_options.kills_to_convict);
-    entry->until = now + m_options.conviction_life;
+  if (Entry* entry = FindOrAdd(fingerprint, now)) {
+    entry->state = QuarantineState::kQuarantined;
+    entry->crash_rounds =
+        std::max(entry->crash_rounds, m_options.crash_rounds_to_quarantine);
+    entry->expires_at = now + m_options.quarantine_ttl;
   }
 }
 
@@ -129,16 +134,17 @@
   return m_entries.erase(fingerprint) > 0;
 }
 
-Quarantine::Entry* Quarantine::Hold(Fingerprint fingerprint, TimePoint now) {
+Quarantine::Entry* Quarantine::FindOrAdd(Fingerprint fingerprint,
+                                         TimePoint now) {
   const auto found = m_entries.find(fingerprint);
   if (found != m_entries.end()) {
     Entry& entry = found->second;
-    const Suspicion suspicion = Now(entry, now);
-    if (suspicion == Suspicion::kNone) {
+    const QuarantineState state = StateAt(entry, now);
+    if (state == QuarantineState::kNone) {
       entry = Entry{};
-    } else if (suspicion != entry.suspicion) {
-      entry.suspicion = suspicion;
-      entry.kills = m_options.kills_to_convict - 1;
+    } else if (state != entry.state) {
+      entry.state = state;
+      entry.crash_rounds = m_options.crash_rounds_to_quarantine - 1;
     }
     return &entry;
   }
@@ -151,7 +157,7 @@
 
 void Quarantine::MakeRoom(TimePoint now) {
   std::erase_if(m_entries, [&](const auto& held) {
-    return Now(held.second, now) == Suspicion::kNone;
+    return StateAt(held.second, now) == QuarantineState::kNone;
   });
   if (m_entries.size() < m_options.limit) {
     return;
@@ -160,9 +166,9 @@
   // suspects must not free a request that is known to kill.
   auto oldest = m_entries.end();
   for (auto at = m_entries.begin(); at != m_entries.end(); ++at) {
-    if (at->second.suspicion == Suspicion::kSuspect &&
+    if (at->second.state == QuarantineState::kSuspect &&
         (oldest == m_entries.end() ||
-         at->second.until < oldest->second.until)) {
+         at->second.expires_at < oldest->second.expires_at)) {
       oldest = at;
     }
   }
--- a/src/jacinthdeck/query/quarantine.h
+++ b/src/jacinthdeck/query/quarantine.h
@@ -17,27 +17,27 @@
 namespace jacinthdeck {
 
 /*! \brief What is held against a fingerprint. */
-enum class Suspicion {
+enum class QuarantineState {
   kNone,
   //! A target died under it: it runs on one target at a time and is not hedged.
   kSuspect,
   //! It is refused.
-  kConvicted,
+  kQuarantined,
 };
 
 //! Names of the suspicions, for operators and metrics.
-inline constexpr NameTable<Suspicion, 3> kSuspicionNames{
+inline constexpr NameTable<QuarantineState, 3> kQuarantineStateNames{
     {"none", "suspect", "convicted"}};
 
 /*! \brief Bounds of the quarantine. */
 struct QuarantineOptions {
   //! Rounds of kills that convict. The attempts that were in flight before the
   //! first death is seen are one round, each probe after it is another.
-  std::uint32_t kills_to_convict = 2;
+  std::uint32_t crash_rounds_to_quarantine = 2;
   //! How long a suspicion lasts without new evidence.
-  Duration suspect_life = std::chrono::minutes(1);
+  Duration suspect_ttl = std::chrono::minutes(1);
   //! How long a conviction lasts; a suspicion of one round follows it.
-  Duration conviction_life = std::chrono::minutes(10);
+  Duration quarantine_ttl = std::chrono::minutes(10);
   //! Fingerprints held at once.
   std::size_t limit = 4096;
 };
@@ -45,11 +45,11 @@
 /*! \brief One fingerprint as operators see it. */
 struct QuarantineEntry {
   Fingerprint fingerprint;
-  Suspicion suspicion = Suspicion::kNone;
+  QuarantineState state = QuarantineState::kNone;
   //! Rounds of kills counted so far.
-  std::uint32_t kills = 0;
+  std::uint32_t crash_rounds = 0;
   //! When the suspicion or conviction ends by itself.
-  TimePoint until;
+  TimePoint expires_at;
 };
 
 /*! \brief Evidence for and against fingerprints, from attempts and peers. */
@@ -59,15 +59,17 @@
       : m_options(options) {}
 
   /*! \brief Tells what is held against a fingerprint. */
-  [[nodiscard]] Suspicion Of(Fingerprint fingerprint, TimePoint now) const;
+  [[nodiscard]] QuarantineState StateOf(Fingerprint fingerprint,
+                                        TimePoint now) const;
 
   /*! \brief Tells when a conviction ends; nothing while there is none. */
-  [[nodiscard]] std::optional<TimePoint> ConvictedUntil(Fingerprint fingerprint,
-                                                        TimePoint now) const;
+  [[nodiscard]] std::optional<TimePoint> QuarantinedUntil(
+      Fingerprint fingerprint,
+      TimePoint now) const;
 
   /*! \brief Tells whether a target died under a request for keys of a range. */
-  [[nodiscard]] bool DiedIn(Fingerprint fingerprint,
-                            const KeyRange& range) const;
+  [[nodiscard]] bool CrashedInRange(Fingerprint fingerprint,
+                                    const KeyRange& range) const;
 
   /*! \brief Lists what is held, ordered by fingerprint. */
   [[nodiscard]] std::vector<QuarantineEntry> Entries(TimePoint now) const;
@@ -79,10 +81,10 @@
    * \param probe The request was a suspect already when it was sent.
    * \return What the death newly led to; kNone if nothing changed.
    */
-  [[nodiscard]] Suspicion Blame(Fingerprint fingerprint,
-                                const KeyRange& range,
-                                bool probe,
-                                TimePoint now);
+  [[nodiscard]] QuarantineState RecordCrash(Fingerprint fingerprint,
+                                            const KeyRange& range,
+                                            bool probe,
+                                            TimePoint now);
 
   /**
    * \brief Takes the survival of a target that ran a request to its end.
@@ -91,13 +93,15 @@
    * may crash on the data of one shard only. Never clears a conviction.
    * \return True if a suspect was cleared.
    */
-  bool Survived(Fingerprint fingerprint, const KeyRange& range, TimePoint now);
+  bool RecordCompletion(Fingerprint fingerprint,
+                        const KeyRange& range,
+                        TimePoint now);
 
   /*! \brief Takes a peer's word that a fingerprint is a suspect. */
-  void SuspectTold(Fingerprint fingerprint, TimePoint now);
+  void AddPeerSuspect(Fingerprint fingerprint, TimePoint now);
 
   /*! \brief Takes a peer's word that a fingerprint is convicted. */
-  void ConvictionTold(Fingerprint fingerprint, TimePoint now);
+  void AddPeerQuarantine(Fingerprint fingerprint, TimePoint now);
 
   /**
    * \brief Ends a suspicion or conviction, on an operator's word.
@@ -107,20 +111,21 @@
 
  private:
   struct Entry {
-    Suspicion suspicion = Suspicion::kSuspect;
+    QuarantineState state = QuarantineState::kSuspect;
     //! At least 1.
-    std::uint32_t kills = 1;
-    TimePoint until;
+    std::uint32_t crash_rounds = 1;
+    TimePoint expires_at;
     //! Keys that targets died on; empty where only a peer knows. At most
-    //! kMaxRanges.
+    //! kMaxCrashRanges.
     std::vector<KeyRange> ranges;
   };
 
-  static constexpr std::size_t kMaxRanges = 32;
+  static constexpr std::size_t kMaxCrashRanges = 32;
 
-  [[nodiscard]] Suspicion Now(const Entry& entry, TimePoint now) const;
+  [[nodiscard]] QuarantineState StateAt(const Entry& entry,
+                                        TimePoint now) const;
   //! Finds or makes the entry; null if the table is full of convictions.
-  [[nodiscard]] Entry* Hold(Fingerprint fingerprint, TimePoint now);
+  [[nodiscard]] Entry* FindOrAdd(Fingerprint fingerprint, TimePoint now);
   void MakeRoom(TimePoint now);
 
   QuarantineOptions m_options;
--- a/test/jacinthdeck/query/engine_quarantine_test.cc
+++ b/test/jacinthdeck/query/engine_quarantine_test.cc
@@ -12,8 +12,8 @@
 
   [[nodiscard]] std::size_t Kills() { return fleet.kills[deadly]; }
 
-  [[nodiscard]] Suspicion State() const {
-    return engine.quarantine().Of(deadly, clock.Now());
+  [[nodiscard]] QuarantineState State() const {
+    return engine.quarantine().StateOf(deadly, clock.Now());
   }
 
   [[nodiscard]] Method Lookup() const {
@@ -39,7 +39,7 @@
 BOOST_AUTO_TEST_CASE(Engine_KeyedRequestCrashesTargets_TwoDieAndItIsRefused) {
   SendAgainAndAgain(Lookup(), 20);
   BOOST_TEST(Kills() == 2U);
-  BOOST_TEST((State() == Suspicion::kConvicted));
+  BOOST_TEST((State() == QuarantineState::kQuarantined));
   BOOST_TEST((answers.at(CallId(1)).outcome == Outcome::kUnknown));
   const Answer& refused = answers.at(CallId(20));
   BOOST_TEST((refused.outcome == Outcome::kNotRun));
@@ -54,7 +54,7 @@
   SendAgainAndAgain(Search(), 20);
   BOOST_TEST(Kills() == kShards + 1);
   BOOST_TEST(effects.suspects.size() == 1U);
-  BOOST_TEST(effects.convicted.size() == 1U);
+  BOOST_TEST(effects.quarantined.size() == 1U);
 }
 
 // The same request may not be repeated. The first loss is answered as unknown
@@ -78,9 +78,9 @@
   (void)Run(MakeFleetCall(Search(), deadly));
   RunFor(kDeadline);
   SendAgainAndAgain(Search(), 5);
-  BOOST_TEST((State() == Suspicion::kConvicted));
+  BOOST_TEST((State() == QuarantineState::kQuarantined));
   BOOST_TEST(effects.suspects.size() > 1U);
-  BOOST_TEST(effects.convicted.size() == 1U);
+  BOOST_TEST(effects.quarantined.size() == 1U);
   BOOST_TEST(engine.quarantine().Entries(clock.Now()).size() == 1U);
   BOOST_TEST(CountOf(Outcome::kWhole) == 8U);
 }
@@ -89,27 +89,27 @@
 // They wait for the verdict of one probe and then get whole answers.
 BOOST_AUTO_TEST_CASE(Engine_PopularInnocentIsSuspect_HeldCallsGoOnWhenCleared) {
   const Fingerprint popular(5);
-  engine.SuspectTold(popular, clock.Now());
+  engine.AddPeerSuspect(popular, clock.Now());
   for (int i = 0; i < 5; ++i) {
     (void)Run(MakeFleetCall(Search(), popular));
   }
   BOOST_TEST(engine.counters().attempts == 1U);
   RunFor(kDeadline);
   BOOST_TEST(CountOf(Outcome::kWhole) == 5U);
-  BOOST_TEST(
-      (engine.quarantine().Of(popular, clock.Now()) == Suspicion::kNone));
+  BOOST_TEST((engine.quarantine().StateOf(popular, clock.Now()) ==
+              QuarantineState::kNone));
 }
 
 // Calls wait for the verdict of a probe when a peer says that the request is
 // convicted. They are refused at that moment, as not run, and not when the
 // probe ends.
 BOOST_AUTO_TEST_CASE(Engine_PeerConvictsWhileCallsAreHeld_RefusedAtOnce) {
-  engine.SuspectTold(deadly, clock.Now());
+  engine.AddPeerSuspect(deadly, clock.Now());
   for (int i = 0; i < 3; ++i) {
     (void)Submit(MakeFleetCall(Lookup(), deadly));
   }
   BOOST_REQUIRE(effects.sends.size() == 1U);
-  engine.ConvictionTold(deadly, clock.Now(), effects);
+  engine.AddPeerQuarantine(deadly, clock.Now(), effects);
   BOOST_REQUIRE(effects.answers.size() == 2U);
   for (const DeliverAnswer& refused : effects.answers) {
     BOOST_TEST((refused.answer.outcome == Outcome::kNotRun));
@@ -120,7 +120,7 @@
 // The probe of a suspect ends without a verdict, but may have run. The request
 // is not sent once more: each run may cost a target.
 BOOST_AUTO_TEST_CASE(Engine_ProbeMayHaveRunWithoutVerdict_IsNotSentAgain) {
-  engine.SuspectTold(deadly, clock.Now());
+  engine.AddPeerSuspect(deadly, clock.Now());
   (void)Submit(MakeFleetCall(Lookup(), deadly));
   const auto probe = TakeSends();
   BOOST_REQUIRE(probe.size() == 1U);
@@ -139,15 +139,15 @@
   }
   AnswerAll();
   BOOST_TEST((OnlyAnswer().outcome == Outcome::kWhole));
-  BOOST_TEST(effects.convicted.empty());
+  BOOST_TEST(effects.quarantined.empty());
   BOOST_TEST(engine.quarantine().Entries(clock.Now()).empty());
 }
 
 // Two suspects, one of them deadly. On one target both would be blamed for its
 // death; they are probed on different ones.
 BOOST_AUTO_TEST_CASE(Engine_TwoSuspects_AreNeverProbedOnOneTarget) {
-  engine.SuspectTold(Fingerprint(1), clock.Now());
-  engine.SuspectTold(Fingerprint(2), clock.Now());
+  engine.AddPeerSuspect(Fingerprint(1), clock.Now());
+  engine.AddPeerSuspect(Fingerprint(2), clock.Now());
   for (int round = 0; round < 50; ++round) {
     for (const std::uint64_t raw : {1U, 2U}) {
       Call call = MakeCall(Lookup());
@@ -174,13 +174,13 @@
   const Call call = MakeCall(Search());
   (void)Submit(call);
   effects = Effects();
-  engine.SuspectTold(call.fingerprint, clock.Now());
+  engine.AddPeerSuspect(call.fingerprint, clock.Now());
   Advance(kDeadline / 2);
   BOOST_TEST(effects.sends.empty());
 }
 
 BOOST_AUTO_TEST_CASE(Engine_Suspect_IsNotHedged) {
-  engine.SuspectTold(deadly, clock.Now());
+  engine.AddPeerSuspect(deadly, clock.Now());
   Call call = MakeCall(Lookup());
   call.fingerprint = deadly;
   (void)Submit(std::move(call));
@@ -194,11 +194,11 @@
 BOOST_AUTO_TEST_CASE(Engine_ConvictionEnds_OneMoreTargetConvictsAgain) {
   SendAgainAndAgain(Search(), 3);
   const std::size_t before = Kills();
-  RunFor(QuarantineOptions().conviction_life);
-  BOOST_TEST((State() == Suspicion::kSuspect));
+  RunFor(QuarantineOptions().quarantine_ttl);
+  BOOST_TEST((State() == QuarantineState::kSuspect));
   SendAgainAndAgain(Search(), 10);
   BOOST_TEST(Kills() == before + 1);
-  BOOST_TEST((State() == Suspicion::kConvicted));
+  BOOST_TEST((State() == QuarantineState::kQuarantined));
 }
 
 BOOST_AUTO_TEST_CASE(Engine_OperatorReleases_RequestRunsAgain) {
@@ -226,11 +226,11 @@
       entry->RunFor(std::chrono::milliseconds(5));
       for (const auto& peer : entries) {
         for (const Fingerprint suspect : entry->effects.suspects) {
-          peer->engine.SuspectTold(suspect, peer->clock.Now());
+          peer->engine.AddPeerSuspect(suspect, peer->clock.Now());
         }
-        for (const Fingerprint convicted : entry->effects.convicted) {
-          peer->engine.ConvictionTold(convicted, peer->clock.Now(),
-                                      peer->effects);
+        for (const Fingerprint quarantined : entry->effects.quarantined) {
+          peer->engine.AddPeerQuarantine(quarantined, peer->clock.Now(),
+                                         peer->effects);
         }
       }
     }
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -61,7 +61,7 @@
     } else if (what < 9) {
       fleet.fault_rate = random.Unit() * 0.3;
     } else if (what < 10) {
-      engine.SuspectTold(Fingerprint(random.Below(40)), clock.Now());
+      engine.AddPeerSuspect(Fingerprint(random.Below(40)), clock.Now());
     } else if (what < 12 && next_call > 5) {
       const CallId call(next_call - 1 - random.Below(4));
       if (!answers.contains(call)) {
--- a/test/jacinthdeck/query/quarantine_test.cc
+++ b/test/jacinthdeck/query/quarantine_test.cc
@@ -16,57 +16,60 @@
 BOOST_FIXTURE_TEST_SUITE(QuarantineTest, QuarantineRulesFixture)
 
 BOOST_AUTO_TEST_CASE(Blame_DeathsBeforeTheFirstIsSeen_AreOneRound) {
-  BOOST_TEST(
-      (quarantine.Blame(request, range, false, now) == Suspicion::kSuspect));
-  BOOST_TEST((quarantine.Blame(request, KeyRange{100, 200}, false, now) ==
-              Suspicion::kNone));
-  BOOST_TEST((quarantine.Of(request, now) == Suspicion::kSuspect));
-  BOOST_TEST(
-      (quarantine.Blame(request, range, true, now) == Suspicion::kConvicted));
+  BOOST_TEST((quarantine.RecordCrash(request, range, false, now) ==
+              QuarantineState::kSuspect));
+  BOOST_TEST((quarantine.RecordCrash(request, KeyRange{100, 200}, false, now) ==
+              QuarantineState::kNone));
+  BOOST_TEST((quarantine.StateOf(request, now) == QuarantineState::kSuspect));
+  BOOST_TEST((quarantine.RecordCrash(request, range, true, now) ==
+              QuarantineState::kQuarantined));
 }
 
 // A request crashes on the data of one shard. That other shards survive it says
 // nothing; believed, it would be cleared each time and kill without end.
 BOOST_AUTO_TEST_CASE(Survived_OtherKeys_DoesNotClear) {
-  (void)quarantine.Blame(request, range, false, now);
-  BOOST_TEST(!quarantine.Survived(request, KeyRange{100, 200}, now));
-  BOOST_TEST(quarantine.Survived(request, range, now));
-  BOOST_TEST((quarantine.Of(request, now) == Suspicion::kNone));
+  (void)quarantine.RecordCrash(request, range, false, now);
+  BOOST_TEST(!quarantine.RecordCompletion(request, KeyRange{100, 200}, now));
+  BOOST_TEST(quarantine.RecordCompletion(request, range, now));
+  BOOST_TEST((quarantine.StateOf(request, now) == QuarantineState::kNone));
 }
 
 BOOST_AUTO_TEST_CASE(Survived_Convicted_StaysConvicted) {
-  quarantine.ConvictionTold(request, now);
-  BOOST_TEST(!quarantine.Survived(request, range, now));
-  BOOST_TEST((quarantine.Of(request, now) == Suspicion::kConvicted));
+  quarantine.AddPeerQuarantine(request, now);
+  BOOST_TEST(!quarantine.RecordCompletion(request, range, now));
+  BOOST_TEST(
+      (quarantine.StateOf(request, now) == QuarantineState::kQuarantined));
 }
 
 BOOST_AUTO_TEST_CASE(Of_LivesEnd_ConvictionThenSuspicionThenNothing) {
-  quarantine.ConvictionTold(request, now);
-  now += options.conviction_life;
-  BOOST_TEST((quarantine.Of(request, now) == Suspicion::kSuspect));
-  BOOST_TEST(!quarantine.ConvictedUntil(request, now).has_value());
-  now += options.suspect_life;
-  BOOST_TEST((quarantine.Of(request, now) == Suspicion::kNone));
+  quarantine.AddPeerQuarantine(request, now);
+  now += options.quarantine_ttl;
+  BOOST_TEST((quarantine.StateOf(request, now) == QuarantineState::kSuspect));
+  BOOST_TEST(!quarantine.QuarantinedUntil(request, now).has_value());
+  now += options.suspect_ttl;
+  BOOST_TEST((quarantine.StateOf(request, now) == QuarantineState::kNone));
   BOOST_TEST(quarantine.Entries(now).empty());
 }
 
 // A flood of suspects fills the table. A known killer stays refused.
 BOOST_AUTO_TEST_CASE(Blame_TableFull_ConvictionsAreKept) {
-  quarantine.ConvictionTold(request, now);
-  now += options.conviction_life - options.suspect_life / 2;
+  quarantine.AddPeerQuarantine(request, now);
+  now += options.quarantine_ttl - options.suspect_ttl / 2;
   for (std::uint64_t i = 10; i < 30; ++i) {
     now += std::chrono::milliseconds(1);
-    (void)quarantine.Blame(Fingerprint(i), range, false, now);
+    (void)quarantine.RecordCrash(Fingerprint(i), range, false, now);
   }
-  BOOST_TEST((quarantine.Of(request, now) == Suspicion::kConvicted));
-  BOOST_TEST((quarantine.Of(Fingerprint(29), now) == Suspicion::kSuspect));
+  BOOST_TEST(
+      (quarantine.StateOf(request, now) == QuarantineState::kQuarantined));
+  BOOST_TEST(
+      (quarantine.StateOf(Fingerprint(29), now) == QuarantineState::kSuspect));
   BOOST_TEST(quarantine.Entries(now).size() == options.limit);
 }
 
 BOOST_AUTO_TEST_CASE(SuspectTold_ByPeer_NextDeathConvicts) {
-  quarantine.SuspectTold(request, now);
-  BOOST_TEST(
-      (quarantine.Blame(request, range, true, now) == Suspicion::kConvicted));
+  quarantine.AddPeerSuspect(request, now);
+  BOOST_TEST((quarantine.RecordCrash(request, range, true, now) ==
+              QuarantineState::kQuarantined));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
