--- a/src/jacinthdeck/query/call_state.h
+++ b/src/jacinthdeck/query/call_state.h
@@ -69,7 +69,7 @@
   //! Some ended attempt may have run on a target; never goes back to false.
   bool may_have_run = false;
   //! The timer that is set; never later than anything that is due.
-  TimePoint wake;
+  TimePoint timer_at;
   std::vector<IndexVersion> refused_versions;
 };
 
--- a/src/jacinthdeck/query/engine.cc
+++ b/src/jacinthdeck/query/engine.cc
@@ -35,10 +35,10 @@
   m_counters.rejected_maps += m_versions.Set(service, std::move(maps));
 }
 
-void Engine::Begin(OpenCall& open,
-                   std::shared_ptr<const PartitionMap> map,
-                   TimePoint now,
-                   Effects& effects) {
+void Engine::BeginOnMap(OpenCall& open,
+                        std::shared_ptr<const PartitionMap> map,
+                        TimePoint now,
+                        Effects& effects) {
   open.map = std::move(map);
   ++open.epoch;
   open.shards.clear();
@@ -48,8 +48,8 @@
     }
   }
   open.unsettled = open.shards.size();
-  open.wake = open.call.deadline;
-  m_timers.Set(open.call.id, open.wake);
+  open.timer_at = open.call.deadline;
+  m_timers.Set(open.call.id, open.timer_at);
   const Fingerprint fingerprint = open.call.fingerprint;
   const bool suspect =
       m_quarantine.StateOf(fingerprint, now) == QuarantineState::kSuspect;
@@ -70,33 +70,33 @@
 
 void Engine::OnTimer(TimePoint now, Effects& effects) {
   while (const auto id = m_timers.TakeDue(now)) {
-    Wake(m_calls.at(*id), now, effects);
+    OnCallTimer(m_calls.at(*id), now, effects);
   }
   if (m_poll_at && *m_poll_at <= now) {
-    PumpAllWaiting(now, effects);
+    SendAllWaiting(now, effects);
   }
-  StartWaiting(now, effects);
+  StartWaitingCalls(now, effects);
 }
 
-void Engine::Wake(OpenCall& open, TimePoint now, Effects& effects) {
+void Engine::OnCallTimer(OpenCall& open, TimePoint now, Effects& effects) {
   if (open.call.deadline <= now) {
     return Finish(open, now, effects);
   }
   for (std::size_t i = 0; i < open.shards.size(); ++i) {
     if (open.shards[i].phase == ShardPhase::kOpen) {
-      WakeShard(open, i, now, effects);
+      OnShardTimer(open, i, now, effects);
     }
   }
-  Rearm(open);
-  Settle(open, now, effects);
+  RearmTimer(open);
+  FinishIfSettled(open, now, effects);
 }
 
-void Engine::WakeShard(OpenCall& open,
-                       std::size_t shard,
-                       TimePoint now,
-                       Effects& effects) {
+void Engine::OnShardTimer(OpenCall& open,
+                          std::size_t shard,
+                          TimePoint now,
+                          Effects& effects) {
   ShardState& state = open.shards[shard];
-  if (state.waiting && !CanStillEnd(open, now)) {
+  if (state.waiting && !HasTimeForAttempt(open, now)) {
     m_waiting.Remove(*state.waiting);
     state.waiting.reset();
     return GiveUpUnlessInFlight(open, state, AnswerReason::kOverload);
@@ -106,38 +106,39 @@
     return SendShard(open, shard, AttemptKind::kRetry, now, effects);
   }
   if (state.hedge_at && *state.hedge_at <= now) {
-    Hedge(open, shard, now, effects);
+    HedgeShard(open, shard, now, effects);
   }
 }
 
-void Engine::ArmAt(OpenCall& open, TimePoint at) {
-  if (at < open.wake) {
-    open.wake = at;
+void Engine::ArmTimerAt(OpenCall& open, TimePoint at) {
+  if (at < open.timer_at) {
+    open.timer_at = at;
     m_timers.Set(open.call.id, at);
   }
 }
 
-void Engine::Rearm(OpenCall& open) {
-  TimePoint wake = open.call.deadline;
+void Engine::RearmTimer(OpenCall& open) {
+  TimePoint timer_at = open.call.deadline;
   for (const ShardState& state : open.shards) {
     if (state.phase != ShardPhase::kOpen) {
       continue;
     }
     if (state.hedge_at) {
-      wake = std::min(wake, *state.hedge_at);
+      timer_at = std::min(timer_at, *state.hedge_at);
     }
     if (state.retry_at) {
-      wake = std::min(wake, *state.retry_at);
+      timer_at = std::min(timer_at, *state.retry_at);
     }
     if (state.waiting) {
-      wake = std::min(wake, open.call.deadline - open.service->fast.value());
+      timer_at =
+          std::min(timer_at, open.call.deadline - open.service->fast.value());
     }
   }
-  open.wake = wake;
-  m_timers.Set(open.call.id, wake);
+  open.timer_at = timer_at;
+  m_timers.Set(open.call.id, timer_at);
 }
 
-bool Engine::CanStillEnd(const OpenCall& open, TimePoint now) const {
+bool Engine::HasTimeForAttempt(const OpenCall& open, TimePoint now) const {
   return now + open.service->fast.value() < open.call.deadline;
 }
 
--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -144,32 +144,35 @@
                TimePoint now,
                Effects& effects);
   void Start(Call call, ServiceState& service, TimePoint now, Effects& effects);
-  void StartWaiting(TimePoint now, Effects& effects);
-  void StartWaiting(ServiceState& service, TimePoint now, Effects& effects);
-  void ArmWaiting(ServiceState& service);
+  void StartWaitingCalls(TimePoint now, Effects& effects);
+  void StartWaitingCalls(ServiceState& service,
+                         TimePoint now,
+                         Effects& effects);
+  void ArmWaitingTimer(ServiceState& service);
   void Refuse(const Call& call,
               AnswerReason reason,
               TimePoint now,
               Effects& effects);
-  void RefuseWaiting(const Call& call,
-                     AnswerReason reason,
-                     TimePoint now,
-                     Effects& effects);
+  void RefuseWaitingCall(const Call& call,
+                         AnswerReason reason,
+                         TimePoint now,
+                         Effects& effects);
   void Deliver(const CallId& id, Answer answer, Effects& effects);
 
   // Running calls and what becomes due, in engine.cc.
-  void Begin(OpenCall& open,
-             std::shared_ptr<const PartitionMap> map,
-             TimePoint now,
-             Effects& effects);
-  void Wake(OpenCall& open, TimePoint now, Effects& effects);
-  void WakeShard(OpenCall& open,
-                 std::size_t shard,
-                 TimePoint now,
-                 Effects& effects);
-  void ArmAt(OpenCall& open, TimePoint at);
-  void Rearm(OpenCall& open);
-  [[nodiscard]] bool CanStillEnd(const OpenCall& open, TimePoint now) const;
+  void BeginOnMap(OpenCall& open,
+                  std::shared_ptr<const PartitionMap> map,
+                  TimePoint now,
+                  Effects& effects);
+  void OnCallTimer(OpenCall& open, TimePoint now, Effects& effects);
+  void OnShardTimer(OpenCall& open,
+                    std::size_t shard,
+                    TimePoint now,
+                    Effects& effects);
+  void ArmTimerAt(OpenCall& open, TimePoint at);
+  void RearmTimer(OpenCall& open);
+  [[nodiscard]] bool HasTimeForAttempt(const OpenCall& open,
+                                       TimePoint now) const;
 
   // Attempts, in engine_attempts.cc.
   void SendShard(OpenCall& open,
@@ -188,41 +191,42 @@
                       const TargetId& target,
                       TimePoint now,
                       Effects& effects);
-  void OnRefusal(OpenCall& open,
-                 std::size_t shard,
-                 AttemptKind kind,
-                 RouteRefusal refusal,
-                 TimePoint now);
-  void Hedge(OpenCall& open,
-             std::size_t shard,
-             TimePoint now,
-             Effects& effects);
-  void Retry(OpenCall& open,
-             std::size_t shard,
-             AttemptStatus status,
-             TimePoint now,
-             Effects& effects);
+  void OnRouteRefusal(OpenCall& open,
+                      std::size_t shard,
+                      AttemptKind kind,
+                      RouteRefusal refusal,
+                      TimePoint now);
+  void HedgeShard(OpenCall& open,
+                  std::size_t shard,
+                  TimePoint now,
+                  Effects& effects);
+  void RetryShard(OpenCall& open,
+                  std::size_t shard,
+                  AttemptStatus status,
+                  TimePoint now,
+                  Effects& effects);
   [[nodiscard]] bool MayRetry(const OpenCall& open,
                               const ShardState& state,
                               AttemptStatus status,
                               TimePoint now) const;
   [[nodiscard]] Duration HedgeDelay(const OpenCall& open) const;
   //! Live replicas of a shard that the call has not tried for it.
-  [[nodiscard]] std::vector<TargetId> Untried(const ShardState& state) const;
-  void PumpWaiting(const TargetId& target, TimePoint now, Effects& effects);
-  void PumpAllWaiting(TimePoint now, Effects& effects);
+  [[nodiscard]] std::vector<TargetId> UntriedReplicas(
+      const ShardState& state) const;
+  void SendWaiting(const TargetId& target, TimePoint now, Effects& effects);
+  void SendAllWaiting(TimePoint now, Effects& effects);
 
   // Ends of attempts, in engine_replies.cc.
-  void Learn(const OpenAttempt& attempt,
-             AttemptStatus status,
-             const AttemptReply& reply,
-             TimePoint now);
-  void TakeReply(OpenCall& open,
-                 const OpenAttempt& attempt,
-                 AttemptStatus status,
-                 const AttemptReply& reply,
-                 TimePoint now,
-                 Effects& effects);
+  void RecordAttemptEnd(const OpenAttempt& attempt,
+                        AttemptStatus status,
+                        const AttemptReply& reply,
+                        TimePoint now);
+  void ApplyReply(OpenCall& open,
+                  const OpenAttempt& attempt,
+                  AttemptStatus status,
+                  const AttemptReply& reply,
+                  TimePoint now,
+                  Effects& effects);
   void OnFailure(OpenCall& open,
                  const OpenAttempt& attempt,
                  AttemptStatus status,
@@ -243,9 +247,9 @@
   void GiveUpUnlessInFlight(OpenCall& open,
                             ShardState& state,
                             AnswerReason reason);
-  void Settle(OpenCall& open, TimePoint now, Effects& effects);
+  void FinishIfSettled(OpenCall& open, TimePoint now, Effects& effects);
   void Finish(OpenCall& open, TimePoint now, Effects& effects);
-  void Close(OpenCall& open, Effects& effects);
+  void CloseCall(OpenCall& open, Effects& effects);
 
   // Suspects, in engine_quarantine.cc.
   void SendSuspect(OpenCall& open,
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -80,7 +80,8 @@
     if (queue.OverShare(call.tenant)) {
       return Refuse(call, reason, now, effects);
     }
-    RefuseWaiting(queue.TakeExcess(), AnswerReason::kTenantLimit, now, effects);
+    RefuseWaitingCall(queue.TakeExcess(), AnswerReason::kTenantLimit, now,
+                      effects);
   }
   const CallId id = call.id;
   const double cost =
@@ -88,7 +89,7 @@
   const AdmissionQueue::Key key =
       queue.Add(std::move(call), std::max(cost, 1.0));
   m_waiting_calls[id] = WaitingCall{&service, key};
-  ArmWaiting(service);
+  ArmWaitingTimer(service);
 }
 
 void Engine::Start(Call call,
@@ -106,24 +107,24 @@
   open.service = &service;
   open.started = now;
   ++service.open;
-  Begin(open, std::move(choice.map), now, effects);
-  Settle(open, now, effects);
+  BeginOnMap(open, std::move(choice.map), now, effects);
+  FinishIfSettled(open, now, effects);
 }
 
-void Engine::StartWaiting(TimePoint now, Effects& effects) {
+void Engine::StartWaitingCalls(TimePoint now, Effects& effects) {
   if (m_waiting_calls.empty()) {
     return;
   }
   for (auto& [id, service] : m_services) {
     if (!service.waiting.empty()) {
-      StartWaiting(service, now, effects);
+      StartWaitingCalls(service, now, effects);
     }
   }
 }
 
-void Engine::StartWaiting(ServiceState& service,
-                          TimePoint now,
-                          Effects& effects) {
+void Engine::StartWaitingCalls(ServiceState& service,
+                               TimePoint now,
+                               Effects& effects) {
   AdmissionQueue& queue = service.waiting;
   // While nothing of the service runs, nothing shows that the learned time
   // still holds: the next call is tried, however short its time is.
@@ -131,7 +132,7 @@
     const TimePoint hopeless =
         service.open > 0 ? now + service.usual.value() : now;
     if (const auto call = queue.TakeDueBy(hopeless)) {
-      RefuseWaiting(*call, AnswerReason::kOverload, now, effects);
+      RefuseWaitingCall(*call, AnswerReason::kOverload, now, effects);
     } else if (MayStart(service)) {
       Call next = queue.TakeNext();
       service.pace.OnStart(now, !queue.empty());
@@ -141,10 +142,10 @@
       break;
     }
   }
-  ArmWaiting(service);
+  ArmWaitingTimer(service);
 }
 
-void Engine::ArmWaiting(ServiceState& service) {
+void Engine::ArmWaitingTimer(ServiceState& service) {
   if (service.waiting.empty()) {
     m_waiting_timers.Remove(service.id);
     return;
@@ -176,10 +177,10 @@
   Deliver(call.id, std::move(answer), effects);
 }
 
-void Engine::RefuseWaiting(const Call& call,
-                           AnswerReason reason,
-                           TimePoint now,
-                           Effects& effects) {
+void Engine::RefuseWaitingCall(const Call& call,
+                               AnswerReason reason,
+                               TimePoint now,
+                               Effects& effects) {
   m_waiting_calls.erase(call.id);
   Refuse(call, reason, now, effects);
 }
@@ -190,12 +191,12 @@
     const WaitingCall call = waiting->second;
     m_waiting_calls.erase(waiting);
     (void)call.service->waiting.Take(call.key);
-    return ArmWaiting(*call.service);
+    return ArmWaitingTimer(*call.service);
   }
   const auto open = m_calls.find(id);
   if (open != m_calls.end()) {
-    Close(open->second, effects);
-    StartWaiting(now, effects);
+    CloseCall(open->second, effects);
+    StartWaitingCalls(now, effects);
   }
 }
 
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -39,7 +39,7 @@
   if (const auto* target = std::get_if<TargetId>(&choice)) {
     Launch(open, shard, kind, *target, now, effects);
   } else {
-    OnRefusal(open, shard, kind, std::get<RouteRefusal>(choice), now);
+    OnRouteRefusal(open, shard, kind, std::get<RouteRefusal>(choice), now);
   }
 }
 
@@ -80,7 +80,7 @@
   }
   if (method.repeat == Repeat::kIdempotent) {
     state.hedge_at = now + HedgeDelay(open);
-    ArmAt(open, *state.hedge_at);
+    ArmTimerAt(open, *state.hedge_at);
   }
   effects.sends.push_back(SendAttempt{
       attempt, open.call.id, target, open.call.method, open.call.body,
@@ -93,11 +93,11 @@
   return std::max(kShortest, m_router.HedgeDelay(open.call.method->service));
 }
 
-void Engine::OnRefusal(OpenCall& open,
-                       std::size_t shard,
-                       AttemptKind kind,
-                       RouteRefusal refusal,
-                       TimePoint now) {
+void Engine::OnRouteRefusal(OpenCall& open,
+                            std::size_t shard,
+                            AttemptKind kind,
+                            RouteRefusal refusal,
+                            TimePoint now) {
   ShardState& state = open.shards[shard];
   if (kind == AttemptKind::kHedge) {
     ++state.refused_hedges;
@@ -109,11 +109,11 @@
   if (refusal != RouteRefusal::kAtLimit) {
     return GiveUpUnlessInFlight(open, state, state.reason);
   }
-  if (CanStillEnd(open, now)) {
+  if (HasTimeForAttempt(open, now)) {
     // Indexed by the targets that it may take: at the head of a queue that it
     // cannot use, it would block those behind it.
     // An ejected target has no ends that would wake it.
-    std::vector<TargetId> untried = Untried(state);
+    std::vector<TargetId> untried = UntriedReplicas(state);
     std::erase_if(untried, [&](const TargetId& id) {
       return !m_router.TakesWork(id, now);
     });
@@ -124,20 +124,21 @@
   if (!state.waiting) {
     return GiveUpUnlessInFlight(open, state, AnswerReason::kOverload);
   }
-  ArmAt(open, open.call.deadline - open.service->fast.value());
+  ArmTimerAt(open, open.call.deadline - open.service->fast.value());
   if (!m_poll_at) {
     m_poll_at = now + m_options.waiting.poll;
   }
 }
 
-void Engine::Hedge(OpenCall& open,
-                   std::size_t shard,
-                   TimePoint now,
-                   Effects& effects) {
+void Engine::HedgeShard(OpenCall& open,
+                        std::size_t shard,
+                        TimePoint now,
+                        Effects& effects) {
   ShardState& state = open.shards[shard];
   state.hedge_at.reset();
   if (state.hedges >= m_options.retry.hedges_per_shard ||
-      state.in_flight.empty() || state.waiting || !CanStillEnd(open, now)) {
+      state.in_flight.empty() || state.waiting ||
+      !HasTimeForAttempt(open, now)) {
     return;
   }
   // A refused hedge is asked for again after the same delay: a target that
@@ -154,24 +155,24 @@
   }
 }
 
-void Engine::Retry(OpenCall& open,
-                   std::size_t shard,
-                   AttemptStatus status,
-                   TimePoint now,
-                   Effects& effects) {
+void Engine::RetryShard(OpenCall& open,
+                        std::size_t shard,
+                        AttemptStatus status,
+                        TimePoint now,
+                        Effects& effects) {
   ShardState& state = open.shards[shard];
   if (!MayRetry(open, state, status, now)) {
     return GiveUp(open, state, state.reason);
   }
-  if (!Untried(state).empty()) {
+  if (!UntriedReplicas(state).empty()) {
     return SendShard(open, shard, AttemptKind::kRetry, now, effects);
   }
   const TimePoint at = now + m_options.retry.pause * (1U << state.retries);
-  if (!CanStillEnd(open, at)) {
+  if (!HasTimeForAttempt(open, at)) {
     return GiveUp(open, state, state.reason);
   }
   state.retry_at = at;
-  ArmAt(open, at);
+  ArmTimerAt(open, at);
 }
 
 bool Engine::MayRetry(const OpenCall& open,
@@ -185,10 +186,10 @@
       open.call.method->repeat == Repeat::kIdempotent || ProvesNotRun(status);
   return repeatable && state.retries < bounds.retries_per_shard &&
          open.retries < open.shards.size() + bounds.spare_retries_per_call &&
-         CanStillEnd(open, now);
+         HasTimeForAttempt(open, now);
 }
 
-std::vector<TargetId> Engine::Untried(const ShardState& state) const {
+std::vector<TargetId> Engine::UntriedReplicas(const ShardState& state) const {
   std::vector<TargetId> untried;
   for (const TargetId& replica : state.shard->replicas) {
     const TargetInfo* info = m_router.FindTarget(replica);
@@ -200,7 +201,7 @@
   return untried;
 }
 
-void Engine::PumpWaiting(const TargetId& target,
+void Engine::SendWaiting(const TargetId& target,
                          TimePoint now,
                          Effects& effects) {
   while (const auto key = m_waiting.First(target)) {
@@ -214,7 +215,7 @@
       open.shards[shard].waiting.reset();
       SendShard(open, shard, kind, now, effects);
       const bool waits_again = open.shards[shard].waiting.has_value();
-      Settle(open, now, effects);
+      FinishIfSettled(open, now, effects);
       if (waits_again) {
         break;
       }
@@ -228,20 +229,20 @@
     m_waiting.Remove(*key);
     open.shards[shard].waiting.reset();
     if (refusal != nullptr) {
-      OnRefusal(open, shard, kind, *refusal, now);
+      OnRouteRefusal(open, shard, kind, *refusal, now);
     } else {
       Launch(open, shard, kind, std::get<TargetId>(choice), now, effects);
     }
-    Settle(open, now, effects);
+    FinishIfSettled(open, now, effects);
   }
   if (m_waiting.size() == 0) {
     m_poll_at.reset();
   }
 }
 
-void Engine::PumpAllWaiting(TimePoint now, Effects& effects) {
+void Engine::SendAllWaiting(TimePoint now, Effects& effects) {
   for (const TargetId& target : m_waiting.Targets()) {
-    PumpWaiting(target, now, effects);
+    SendWaiting(target, now, effects);
   }
   m_poll_at.reset();
   if (m_waiting.size() > 0) {
--- a/src/jacinthdeck/query/engine_finish.cc
+++ b/src/jacinthdeck/query/engine_finish.cc
@@ -66,7 +66,7 @@
   }
 }
 
-void Engine::Settle(OpenCall& open, TimePoint now, Effects& effects) {
+void Engine::FinishIfSettled(OpenCall& open, TimePoint now, Effects& effects) {
   if (open.unsettled == 0) {
     Finish(open, now, effects);
   }
@@ -121,11 +121,11 @@
     }
   }
   const CallId id = open.call.id;
-  Close(open, effects);
+  CloseCall(open, effects);
   Deliver(id, std::move(answer), effects);
 }
 
-void Engine::Close(OpenCall& open, Effects& effects) {
+void Engine::CloseCall(OpenCall& open, Effects& effects) {
   CancelAll(open, effects);
   --open.service->open;
   const CallId id = open.call.id;
--- a/src/jacinthdeck/query/engine_quarantine.cc
+++ b/src/jacinthdeck/query/engine_quarantine.cc
@@ -37,7 +37,7 @@
     state.held = true;
     return m_probes.HoldForTarget(held);
   }
-  OnRefusal(open, shard, kind, refusal, now);
+  OnRouteRefusal(open, shard, kind, refusal, now);
 }
 
 Engine::HeldShards Engine::UpdateQuarantine(const OpenAttempt& attempt,
@@ -77,7 +77,7 @@
     OpenCall& open = call->second;
     open.shards[one.shard].held = false;
     SendShard(open, one.shard, one.kind, now, effects);
-    Settle(open, now, effects);
+    FinishIfSettled(open, now, effects);
   }
 }
 
@@ -90,7 +90,7 @@
                                Effects& effects) {
   m_quarantine.AddPeerQuarantine(fingerprint, now);
   ResumeHeld(m_probes.Release(fingerprint), now, effects);
-  StartWaiting(now, effects);
+  StartWaitingCalls(now, effects);
 }
 
 bool Engine::ReleaseQuarantine(Fingerprint fingerprint,
@@ -98,7 +98,7 @@
                                Effects& effects) {
   const bool released = m_quarantine.Release(fingerprint);
   ResumeHeld(m_probes.Release(fingerprint), now, effects);
-  StartWaiting(now, effects);
+  StartWaitingCalls(now, effects);
   return released;
 }
 
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -49,24 +49,24 @@
     ++m_counters.wrong_replies;
     status = AttemptStatus::kFailed;
   }
-  Learn(attempt, status, reply, now);
+  RecordAttemptEnd(attempt, status, reply, now);
   const HeldShards held = UpdateQuarantine(attempt, status, now, effects);
   const auto call = m_calls.find(attempt.call);
   if (call == m_calls.end() || attempt.cancelled ||
       call->second.epoch != attempt.epoch) {
     ++m_counters.late_replies;
   } else {
-    TakeReply(call->second, attempt, status, reply, now, effects);
+    ApplyReply(call->second, attempt, status, reply, now, effects);
   }
   ResumeHeld(held, now, effects);
-  PumpWaiting(attempt.target, now, effects);
-  StartWaiting(now, effects);
+  SendWaiting(attempt.target, now, effects);
+  StartWaitingCalls(now, effects);
 }
 
-void Engine::Learn(const OpenAttempt& attempt,
-                   AttemptStatus status,
-                   const AttemptReply& reply,
-                   TimePoint now) {
+void Engine::RecordAttemptEnd(const OpenAttempt& attempt,
+                              AttemptStatus status,
+                              const AttemptReply& reply,
+                              TimePoint now) {
   const auto latency = std::chrono::duration_cast<Duration>(now - attempt.sent);
   // A hedge whose answer was no longer wanted did not win.
   const AttemptKind kind =
@@ -83,12 +83,12 @@
   }
 }
 
-void Engine::TakeReply(OpenCall& open,
-                       const OpenAttempt& attempt,
-                       AttemptStatus status,
-                       const AttemptReply& reply,
-                       TimePoint now,
-                       Effects& effects) {
+void Engine::ApplyReply(OpenCall& open,
+                        const OpenAttempt& attempt,
+                        AttemptStatus status,
+                        const AttemptReply& reply,
+                        TimePoint now,
+                        Effects& effects) {
   ShardState& state = open.shards[attempt.shard];
   std::erase(state.in_flight, reply.attempt);
   open.may_have_run = open.may_have_run || !ProvesNotRun(status);
@@ -100,7 +100,7 @@
   } else {
     OnFailure(open, attempt, status, now, effects);
   }
-  Settle(open, now, effects);
+  FinishIfSettled(open, now, effects);
 }
 
 void Engine::OnFailure(OpenCall& open,
@@ -114,14 +114,14 @@
     if (Restart(open, now, effects)) {
       return;
     }
-    if (Untried(state).empty()) {
+    if (UntriedReplicas(state).empty()) {
       return GiveUpUnlessInFlight(open, state, state.reason);
     }
   }
   if (!state.in_flight.empty()) {
     // The other attempt may still answer; a hedge replaces the one that failed.
     state.hedge_at = now + HedgeDelay(open);
-    return ArmAt(open, *state.hedge_at);
+    return ArmTimerAt(open, *state.hedge_at);
   }
   const bool survived = status == AttemptStatus::kFailed;
   if (attempt.probe && !ProvesNotRun(status) && !survived) {
@@ -131,7 +131,7 @@
     return GiveUp(open, state,
                   quarantined ? AnswerReason::kQuarantined : state.reason);
   }
-  Retry(open, attempt.shard, status, now, effects);
+  RetryShard(open, attempt.shard, status, now, effects);
 }
 
 bool Engine::VersionIsGone(const OpenCall& open,
@@ -139,7 +139,7 @@
                            AttemptStatus status,
                            TimePoint now) const {
   if (status == AttemptStatus::kWrongRange) {
-    return Untried(state).empty();
+    return UntriedReplicas(state).empty();
   }
   if (status != AttemptStatus::kVersionGone) {
     return false;
@@ -155,7 +155,7 @@
 
 bool Engine::Restart(OpenCall& open, TimePoint now, Effects& effects) {
   if (open.restarts >= m_options.retry.restarts_per_call ||
-      !CanStillEnd(open, now)) {
+      !HasTimeForAttempt(open, now)) {
     return false;
   }
   const bool in_flight = std::ranges::any_of(
@@ -176,7 +176,7 @@
   CancelAll(open, effects);
   ++open.restarts;
   ++m_counters.restarts;
-  Begin(open, std::move(choice.map), now, effects);
+  BeginOnMap(open, std::move(choice.map), now, effects);
   return true;
 }
 
