--- a/src/jacinthdeck/query/admission_options.h
+++ b/src/jacinthdeck/query/admission_options.h
@@ -12,9 +12,9 @@
 /*! \brief Options of the admission of calls; all bounds are for one service. */
 struct AdmissionOptions {
   //! Calls that run at once.
-  std::size_t max_open = 1024;
+  std::size_t max_running_calls = 1024;
   //! Calls that wait to run.
-  std::size_t max_waiting = 512;
+  std::size_t max_waiting_calls = 512;
   //! Attempts that may wait for a place on a target, for each shard of the
   //! service, before calls wait instead. A call that waits whole has cost the
   //! targets nothing; one that waits for its last shard has cost all the
--- a/src/jacinthdeck/query/admission_queue.cc
+++ b/src/jacinthdeck/query/admission_queue.cc
@@ -25,7 +25,7 @@
   const double active =
       ActiveWeight() + (m_tenants.contains(tenant) ? 0 : weight);
   const double share =
-      static_cast<double>(m_options->max_waiting) * weight / active;
+      static_cast<double>(m_options->max_waiting_calls) * weight / active;
   return static_cast<double>(CountOf(tenant) + 1) > share;
 }
 
--- a/src/jacinthdeck/query/admission_queue.h
+++ b/src/jacinthdeck/query/admission_queue.h
@@ -40,7 +40,7 @@
   [[nodiscard]] bool empty() const noexcept { return m_calls.empty(); }
   [[nodiscard]] std::size_t size() const noexcept { return m_calls.size(); }
   [[nodiscard]] bool full() const noexcept {
-    return m_calls.size() >= m_options->max_waiting;
+    return m_calls.size() >= m_options->max_waiting_calls;
   }
 
   /*! \brief Counts the waiting calls of a tenant. */
--- a/src/jacinthdeck/query/engine.cc
+++ b/src/jacinthdeck/query/engine.cc
@@ -131,7 +131,8 @@
     }
     if (state.waiting) {
       timer_at =
-          std::min(timer_at, open.call.deadline - open.service->fast.value());
+          std::min(timer_at, open.call.deadline -
+                                 open.service->p10_attempt_latency.value());
     }
   }
   open.timer_at = timer_at;
@@ -139,7 +140,7 @@
 }
 
 bool Engine::HasTimeForAttempt(const OpenCall& open, TimePoint now) const {
-  return now + open.service->fast.value() < open.call.deadline;
+  return now + open.service->p10_attempt_latency.value() < open.call.deadline;
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -55,7 +55,7 @@
       bounds.waiting_attempts_per_shard *
       static_cast<double>(m_versions.ShardCount(service.id));
   const auto waiting = static_cast<double>(m_waiting.CountOf(service.id));
-  return service.open < bounds.max_open &&
+  return service.open < bounds.max_running_calls &&
          (waiting == 0 || waiting < most_waiting);
 }
 
@@ -69,10 +69,10 @@
       alone ? AnswerReason::kOverload : AnswerReason::kTenantLimit;
   const auto wait = Duration(static_cast<Duration::rep>(
       queue.StartsAhead(call.tenant) *
-      static_cast<double>(service.pace.value().count())));
+      static_cast<double>(service.start_interval.value().count())));
   // Half of the time that a call can spare, so that the answer holds when the
   // pace falls; a queue as long as the spare time starts each call too late.
-  const TimePoint latest = call.deadline - service.usual.value();
+  const TimePoint latest = call.deadline - service.p95_call_latency.value();
   if (now + wait * 2 >= latest && service.open > 0) {
     return Refuse(call, reason, now, effects);
   }
@@ -130,12 +130,12 @@
   // still holds: the next call is tried, however short its time is.
   while (!queue.empty()) {
     const TimePoint hopeless =
-        service.open > 0 ? now + service.usual.value() : now;
+        service.open > 0 ? now + service.p95_call_latency.value() : now;
     if (const auto call = queue.TakeDueBy(hopeless)) {
       RefuseWaitingCall(*call, AnswerReason::kOverload, now, effects);
     } else if (MayStart(service)) {
       Call next = queue.TakeNext();
-      service.pace.OnStart(now, !queue.empty());
+      service.start_interval.OnStart(now, !queue.empty());
       m_waiting_calls.erase(next.id);
       Start(std::move(next), service, now, effects);
     } else {
@@ -150,9 +150,10 @@
     m_waiting_timers.Remove(service.id);
     return;
   }
-  const Duration usual =
-      service.open > 0 ? service.usual.value() : Duration::zero();
-  m_waiting_timers.Set(service.id, service.waiting.EarliestDeadline() - usual);
+  const Duration p95_call_latency =
+      service.open > 0 ? service.p95_call_latency.value() : Duration::zero();
+  m_waiting_timers.Set(service.id,
+                       service.waiting.EarliestDeadline() - p95_call_latency);
 }
 
 void Engine::Refuse(const Call& call,
@@ -171,8 +172,8 @@
     const ServiceState& service = ServiceOf(call.method->service);
     const auto backlog = static_cast<Duration::rep>(service.waiting.size() + 1);
     answer.retry_after =
-        std::clamp(service.pace.value() * backlog, internal::kShortestOverload,
-                   internal::kLongestOverload);
+        std::clamp(service.start_interval.value() * backlog,
+                   internal::kShortestOverload, internal::kLongestOverload);
   }
   Deliver(call.id, std::move(answer), effects);
 }
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -124,9 +124,10 @@
   if (!state.waiting) {
     return GiveUpUnlessInFlight(open, state, AnswerReason::kOverload);
   }
-  ArmTimerAt(open, open.call.deadline - open.service->fast.value());
+  ArmTimerAt(open,
+             open.call.deadline - open.service->p10_attempt_latency.value());
   if (!m_poll_at) {
-    m_poll_at = now + m_options.waiting.poll;
+    m_poll_at = now + m_options.waiting.poll_interval;
   }
 }
 
@@ -148,7 +149,7 @@
   // With replicas lost the others are busy, and a hedge never waits for a
   // place. A retry does, and the shard needs one. Not while calls wait to run:
   // then every attempt is slow, and retries would only add to the load.
-  if (state.refused_hedges >= m_options.retry.delays_until_overdue &&
+  if (state.refused_hedges >= m_options.retry.refused_hedges_before_retry &&
       open.service->waiting.empty() &&
       MayRetry(open, state, AttemptStatus::kTimedOut, now)) {
     SendShard(open, shard, AttemptKind::kRetry, now, effects);
@@ -167,7 +168,8 @@
   if (!UntriedReplicas(state).empty()) {
     return SendShard(open, shard, AttemptKind::kRetry, now, effects);
   }
-  const TimePoint at = now + m_options.retry.pause * (1U << state.retries);
+  const TimePoint at =
+      now + m_options.retry.initial_backoff * (1U << state.retries);
   if (!HasTimeForAttempt(open, at)) {
     return GiveUp(open, state, state.reason);
   }
@@ -246,7 +248,7 @@
   }
   m_poll_at.reset();
   if (m_waiting.size() > 0) {
-    m_poll_at = now + m_options.waiting.poll;
+    m_poll_at = now + m_options.waiting.poll_interval;
   }
 }
 
--- a/src/jacinthdeck/query/engine_counters.h
+++ b/src/jacinthdeck/query/engine_counters.h
@@ -27,7 +27,7 @@
   //! Ends of attempts that no call waited for any more.
   std::uint64_t late_replies = 0;
   //! Replies for a version or range that was not asked for.
-  std::uint64_t wrong_replies = 0;
+  std::uint64_t mismatched_replies = 0;
   //! Partition maps left out because they do not cover the key space once.
   std::uint64_t rejected_maps = 0;
 
--- a/src/jacinthdeck/query/engine_finish.cc
+++ b/src/jacinthdeck/query/engine_finish.cc
@@ -105,7 +105,7 @@
     answer.outcome = may_have_run ? Outcome::kUnknown : Outcome::kNotRun;
   }
   if (answer.outcome == Outcome::kWhole) {
-    open.service->usual.Add(
+    open.service->p95_call_latency.Add(
         std::chrono::duration_cast<Duration>(now - open.started));
   } else {
     answer.reason = internal::ReasonOf(open);
--- a/src/jacinthdeck/query/engine_options.h
+++ b/src/jacinthdeck/query/engine_options.h
@@ -21,12 +21,12 @@
   std::uint32_t hedges_per_shard = 2;
   //! Hedge delays without an answer or a hedge after which a shard is retried
   //! beside its silent attempt.
-  std::uint32_t delays_until_overdue = 2;
+  std::uint32_t refused_hedges_before_retry = 2;
   //! Restarts of a call on another index version.
   std::uint32_t restarts_per_call = 2;
   //! Pause before a target is asked again that was asked already; doubles with
   //! each retry. Without it a shedding shard would use up its retries at once.
-  Duration pause = std::chrono::milliseconds(5);
+  Duration initial_backoff = std::chrono::milliseconds(5);
 };
 
 /*! \brief Bounds on attempts that wait for a place on a target. */
@@ -35,7 +35,7 @@
   std::size_t limit = 16384;
   //! How often waiting attempts ask again when no attempt finishes: places also
   //! come back when targets or entries come and go, which is no event here.
-  Duration poll = std::chrono::milliseconds(5);
+  Duration poll_interval = std::chrono::milliseconds(5);
 };
 
 /*! \brief Options of the engine. */
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -46,7 +46,7 @@
       (reply.version != attempt.version || reply.range != attempt.range)) {
     // It ran, but it answers another question: merged, it would mix snapshots
     // or claim a range that nobody read.
-    ++m_counters.wrong_replies;
+    ++m_counters.mismatched_replies;
     status = AttemptStatus::kFailed;
   }
   RecordAttemptEnd(attempt, status, reply, now);
@@ -75,7 +75,7 @@
                                 reply.reported_load, kind, reply.draining},
                   now);
   if (status == AttemptStatus::kAnswered) {
-    attempt.service->fast.Add(latency);
+    attempt.service->p10_attempt_latency.Add(latency);
   }
   if (status == AttemptStatus::kVersionGone) {
     m_versions.NoteGone(attempt.service->id, attempt.version, attempt.target,
--- a/src/jacinthdeck/query/fwd.h
+++ b/src/jacinthdeck/query/fwd.h
@@ -12,7 +12,7 @@
 class Merger;
 class ProbeGate;
 class Quarantine;
-class StartPace;
+class StartInterval;
 class VersionCatalog;
 class WaitingAttempts;
 struct AdmissionOptions;
--- a/src/jacinthdeck/query/service_state.h
+++ b/src/jacinthdeck/query/service_state.h
@@ -8,7 +8,7 @@
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/query/admission_queue.h"
 #include "jacinthdeck/query/latency_quantile.h"
-#include "jacinthdeck/query/start_pace.h"
+#include "jacinthdeck/query/start_interval.h"
 
 namespace jacinthdeck::internal {
 
@@ -22,11 +22,11 @@
   std::size_t open = 0;
   //! Calls that wait; while it holds any, no newcomer starts before them.
   AdmissionQueue waiting;
-  StartPace pace;
+  StartInterval start_interval;
   //! Time that an attempt rarely stays below.
-  LatencyQuantile fast{0.1};
+  LatencyQuantile p10_attempt_latency{0.1};
   //! Time from the start of a call that its whole answer rarely exceeds.
-  LatencyQuantile usual{0.95};
+  LatencyQuantile p95_call_latency{0.95};
 };
 
 }  // namespace jacinthdeck::internal
--- a/src/jacinthdeck/query/start_pace.h
+++ b/src/jacinthdeck/query/start_interval.h
@@ -1,6 +1,6 @@
 // How fast calls leave a backlog.
-#ifndef JACINTHDECK_QUERY_START_PACE_H_
-#define JACINTHDECK_QUERY_START_PACE_H_
+#ifndef JACINTHDECK_QUERY_START_INTERVAL_H_
+#define JACINTHDECK_QUERY_START_INTERVAL_H_
 
 #include <optional>
 
@@ -9,7 +9,7 @@
 namespace jacinthdeck {
 
 /*! \brief Average time between two starts from a queue that is not empty. */
-class StartPace {
+class StartInterval {
  public:
   /*! \brief Gives the average; zero before the second start. */
   [[nodiscard]] Duration value() const noexcept {
@@ -39,4 +39,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_QUERY_START_PACE_H_
+#endif  // JACINTHDECK_QUERY_START_INTERVAL_H_
--- a/test/jacinthdeck/query/admission_queue_test.cc
+++ b/test/jacinthdeck/query/admission_queue_test.cc
@@ -7,7 +7,7 @@
 namespace jacinthdeck {
 
 struct AdmissionQueueFixture {
-  AdmissionOptions options{.max_waiting = 10,
+  AdmissionOptions options{.max_waiting_calls = 10,
                            .weights = {{TenantId("heavy"), 3.0}}};
   AdmissionQueue queue{options};
   std::uint64_t next = 1;
--- a/test/jacinthdeck/query/engine_admission_test.cc
+++ b/test/jacinthdeck/query/engine_admission_test.cc
@@ -103,7 +103,7 @@
 // not run, with a time to come back, and another tenant's call still gets in.
 BOOST_AUTO_TEST_CASE(Engine_WaitingQueueFull_RefusesTheTenantOverItsShare) {
   Saturate();
-  const std::size_t most = AdmissionOptions().max_waiting;
+  const std::size_t most = AdmissionOptions().max_waiting_calls;
   while (engine.waiting_calls() < most) {
     (void)Submit(Search());
   }
--- a/test/jacinthdeck/query/engine_snapshot_test.cc
+++ b/test/jacinthdeck/query/engine_snapshot_test.cc
@@ -188,7 +188,7 @@
   BOOST_TEST(OnlyAnswer().retries == 2U);
   BOOST_TEST(std::ranges::none_of(
       OnlyAnswer().hits, [](const Hit& hit) { return hit.id == "wrong"; }));
-  BOOST_TEST(engine.counters().wrong_replies == 2U);
+  BOOST_TEST(engine.counters().mismatched_replies == 2U);
 }
 
 // A map that leaves a gap in the key space would let an answer call itself
