--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -21,7 +21,7 @@
     return Refuse(call, reason, now, effects);
   }
   ServiceState& service = ServiceOf(call.method->service);
-  if (service.waiting.empty() && MayStart(service)) {
+  if (service.queue.empty() && MayStart(service)) {
     return Start(std::move(call), service, now, effects);
   }
   Enqueue(std::move(call), service, now, effects);
@@ -55,7 +55,7 @@
       bounds.waiting_attempts_per_shard *
       static_cast<double>(m_versions.ShardCount(service.id));
   const auto waiting = static_cast<double>(m_waiting.CountOf(service.id));
-  return service.open < bounds.max_running_calls &&
+  return service.running_calls < bounds.max_running_calls &&
          (waiting == 0 || waiting < most_waiting);
 }
 
@@ -63,7 +63,7 @@
                      ServiceState& service,
                      TimePoint now,
                      Effects& effects) {
-  AdmissionQueue& queue = service.waiting;
+  AdmissionQueue& queue = service.queue;
   const bool alone = queue.size() == queue.CountOf(call.tenant);
   const AnswerReason reason =
       alone ? AnswerReason::kOverload : AnswerReason::kTenantLimit;
@@ -73,7 +73,7 @@
   // Half of the time that a call can spare, so that the answer holds when the
   // pace falls; a queue as long as the spare time starts each call too late.
   const TimePoint latest = call.deadline - service.p95_call_latency.value();
-  if (now + wait * 2 >= latest && service.open > 0) {
+  if (now + wait * 2 >= latest && service.running_calls > 0) {
     return Refuse(call, reason, now, effects);
   }
   if (queue.full()) {
@@ -106,7 +106,7 @@
   open.call = std::move(call);
   open.service = &service;
   open.started = now;
-  ++service.open;
+  ++service.running_calls;
   BeginOnMap(open, std::move(choice.map), now, effects);
   FinishIfSettled(open, now, effects);
 }
@@ -116,7 +116,7 @@
     return;
   }
   for (auto& [id, service] : m_services) {
-    if (!service.waiting.empty()) {
+    if (!service.queue.empty()) {
       StartWaitingCalls(service, now, effects);
     }
   }
@@ -125,12 +125,13 @@
 void Engine::StartWaitingCalls(ServiceState& service,
                                TimePoint now,
                                Effects& effects) {
-  AdmissionQueue& queue = service.waiting;
+  AdmissionQueue& queue = service.queue;
   // While nothing of the service runs, nothing shows that the learned time
   // still holds: the next call is tried, however short its time is.
   while (!queue.empty()) {
-    const TimePoint hopeless =
-        service.open > 0 ? now + service.p95_call_latency.value() : now;
+    const TimePoint hopeless = service.running_calls > 0
+                                   ? now + service.p95_call_latency.value()
+                                   : now;
     if (const auto call = queue.TakeDueBy(hopeless)) {
       RefuseWaitingCall(*call, AnswerReason::kOverload, now, effects);
     } else if (MayStart(service)) {
@@ -146,14 +147,15 @@
 }
 
 void Engine::ArmWaitingTimer(ServiceState& service) {
-  if (service.waiting.empty()) {
+  if (service.queue.empty()) {
     m_waiting_timers.Remove(service.id);
     return;
   }
-  const Duration p95_call_latency =
-      service.open > 0 ? service.p95_call_latency.value() : Duration::zero();
+  const Duration p95_call_latency = service.running_calls > 0
+                                        ? service.p95_call_latency.value()
+                                        : Duration::zero();
   m_waiting_timers.Set(service.id,
-                       service.waiting.EarliestDeadline() - p95_call_latency);
+                       service.queue.EarliestDeadline() - p95_call_latency);
 }
 
 void Engine::Refuse(const Call& call,
@@ -170,7 +172,7 @@
       reason == AnswerReason::kTenantLimit) {
     // After about as long as the backlog takes to drain.
     const ServiceState& service = ServiceOf(call.method->service);
-    const auto backlog = static_cast<Duration::rep>(service.waiting.size() + 1);
+    const auto backlog = static_cast<Duration::rep>(service.queue.size() + 1);
     answer.retry_after =
         std::clamp(service.start_interval.value() * backlog,
                    internal::kShortestOverload, internal::kLongestOverload);
@@ -191,7 +193,7 @@
   if (waiting != m_waiting_calls.end()) {
     const WaitingCall call = waiting->second;
     m_waiting_calls.erase(waiting);
-    (void)call.service->waiting.Take(call.key);
+    (void)call.service->queue.Take(call.key);
     return ArmWaitingTimer(*call.service);
   }
   const auto open = m_calls.find(id);
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -150,7 +150,7 @@
   // place. A retry does, and the shard needs one. Not while calls wait to run:
   // then every attempt is slow, and retries would only add to the load.
   if (state.refused_hedges >= m_options.retry.refused_hedges_before_retry &&
-      open.service->waiting.empty() &&
+      open.service->queue.empty() &&
       MayRetry(open, state, AttemptStatus::kTimedOut, now)) {
     SendShard(open, shard, AttemptKind::kRetry, now, effects);
   }
--- a/src/jacinthdeck/query/engine_finish.cc
+++ b/src/jacinthdeck/query/engine_finish.cc
@@ -127,7 +127,7 @@
 
 void Engine::CloseCall(OpenCall& open, Effects& effects) {
   CancelAll(open, effects);
-  --open.service->open;
+  --open.service->running_calls;
   const CallId id = open.call.id;
   m_timers.Remove(id);
   m_calls.erase(id);
--- a/src/jacinthdeck/query/service_state.h
+++ b/src/jacinthdeck/query/service_state.h
@@ -15,13 +15,13 @@
 /*! \brief Calls of one service and what was learned of its times. */
 struct ServiceState {
   ServiceState(ServiceId service_id, const AdmissionOptions& options)
-      : id(std::move(service_id)), waiting(options) {}
+      : id(std::move(service_id)), queue(options) {}
 
   ServiceId id;
   //! Calls that run.
-  std::size_t open = 0;
+  std::size_t running_calls = 0;
   //! Calls that wait; while it holds any, no newcomer starts before them.
-  AdmissionQueue waiting;
+  AdmissionQueue queue;
   StartInterval start_interval;
   //! Time that an attempt rarely stays below.
   LatencyQuantile p10_attempt_latency{0.1};
