--- a/src/jacinthdeck/query/admission_queue.cc
+++ b/src/jacinthdeck/query/admission_queue.cc
@@ -20,7 +20,7 @@
   return std::min(by_share, static_cast<double>(m_calls.size()));
 }
 
-bool AdmissionQueue::OverShare(const TenantId& tenant) const {
+bool AdmissionQueue::ExceedsShare(const TenantId& tenant) const {
   const double weight = WeightOf(tenant);
   const double active =
       ActiveWeight() + (m_tenants.contains(tenant) ? 0 : weight);
@@ -34,8 +34,8 @@
   const auto [found, added] = m_tenants.try_emplace(call.tenant);
   if (added) {
     found->second.weight = WeightOf(call.tenant);
-    const auto ahead = m_ahead.find(call.tenant);
-    found->second.virtual_time = ahead == m_ahead.end()
+    const auto ahead = m_idle_virtual_times.find(call.tenant);
+    found->second.virtual_time = ahead == m_idle_virtual_times.end()
                                      ? m_virtual_time
                                      : std::max(m_virtual_time, ahead->second);
   }
@@ -49,12 +49,12 @@
       m_tenants, {}, [](const auto& item) { return item.second.virtual_time; });
   Tenant& tenant = next->second;
   m_virtual_time = tenant.virtual_time;
-  std::erase_if(m_ahead, [this](const auto& ahead) {
+  std::erase_if(m_idle_virtual_times, [this](const auto& ahead) {
     return ahead.second <= m_virtual_time;
   });
   const Key key = *tenant.calls.begin();
   tenant.virtual_time += m_calls.at(key).cost / tenant.weight;
-  return TakeHeld(key);
+  return TakeExisting(key);
 }
 
 std::optional<Call> AdmissionQueue::TakeDueBy(TimePoint moment) {
@@ -62,7 +62,7 @@
     return std::nullopt;
   }
   const Key key = m_calls.begin()->first;
-  return TakeHeld(key);
+  return TakeExisting(key);
 }
 
 Call AdmissionQueue::TakeExcess() {
@@ -72,24 +72,24 @@
                item.second.weight;
       });
   const Key key = *most->second.calls.rbegin();
-  return TakeHeld(key);
+  return TakeExisting(key);
 }
 
 std::optional<Call> AdmissionQueue::Take(const Key& key) {
   if (!m_calls.contains(key)) {
     return std::nullopt;
   }
-  return TakeHeld(key);
+  return TakeExisting(key);
 }
 
-Call AdmissionQueue::TakeHeld(const Key& key) {
+Call AdmissionQueue::TakeExisting(const Key& key) {
   const auto found = m_calls.find(key);
   Call call = std::move(found->second.call);
   m_calls.erase(found);
   const auto tenant = m_tenants.find(call.tenant);
   tenant->second.calls.erase(key);
   if (tenant->second.calls.empty()) {
-    m_ahead[call.tenant] = tenant->second.virtual_time;
+    m_idle_virtual_times[call.tenant] = tenant->second.virtual_time;
     m_tenants.erase(tenant);
   }
   return call;
--- a/src/jacinthdeck/query/admission_queue.h
+++ b/src/jacinthdeck/query/admission_queue.h
@@ -59,7 +59,7 @@
 
   /*! \brief Tells whether a tenant holds more than its share of the queue, or
    * would with one more call. */
-  [[nodiscard]] bool OverShare(const TenantId& tenant) const;
+  [[nodiscard]] bool ExceedsShare(const TenantId& tenant) const;
 
   /**
    * \brief Adds a call; the queue is not full.
@@ -94,7 +94,7 @@
 
   [[nodiscard]] double WeightOf(const TenantId& tenant) const;
   [[nodiscard]] double ActiveWeight() const;
-  [[nodiscard]] Call TakeHeld(const Key& key);
+  [[nodiscard]] Call TakeExisting(const Key& key);
 
   const AdmissionOptions* m_options;
   std::uint64_t m_arrivals = 0;
@@ -107,7 +107,7 @@
   //! Virtual times of tenants without waiting calls that are ahead of
   //! m_virtual_time. Forgotten, a tenant that always has one call waiting would
   //! go first each time and starve those that queue.
-  std::map<TenantId, double> m_ahead;
+  std::map<TenantId, double> m_idle_virtual_times;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -43,7 +43,7 @@
       QuarantineState::kQuarantined) {
     return AnswerReason::kQuarantined;
   }
-  if (!m_versions.Knows(call.method->service)) {
+  if (!m_versions.HasVersions(call.method->service)) {
     return AnswerReason::kNotReady;
   }
   return AnswerReason::kNone;
@@ -77,7 +77,7 @@
     return Refuse(call, reason, now, effects);
   }
   if (queue.full()) {
-    if (queue.OverShare(call.tenant)) {
+    if (queue.ExceedsShare(call.tenant)) {
       return Refuse(call, reason, now, effects);
     }
     RefuseWaitingCall(queue.TakeExcess(), AnswerReason::kTenantLimit, now,
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -78,8 +78,8 @@
     attempt.service->p10_attempt_latency.Add(latency);
   }
   if (status == AttemptStatus::kVersionGone) {
-    m_versions.NoteGone(attempt.service->id, attempt.version, attempt.target,
-                        now);
+    m_versions.RecordVersionGone(attempt.service->id, attempt.version,
+                                 attempt.target, now);
   }
 }
 
@@ -146,10 +146,10 @@
   }
   const ServiceId& service = open.service->id;
   const IndexVersion version = open.map->version;
-  return !m_versions.Lists(service, version) ||
+  return !m_versions.IsListed(service, version) ||
          std::ranges::none_of(
              state.shard->replicas, [&](const TargetId& target) {
-               return m_versions.Usable(service, version, target, now);
+               return m_versions.IsUsable(service, version, target, now);
              });
 }
 
--- a/src/jacinthdeck/query/quarantine.h
+++ b/src/jacinthdeck/query/quarantine.h
@@ -71,7 +71,7 @@
   [[nodiscard]] bool CrashedInRange(Fingerprint fingerprint,
                                     const KeyRange& range) const;
 
-  /*! \brief Lists what is held, ordered by fingerprint. */
+  /*! \brief IsListed what is held, ordered by fingerprint. */
   [[nodiscard]] std::vector<QuarantineEntry> Entries(TimePoint now) const;
 
   /**
--- a/src/jacinthdeck/query/version_catalog.cc
+++ b/src/jacinthdeck/query/version_catalog.cc
@@ -8,17 +8,19 @@
 
 namespace jacinthdeck {
 
-bool VersionCatalog::Knows(const ServiceId& service) const {
+bool VersionCatalog::HasVersions(const ServiceId& service) const {
   const auto found = m_services.find(service);
   return found != m_services.end() && !found->second.maps.empty();
 }
 
 std::size_t VersionCatalog::ShardCount(const ServiceId& service) const {
-  return Knows(service) ? m_services.at(service).maps.back()->shards.size() : 0;
+  return HasVersions(service)
+             ? m_services.at(service).maps.back()->shards.size()
+             : 0;
 }
 
-bool VersionCatalog::Lists(const ServiceId& service,
-                           IndexVersion version) const {
+bool VersionCatalog::IsListed(const ServiceId& service,
+                              IndexVersion version) const {
   const auto found = m_services.find(service);
   return found != m_services.end() &&
          std::ranges::any_of(found->second.maps, [version](const auto& map) {
@@ -50,7 +52,7 @@
       ++asked;
       usable +=
           std::ranges::any_of(shard.replicas, [&](const TargetId& target) {
-            return Usable(versions, map->version, target, now);
+            return IsUsable(versions, map->version, target, now);
           });
     }
     if (asked > 0 && usable == asked) {
@@ -64,19 +66,19 @@
   return best;
 }
 
-bool VersionCatalog::Usable(const ServiceId& service,
-                            IndexVersion version,
-                            const TargetId& target,
-                            TimePoint now) const {
+bool VersionCatalog::IsUsable(const ServiceId& service,
+                              IndexVersion version,
+                              const TargetId& target,
+                              TimePoint now) const {
   const auto found = m_services.find(service);
   return found != m_services.end() &&
-         Usable(found->second, version, target, now);
+         IsUsable(found->second, version, target, now);
 }
 
-bool VersionCatalog::Usable(const Versions& versions,
-                            IndexVersion version,
-                            const TargetId& target,
-                            TimePoint now) const {
+bool VersionCatalog::IsUsable(const Versions& versions,
+                              IndexVersion version,
+                              const TargetId& target,
+                              TimePoint now) const {
   const TargetInfo* info = m_router.FindTarget(target);
   if (info == nullptr || info->state != TargetState::kLive) {
     return false;
@@ -85,8 +87,9 @@
   if (gone == versions.gone.end()) {
     return true;
   }
-  const auto said = gone->second.find(target);
-  return said == gone->second.end() || said->second + kEvidenceLife <= now;
+  const auto reported_at = gone->second.find(target);
+  return reported_at == gone->second.end() ||
+         reported_at->second + kVersionGoneTtl <= now;
 }
 
 std::size_t VersionCatalog::Set(const ServiceId& service,
@@ -101,16 +104,17 @@
   }
   std::ranges::stable_sort(versions.maps, {},
                            [](const auto& map) { return map->version; });
-  std::erase_if(versions.gone,
-                [&](const auto& gone) { return !Lists(service, gone.first); });
+  std::erase_if(versions.gone, [&](const auto& gone) {
+    return !IsListed(service, gone.first);
+  });
   return maps.size() - versions.maps.size();
 }
 
-void VersionCatalog::NoteGone(const ServiceId& service,
-                              IndexVersion version,
-                              const TargetId& target,
-                              TimePoint now) {
-  if (Lists(service, version)) {
+void VersionCatalog::RecordVersionGone(const ServiceId& service,
+                                       IndexVersion version,
+                                       const TargetId& target,
+                                       TimePoint now) {
+  if (IsListed(service, version)) {
     m_services[service].gone[version][target] = now;
   }
 }
--- a/src/jacinthdeck/query/version_catalog.h
+++ b/src/jacinthdeck/query/version_catalog.h
@@ -38,22 +38,22 @@
  public:
   //! Evidence ages out, since a target that does not serve a version yet may
   //! serve it soon.
-  static constexpr Duration kEvidenceLife = std::chrono::seconds(2);
+  static constexpr Duration kVersionGoneTtl = std::chrono::seconds(2);
 
   /*! \brief Makes a catalog that asks a router, which outlives it, for the
    * state of targets. */
   explicit VersionCatalog(const Router& router) noexcept : m_router(router) {}
 
   /*! \brief Tells whether any version of a service is known. */
-  [[nodiscard]] bool Knows(const ServiceId& service) const;
+  [[nodiscard]] bool HasVersions(const ServiceId& service) const;
 
   /*! \brief Counts the shards of the newest version; 0 without any. */
   [[nodiscard]] std::size_t ShardCount(const ServiceId& service) const;
 
   /*! \brief Tells whether a version stands in the newest list of its service.
    */
-  [[nodiscard]] bool Lists(const ServiceId& service,
-                           IndexVersion version) const;
+  [[nodiscard]] bool IsListed(const ServiceId& service,
+                              IndexVersion version) const;
 
   /**
    * \brief Chooses the newest version all of whose asked shards have a usable
@@ -67,10 +67,10 @@
    * \brief Tells whether a target may serve a version.
    * \return False if it is not live or lately said that it does not serve it.
    */
-  [[nodiscard]] bool Usable(const ServiceId& service,
-                            IndexVersion version,
-                            const TargetId& target,
-                            TimePoint now) const;
+  [[nodiscard]] bool IsUsable(const ServiceId& service,
+                              IndexVersion version,
+                              const TargetId& target,
+                              TimePoint now) const;
 
   /**
    * \brief Replaces the versions of a service.
@@ -81,10 +81,10 @@
   std::size_t Set(const ServiceId& service, std::vector<PartitionMap> maps);
 
   /*! \brief Remembers that a target said it does not serve a version. */
-  void NoteGone(const ServiceId& service,
-                IndexVersion version,
-                const TargetId& target,
-                TimePoint now);
+  void RecordVersionGone(const ServiceId& service,
+                         IndexVersion version,
+                         const TargetId& target,
+                         TimePoint now);
 
  private:
   struct Versions {
@@ -94,10 +94,10 @@
     std::map<IndexVersion, std::map<TargetId, TimePoint>> gone;
   };
 
-  [[nodiscard]] bool Usable(const Versions& versions,
-                            IndexVersion version,
-                            const TargetId& target,
-                            TimePoint now) const;
+  [[nodiscard]] bool IsUsable(const Versions& versions,
+                              IndexVersion version,
+                              const TargetId& target,
+                              TimePoint now) const;
 
   const Router& m_router;
   std::map<ServiceId, Versions> m_services;
--- a/test/jacinthdeck/query/admission_queue_test.cc
+++ b/test/jacinthdeck/query/admission_queue_test.cc
@@ -84,8 +84,8 @@
   }
   Add("other", 500);
   BOOST_TEST(queue.full());
-  BOOST_TEST(queue.OverShare(TenantId("flood")));
-  BOOST_TEST(!queue.OverShare(TenantId("other")));
+  BOOST_TEST(queue.ExceedsShare(TenantId("flood")));
+  BOOST_TEST(!queue.ExceedsShare(TenantId("other")));
   const Call excess = queue.TakeExcess();
   BOOST_TEST((excess.tenant == TenantId("flood")));
   BOOST_TEST((excess.id == CallId(9)));
--- a/test/jacinthdeck/query/engine_snapshot_test.cc
+++ b/test/jacinthdeck/query/engine_snapshot_test.cc
@@ -163,7 +163,7 @@
     AnswerAllBut(IndexVersion(8));
   }
   BOOST_TEST(engine.counters().restarts == 1U);
-  Advance(VersionCatalog::kEvidenceLife);
+  Advance(VersionCatalog::kVersionGoneTtl);
   (void)Submit(Search());
   BOOST_TEST((effects.sends[0].version == IndexVersion(8)));
 }
