--- a/src/jacinthdeck/query/call_state.h
+++ b/src/jacinthdeck/query/call_state.h
@@ -70,7 +70,7 @@
   bool may_have_run = false;
   //! The timer that is set; never later than anything that is due.
   TimePoint timer_at;
-  std::vector<IndexVersion> refused_versions;
+  std::vector<IndexVersion> excluded_versions;
 };
 
 /*! \brief An attempt whose end is not reported yet; it outlives its call. */
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -129,10 +129,10 @@
   // While nothing of the service runs, nothing shows that the learned time
   // still holds: the next call is tried, however short its time is.
   while (!queue.empty()) {
-    const TimePoint hopeless = service.running_calls > 0
-                                   ? now + service.p95_call_latency.value()
-                                   : now;
-    if (const auto call = queue.TakeDueBy(hopeless)) {
+    const TimePoint unreachable_deadline =
+        service.running_calls > 0 ? now + service.p95_call_latency.value()
+                                  : now;
+    if (const auto call = queue.TakeDueBy(unreachable_deadline)) {
       RefuseWaitingCall(*call, AnswerReason::kOverload, now, effects);
     } else if (MayStart(service)) {
       Call next = queue.TakeNext();
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -165,9 +165,9 @@
       (open.may_have_run || in_flight)) {
     return false;
   }
-  open.refused_versions.push_back(open.map->version);
+  open.excluded_versions.push_back(open.map->version);
   VersionChoice choice = m_versions.Choose(
-      VersionRequest{open.service->id, open.call.key, open.refused_versions},
+      VersionRequest{open.service->id, open.call.key, open.excluded_versions},
       now);
   if (!choice.complete) {
     return false;
--- a/src/jacinthdeck/query/version_catalog.cc
+++ b/src/jacinthdeck/query/version_catalog.cc
@@ -39,8 +39,8 @@
   std::size_t most = 0;
   for (auto at = versions.maps.rbegin(); at != versions.maps.rend(); ++at) {
     const auto& map = *at;
-    if (std::ranges::find(request.refused, map->version) !=
-        request.refused.end()) {
+    if (std::ranges::find(request.excluded, map->version) !=
+        request.excluded.end()) {
       continue;
     }
     std::size_t asked = 0;
--- a/src/jacinthdeck/query/version_catalog.h
+++ b/src/jacinthdeck/query/version_catalog.h
@@ -30,7 +30,7 @@
   //! Hash of the key of a keyed call; nothing asks for every shard.
   std::optional<std::uint64_t> key;
   //! Versions that this call gave up already.
-  std::span<const IndexVersion> refused;
+  std::span<const IndexVersion> excluded;
 };
 
 /*! \brief Chooses the one snapshot of each answer. */
