--- a/test/jacinthdeck/query/engine_admission_test.cc
+++ b/test/jacinthdeck/query/engine_admission_test.cc
@@ -19,13 +19,13 @@
   }
 
   //! Offers calls at even intervals; gives the whole answers a second.
-  double Offer(double calls_per_second, Duration length) {
+  double OfferLoad(double calls_per_second, Duration length) {
     const auto gap =
         Duration(static_cast<Duration::rep>(1e6 / calls_per_second));
     const std::size_t before = CountOf(Outcome::kWhole);
     const TimePoint start = clock.Now();
     while (clock.Now() < start + length) {
-      (void)Run(MakeFleetCall(Search(), Fingerprint(next_call)));
+      (void)SubmitAndFlush(MakeFleetCall(Search(), Fingerprint(next_call)));
       RunFor(gap);
     }
     RunFor(kDeadline);
@@ -63,9 +63,9 @@
   std::size_t wasted = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     AdmissionFixture at_once(seed, {}, {}, WithoutEjection());
-    once += at_once.Offer(kCapacity, std::chrono::seconds(4));
+    once += at_once.OfferLoad(kCapacity, std::chrono::seconds(4));
     AdmissionFixture at_twice(seed, {}, {}, WithoutEjection());
-    twice += at_twice.Offer(2 * kCapacity, std::chrono::seconds(4));
+    twice += at_twice.OfferLoad(2 * kCapacity, std::chrono::seconds(4));
     wasted += at_twice.CountOf(Outcome::kPartial);
     wasted += at_twice.CountOf(Outcome::kUnknown);
   }
@@ -84,7 +84,7 @@
     Call call = MakeFleetCall(Search(), Fingerprint(next_call));
     call.tenant = TenantId(i % 100 == 0 ? "quiet" : "flood");
     const bool is_quiet = i % 100 == 0;
-    const CallId id = Run(std::move(call));
+    const CallId id = SubmitAndFlush(std::move(call));
     if (is_quiet) {
       quiet.push_back(id);
     }
--- a/test/jacinthdeck/query/engine_quarantine_test.cc
+++ b/test/jacinthdeck/query/engine_quarantine_test.cc
@@ -6,14 +6,14 @@
 namespace jacinthdeck {
 
 struct QuarantineFixture : FleetFixture {
-  const Fingerprint deadly{666};
+  const Fingerprint crashing{666};
 
-  QuarantineFixture() { fleet.deadly.insert(deadly); }
+  QuarantineFixture() { fleet.crashing.insert(crashing); }
 
-  [[nodiscard]] std::size_t Kills() { return fleet.kills[deadly]; }
+  [[nodiscard]] std::size_t Crashes() { return fleet.crashes[crashing]; }
 
   [[nodiscard]] QuarantineState State() const {
-    return engine.quarantine().StateOf(deadly, clock.Now());
+    return engine.quarantine().StateOf(crashing, clock.Now());
   }
 
   [[nodiscard]] Method Lookup() const {
@@ -23,9 +23,9 @@
   }
 
   //! A caller that sends the request again as soon as it has an answer.
-  void SendAgainAndAgain(const Method& method, int times) {
+  void SubmitRepeatedly(const Method& method, int times) {
     for (int i = 0; i < times; ++i) {
-      (void)Run(MakeFleetCall(method, deadly));
+      (void)SubmitAndFlush(MakeFleetCall(method, crashing));
       RunFor(std::chrono::milliseconds(50));
     }
   }
@@ -37,8 +37,8 @@
 // again at once. Two targets die: the first run and the one retry. From then on
 // it is refused as not run.
 BOOST_AUTO_TEST_CASE(Engine_KeyedRequestCrashesTargets_TwoDieAndItIsRefused) {
-  SendAgainAndAgain(Lookup(), 20);
-  BOOST_TEST(Kills() == 2U);
+  SubmitRepeatedly(Lookup(), 20);
+  BOOST_TEST(Crashes() == 2U);
   BOOST_TEST((State() == QuarantineState::kQuarantined));
   BOOST_TEST((answers.at(CallId(1)).outcome == Outcome::kUnknown));
   const Answer& refused = answers.at(CallId(20));
@@ -51,8 +51,8 @@
 // A request to every shard crashes them all at once, before anything is known
 // of it. After that round one probe, on one target, decides.
 BOOST_AUTO_TEST_CASE(Engine_ScatteredRequestCrashesTargets_OneMoreThanShards) {
-  SendAgainAndAgain(Search(), 20);
-  BOOST_TEST(Kills() == kShards + 1);
+  SubmitRepeatedly(Search(), 20);
+  BOOST_TEST(Crashes() == kShards + 1);
   BOOST_TEST(effects.suspects.size() == 1U);
   BOOST_TEST(effects.quarantined.size() == 1U);
 }
@@ -60,24 +60,25 @@
 // The same request may not be repeated. The first loss is answered as unknown
 // at once; only the caller's own resend runs it again, and that convicts it.
 BOOST_AUTO_TEST_CASE(Engine_UnrepeatableRequestCrashes_OneTargetForEachCall) {
-  (void)Run(MakeFleetCall(Claim(), deadly));
+  (void)SubmitAndFlush(MakeFleetCall(Claim(), crashing));
   RunFor(std::chrono::milliseconds(2));
   BOOST_TEST((answers.at(CallId(1)).outcome == Outcome::kUnknown));
   BOOST_TEST(!answers.at(CallId(1)).retry_after.has_value());
-  BOOST_TEST(Kills() == 1U);
-  SendAgainAndAgain(Claim(), 10);
-  BOOST_TEST(Kills() == 2U);
+  BOOST_TEST(Crashes() == 1U);
+  SubmitRepeatedly(Claim(), 10);
+  BOOST_TEST(Crashes() == 2U);
 }
 
 // Innocent requests run on the targets that die. The callers see nothing of it:
 // each is retried elsewhere, which clears it, and none is refused.
 BOOST_AUTO_TEST_CASE(Engine_InnocentsShareTheTargets_AreAnsweredAndCleared) {
   for (int i = 0; i < 8; ++i) {
-    (void)Run(MakeFleetCall(Search(), Fingerprint(1000 + next_call)));
+    (void)SubmitAndFlush(
+        MakeFleetCall(Search(), Fingerprint(1000 + next_call)));
   }
-  (void)Run(MakeFleetCall(Search(), deadly));
+  (void)SubmitAndFlush(MakeFleetCall(Search(), crashing));
   RunFor(kDeadline);
-  SendAgainAndAgain(Search(), 5);
+  SubmitRepeatedly(Search(), 5);
   BOOST_TEST((State() == QuarantineState::kQuarantined));
   BOOST_TEST(effects.suspects.size() > 1U);
   BOOST_TEST(effects.quarantined.size() == 1U);
@@ -88,15 +89,15 @@
 // Many callers send one popular request when a target dies under another one.
 // They wait for the verdict of one probe and then get whole answers.
 BOOST_AUTO_TEST_CASE(Engine_PopularInnocentIsSuspect_HeldCallsGoOnWhenCleared) {
-  const Fingerprint popular(5);
-  engine.AddPeerSuspect(popular, clock.Now());
+  const Fingerprint harmless(5);
+  engine.AddPeerSuspect(harmless, clock.Now());
   for (int i = 0; i < 5; ++i) {
-    (void)Run(MakeFleetCall(Search(), popular));
+    (void)SubmitAndFlush(MakeFleetCall(Search(), harmless));
   }
   BOOST_TEST(engine.counters().attempts == 1U);
   RunFor(kDeadline);
   BOOST_TEST(CountOf(Outcome::kWhole) == 5U);
-  BOOST_TEST((engine.quarantine().StateOf(popular, clock.Now()) ==
+  BOOST_TEST((engine.quarantine().StateOf(harmless, clock.Now()) ==
               QuarantineState::kNone));
 }
 
@@ -104,12 +105,12 @@
 // convicted. They are refused at that moment, as not run, and not when the
 // probe ends.
 BOOST_AUTO_TEST_CASE(Engine_PeerConvictsWhileCallsAreHeld_RefusedAtOnce) {
-  engine.AddPeerSuspect(deadly, clock.Now());
+  engine.AddPeerSuspect(crashing, clock.Now());
   for (int i = 0; i < 3; ++i) {
-    (void)Submit(MakeFleetCall(Lookup(), deadly));
+    (void)Submit(MakeFleetCall(Lookup(), crashing));
   }
   BOOST_REQUIRE(effects.sends.size() == 1U);
-  engine.AddPeerQuarantine(deadly, clock.Now(), effects);
+  engine.AddPeerQuarantine(crashing, clock.Now(), effects);
   BOOST_REQUIRE(effects.answers.size() == 2U);
   for (const DeliverAnswer& refused : effects.answers) {
     BOOST_TEST((refused.answer.outcome == Outcome::kNotRun));
@@ -120,8 +121,8 @@
 // The probe of a suspect ends without a verdict, but may have run. The request
 // is not sent once more: each run may cost a target.
 BOOST_AUTO_TEST_CASE(Engine_ProbeMayHaveRunWithoutVerdict_IsNotSentAgain) {
-  engine.AddPeerSuspect(deadly, clock.Now());
-  (void)Submit(MakeFleetCall(Lookup(), deadly));
+  engine.AddPeerSuspect(crashing, clock.Now());
+  (void)Submit(MakeFleetCall(Lookup(), crashing));
   const auto probe = TakeSends();
   BOOST_REQUIRE(probe.size() == 1U);
   End(probe[0], AttemptStatus::kTimedOut);
@@ -180,9 +181,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(Engine_Suspect_IsNotHedged) {
-  engine.AddPeerSuspect(deadly, clock.Now());
+  engine.AddPeerSuspect(crashing, clock.Now());
   Call call = MakeCall(Lookup());
-  call.fingerprint = deadly;
+  call.fingerprint = crashing;
   (void)Submit(std::move(call));
   Advance(kDeadline);
   BOOST_TEST(OnlyAnswer().hedges == 0U);
@@ -192,21 +193,21 @@
 // The conviction ends by itself. The request is still deadly: it costs one more
 // target, not a whole round, and is refused again.
 BOOST_AUTO_TEST_CASE(Engine_ConvictionEnds_OneMoreTargetConvictsAgain) {
-  SendAgainAndAgain(Search(), 3);
-  const std::size_t before = Kills();
+  SubmitRepeatedly(Search(), 3);
+  const std::size_t before = Crashes();
   RunFor(QuarantineOptions().quarantine_ttl);
   BOOST_TEST((State() == QuarantineState::kSuspect));
-  SendAgainAndAgain(Search(), 10);
-  BOOST_TEST(Kills() == before + 1);
+  SubmitRepeatedly(Search(), 10);
+  BOOST_TEST(Crashes() == before + 1);
   BOOST_TEST((State() == QuarantineState::kQuarantined));
 }
 
 BOOST_AUTO_TEST_CASE(Engine_OperatorReleases_RequestRunsAgain) {
-  SendAgainAndAgain(Lookup(), 3);
-  fleet.deadly.clear();
-  BOOST_TEST(engine.ReleaseQuarantine(deadly, clock.Now(), effects));
-  BOOST_TEST(!engine.ReleaseQuarantine(deadly, clock.Now(), effects));
-  const CallId id = Run(MakeFleetCall(Lookup(), deadly));
+  SubmitRepeatedly(Lookup(), 3);
+  fleet.crashing.clear();
+  BOOST_TEST(engine.ReleaseQuarantine(crashing, clock.Now(), effects));
+  BOOST_TEST(!engine.ReleaseQuarantine(crashing, clock.Now(), effects));
+  const CallId id = SubmitAndFlush(MakeFleetCall(Lookup(), crashing));
   RunFor(kDeadline);
   BOOST_TEST((answers.at(id).outcome == Outcome::kWhole));
 }
@@ -222,7 +223,7 @@
   }
   for (int round = 0; round < 10; ++round) {
     for (const auto& entry : entries) {
-      (void)entry->Run(entry->MakeFleetCall(Search(), deadly));
+      (void)entry->SubmitAndFlush(entry->MakeFleetCall(Search(), crashing));
       entry->RunFor(std::chrono::milliseconds(5));
       for (const auto& peer : entries) {
         for (const Fingerprint suspect : entry->effects.suspects) {
@@ -235,13 +236,13 @@
       }
     }
   }
-  std::size_t kills = 0;
+  std::size_t crashes = 0;
   for (const auto& entry : entries) {
-    kills += entry->Kills();
+    crashes += entry->Crashes();
   }
   BOOST_TEST_MESSAGE("targets killed over " << kEntries
-                                            << " entries: " << kills);
-  BOOST_TEST(kills <= kShards + kEntries);
+                                            << " entries: " << crashes);
+  BOOST_TEST(crashes <= kShards + kEntries);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -7,8 +7,8 @@
 
 namespace jacinthdeck {
 
-struct SweepFixture : FleetFixture {
-  explicit SweepFixture(std::uint64_t seed)
+struct RandomFaultsFixture : FleetFixture {
+  explicit RandomFaultsFixture(std::uint64_t seed)
       : FleetFixture(seed, FleetOptions{.slots = 2, .queue = 2}),
         random(seed) {}
 
@@ -26,7 +26,7 @@
     Call call = MakeFleetCall(method, Fingerprint(random.Below(40)));
     call.tenant = TenantId(random.Below(4) == 0 ? "a" : "b");
     calls.emplace(call.id, call);
-    (void)Run(std::move(call));
+    (void)SubmitAndFlush(std::move(call));
   }
 
   void ChangeVersions() {
@@ -55,9 +55,9 @@
     } else if (what < 2) {
       ChangeTargets();
     } else if (what < 4) {
-      fleet.silent.insert(target);
+      fleet.unresponsive.insert(target);
     } else if (what < 7) {
-      fleet.silent.erase(target);
+      fleet.unresponsive.erase(target);
     } else if (what < 9) {
       fleet.fault_rate = random.Unit() * 0.3;
     } else if (what < 10) {
@@ -127,8 +127,8 @@
   std::array<std::size_t, 4> outcomes{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      SweepFixture sweep(seed);
-      sweep.fleet.deadly.insert(Fingerprint(13));
+      RandomFaultsFixture sweep(seed);
+      sweep.fleet.crashing.insert(Fingerprint(13));
       for (int step = 0; step < 500; ++step) {
         sweep.Step();
       }
--- a/test/jacinthdeck/query/fleet_fixture.h
+++ b/test/jacinthdeck/query/fleet_fixture.h
@@ -42,7 +42,7 @@
     return call;
   }
 
-  CallId Run(Call call) {
+  CallId SubmitAndFlush(Call call) {
     const CallId id = Submit(std::move(call));
     Flush();
     return id;
@@ -54,7 +54,7 @@
       BOOST_TEST_REQUIRE(
           (router.FindTarget(send.target)->state == TargetState::kLive));
     }
-    fleet.Take(effects, clock.Now());
+    fleet.Apply(effects, clock.Now());
     for (DeliverAnswer& answer : effects.answers) {
       BOOST_TEST_REQUIRE(!answers.contains(answer.call));
       answers.emplace(answer.call, std::move(answer.answer));
@@ -70,13 +70,13 @@
     const TimePoint end = clock.Now() + step;
     while (true) {
       const auto timer = engine.NextTimer();
-      const auto event = fleet.Next();
+      const auto event = fleet.NextEventAt();
       if ((!timer || *timer > end) && (!event || *event > end)) {
         break;
       }
       if (event && (!timer || *event <= *timer)) {
         clock.Advance(*event - clock.Now());
-        for (const AttemptReply& reply : fleet.Run()) {
+        for (const AttemptReply& reply : fleet.RunNextEvent()) {
           Reply(reply);
         }
       } else {
--- a/test/jacinthdeck/query/target_fleet.h
+++ b/test/jacinthdeck/query/target_fleet.h
@@ -35,22 +35,22 @@
       : m_random(seed), m_options(options) {}
 
   //! Requests that crash the target that runs them.
-  std::set<Fingerprint> deadly;
-  //! Kills so far, by fingerprint.
-  std::map<Fingerprint, std::size_t> kills;
+  std::set<Fingerprint> crashing;
+  //! Crashes so far, by fingerprint.
+  std::map<Fingerprint, std::size_t> crashes;
   //! Share of requests that end in a way drawn from all of them.
   double fault_rate = 0;
   //! Targets that accept and never answer.
-  std::set<TargetId> silent;
+  std::set<TargetId> unresponsive;
   //! Requests that began to run, by call.
   std::map<CallId, std::size_t> runs;
 
-  [[nodiscard]] std::optional<TimePoint> Next() const {
+  [[nodiscard]] std::optional<TimePoint> NextEventAt() const {
     return m_events.empty() ? std::nullopt
                             : std::optional(m_events.begin()->first);
   }
 
-  void Take(const Effects& effects, TimePoint now) {
+  void Apply(const Effects& effects, TimePoint now) {
     for (const SendAttempt& send : effects.sends) {
       m_events.emplace(now + m_options.network, Event{send, Step::kArrive});
     }
@@ -63,7 +63,7 @@
   }
 
   //! Runs the earliest event; gives the reply that it led to.
-  [[nodiscard]] std::vector<AttemptReply> Run() {
+  [[nodiscard]] std::vector<AttemptReply> RunNextEvent() {
     const TimePoint now = m_events.begin()->first;
     const Event event = m_events.begin()->second;
     m_events.erase(m_events.begin());
@@ -109,7 +109,7 @@
       return Fault(send);
     }
     Target& target = m_targets[send.target];
-    if (silent.contains(send.target)) {
+    if (unresponsive.contains(send.target)) {
       target.waiting.push_back(send);
       return {};
     }
@@ -143,7 +143,7 @@
                                   const SendAttempt& send,
                                   TimePoint now) {
     ++runs[send.call];
-    if (deadly.contains(Fingerprint(std::stoull(*send.body)))) {
+    if (crashing.contains(Fingerprint(std::stoull(*send.body)))) {
       return Crash(target, send);
     }
     target.running.emplace(send.attempt, send);
@@ -156,7 +156,7 @@
   }
 
   std::vector<AttemptReply> Crash(Target& target, const SendAttempt& send) {
-    ++kills[Fingerprint(std::stoull(*send.body))];
+    ++crashes[Fingerprint(std::stoull(*send.body))];
     std::vector<AttemptReply> replies{Ended(send, AttemptStatus::kLost)};
     for (const auto& [attempt, running] : target.running) {
       replies.push_back(Ended(running, AttemptStatus::kLost));
@@ -201,7 +201,7 @@
                         }) > 0;
     if (waited || target.running.erase(send.attempt) > 0) {
       replies.push_back(Ended(send, AttemptStatus::kCancelled));
-      if (!silent.contains(send.target)) {
+      if (!unresponsive.contains(send.target)) {
         Refill(target, now, replies);
       }
     }
