--- a/test/jacinthdeck/query/coverage_test.cc
+++ b/test/jacinthdeck/query/coverage_test.cc
@@ -53,7 +53,7 @@
 }
 
 // Held and missing keys are compared with a plain bit for each key.
-BOOST_AUTO_TEST_CASE(Coverage_RandomRanges_AgreesWithOneBitAKey) {
+BOOST_AUTO_TEST_CASE(Coverage_RandomRanges_MatchesBitPerKeyModel) {
   constexpr std::uint64_t kKeys = 64;
   Random random(3);
   for (int round = 0; round < 500; ++round) {
--- a/test/jacinthdeck/query/engine_admission_test.cc
+++ b/test/jacinthdeck/query/engine_admission_test.cc
@@ -56,7 +56,7 @@
 // some of its shards and misses its deadline on the others, so the targets are
 // busy and nobody gets a whole answer. With it, calls that cannot be served are
 // refused before they cost anything, and the others get whole answers.
-BOOST_AUTO_TEST_CASE(Engine_TwiceTheLoad_GoodputDoesNotCollapse) {
+BOOST_AUTO_TEST_CASE(Engine_TwiceCapacityOffered_GoodputDoesNotCollapse) {
   constexpr double kCapacity = 800;  // 9 slots a shard, 11 ms a request
   double once = 0;
   double twice = 0;
@@ -78,7 +78,7 @@
 // One tenant offers ten times what the targets can serve, another a tenth of
 // it. The second must not notice: its calls go first, since it is behind its
 // share.
-BOOST_AUTO_TEST_CASE(Engine_OneTenantFloods_TheOtherIsServed) {
+BOOST_AUTO_TEST_CASE(Engine_OneTenantFloods_OtherTenantIsServed) {
   std::vector<CallId> quiet;
   for (int i = 0; i < 16000; ++i) {
     Call call = MakeFleetCall(Search(), Fingerprint(next_call));
--- a/test/jacinthdeck/query/engine_once_test.cc
+++ b/test/jacinthdeck/query/engine_once_test.cc
@@ -89,7 +89,7 @@
 
 // A search is refused by one replica and lost at another before its shards are
 // given up. One attempt may have run, so the answer is not "not run".
-BOOST_AUTO_TEST_CASE(Engine_OneAttemptOfManyMayHaveRun_IsNotCalledNotRun) {
+BOOST_AUTO_TEST_CASE(Engine_OneAttemptOfManyMayHaveRun_OutcomeIsUnknown) {
   effects = Effects();
   (void)Submit(Search());
   for (int round = 0; round < 100 && effects.answers.empty(); ++round) {
@@ -106,7 +106,7 @@
 
 // A claim asks every shard, which may not repeat it either; one part is lost.
 // The others are answered, and nothing of it is sent again.
-BOOST_AUTO_TEST_CASE(Engine_ScatteredClaimLosesAPart_PartialWithoutRetry) {
+BOOST_AUTO_TEST_CASE(Engine_AllShardsClaimLosesOneShard_PartialWithoutRetry) {
   effects = Effects();
   Method method = Search();
   method.repeat = Repeat::kOnce;
@@ -124,7 +124,7 @@
 
 // A version is gone after one part of such a call was answered. A restart would
 // run that part twice.
-BOOST_AUTO_TEST_CASE(Engine_ScatteredClaimVersionGone_DoesNotRestartAfterARun) {
+BOOST_AUTO_TEST_CASE(Engine_AllShardsClaimVersionGone_NoRestartAfterARun) {
   effects = Effects();
   engine.SetVersions(service, {Map(7), Map(8)});
   Method method = Search();
--- a/test/jacinthdeck/query/engine_quarantine_test.cc
+++ b/test/jacinthdeck/query/engine_quarantine_test.cc
@@ -36,7 +36,7 @@
 // A keyed request crashes each target that runs it, and its caller sends it
 // again at once. Two targets die: the first run and the one retry. From then on
 // it is refused as not run.
-BOOST_AUTO_TEST_CASE(Engine_KeyedRequestCrashesTargets_TwoDieAndItIsRefused) {
+BOOST_AUTO_TEST_CASE(Engine_KeyedRequestCrashesTargets_RefusedAfterTwoCrashes) {
   SubmitRepeatedly(Lookup(), 20);
   BOOST_TEST(Crashes() == 2U);
   BOOST_TEST((State() == QuarantineState::kQuarantined));
@@ -50,7 +50,8 @@
 
 // A request to every shard crashes them all at once, before anything is known
 // of it. After that round one probe, on one target, decides.
-BOOST_AUTO_TEST_CASE(Engine_ScatteredRequestCrashesTargets_OneMoreThanShards) {
+BOOST_AUTO_TEST_CASE(
+    Engine_AllShardsRequestCrashesTargets_OneCrashPerShardPlusOne) {
   SubmitRepeatedly(Search(), 20);
   BOOST_TEST(Crashes() == kShards + 1);
   BOOST_TEST(effects.suspects.size() == 1U);
@@ -59,7 +60,8 @@
 
 // The same request may not be repeated. The first loss is answered as unknown
 // at once; only the caller's own resend runs it again, and that convicts it.
-BOOST_AUTO_TEST_CASE(Engine_UnrepeatableRequestCrashes_OneTargetForEachCall) {
+BOOST_AUTO_TEST_CASE(
+    Engine_NonIdempotentRequestCrashesTargets_OneCrashPerCall) {
   (void)SubmitAndFlush(MakeFleetCall(Claim(), crashing));
   RunFor(std::chrono::milliseconds(2));
   BOOST_TEST((answers.at(CallId(1)).outcome == Outcome::kUnknown));
@@ -71,7 +73,8 @@
 
 // Innocent requests run on the targets that die. The callers see nothing of it:
 // each is retried elsewhere, which clears it, and none is refused.
-BOOST_AUTO_TEST_CASE(Engine_InnocentsShareTheTargets_AreAnsweredAndCleared) {
+BOOST_AUTO_TEST_CASE(
+    Engine_HarmlessRequestsOnCrashedTargets_AnsweredAndCleared) {
   for (int i = 0; i < 8; ++i) {
     (void)SubmitAndFlush(
         MakeFleetCall(Search(), Fingerprint(1000 + next_call)));
@@ -88,7 +91,8 @@
 
 // Many callers send one popular request when a target dies under another one.
 // They wait for the verdict of one probe and then get whole answers.
-BOOST_AUTO_TEST_CASE(Engine_PopularInnocentIsSuspect_HeldCallsGoOnWhenCleared) {
+BOOST_AUTO_TEST_CASE(
+    Engine_HarmlessRequestIsSuspect_HeldCallsResumeWhenCleared) {
   const Fingerprint harmless(5);
   engine.AddPeerSuspect(harmless, clock.Now());
   for (int i = 0; i < 5; ++i) {
@@ -104,7 +108,7 @@
 // Calls wait for the verdict of a probe when a peer says that the request is
 // convicted. They are refused at that moment, as not run, and not when the
 // probe ends.
-BOOST_AUTO_TEST_CASE(Engine_PeerConvictsWhileCallsAreHeld_RefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(Engine_PeerQuarantinesWhileCallsAreHeld_RefusedAtOnce) {
   engine.AddPeerSuspect(crashing, clock.Now());
   for (int i = 0; i < 3; ++i) {
     (void)Submit(MakeFleetCall(Lookup(), crashing));
@@ -120,7 +124,7 @@
 
 // The probe of a suspect ends without a verdict, but may have run. The request
 // is not sent once more: each run may cost a target.
-BOOST_AUTO_TEST_CASE(Engine_ProbeMayHaveRunWithoutVerdict_IsNotSentAgain) {
+BOOST_AUTO_TEST_CASE(Engine_ProbeTimesOut_IsNotSentAgain) {
   engine.AddPeerSuspect(crashing, clock.Now());
   (void)Submit(MakeFleetCall(Lookup(), crashing));
   const auto probe = TakeSends();
@@ -133,7 +137,7 @@
 // A failure domain goes down and takes several attempts of one request with
 // it. That is one round of deaths: the request is probed elsewhere and not
 // convicted.
-BOOST_AUTO_TEST_CASE(Engine_FailureDomainLost_RequestIsNotConvicted) {
+BOOST_AUTO_TEST_CASE(Engine_FailureDomainLost_RequestIsNotQuarantined) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
     End(send, AttemptStatus::kLost);
@@ -192,7 +196,7 @@
 
 // The conviction ends by itself. The request is still deadly: it costs one more
 // target, not a whole round, and is refused again.
-BOOST_AUTO_TEST_CASE(Engine_ConvictionEnds_OneMoreTargetConvictsAgain) {
+BOOST_AUTO_TEST_CASE(Engine_QuarantineExpires_OneMoreCrashRenewsIt) {
   SubmitRepeatedly(Search(), 3);
   const std::size_t before = Crashes();
   RunFor(QuarantineOptions().quarantine_ttl);
@@ -215,7 +219,7 @@
 // The caller goes round three entries that share nothing but what they tell
 // each other. The first round kills one target a shard, then each entry's one
 // probe at most one more, however often the caller comes back.
-BOOST_AUTO_TEST_CASE(Engines_CallerGoesRoundEntries_BoundHoldsOverAll) {
+BOOST_AUTO_TEST_CASE(Engines_CallerResendsToEachHost_CrashesStayBounded) {
   constexpr std::size_t kEntries = 3;
   std::vector<std::unique_ptr<QuarantineFixture>> entries;
   for (std::size_t i = 0; i < kEntries; ++i) {
--- a/test/jacinthdeck/query/engine_snapshot_test.cc
+++ b/test/jacinthdeck/query/engine_snapshot_test.cc
@@ -53,7 +53,7 @@
 // Three shards have answered from version 8 when the fourth says that none of
 // its replicas serves it. The caller gets a whole answer from version 7 alone:
 // what was gathered from 8 is dropped.
-BOOST_AUTO_TEST_CASE(Engine_VersionGoneHalfway_WholeCallRestartsOnAnother) {
+BOOST_AUTO_TEST_CASE(Engine_VersionGoneMidCall_WholeCallRestartsOnAnother) {
   engine.SetVersions(service, {Map(7), Map(8)});
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
@@ -156,7 +156,7 @@
 
 // New calls go straight to the version that works while the evidence against
 // the newer one is fresh, and try the newer one again later.
-BOOST_AUTO_TEST_CASE(Engine_VersionNotServedYet_IsLeftOutUntilEvidenceIsOld) {
+BOOST_AUTO_TEST_CASE(Engine_VersionNotServedYet_IsSkippedUntilReportExpires) {
   engine.SetVersions(service, {Map(7), Map(8)});
   for (int i = 0; i < 2; ++i) {
     (void)Submit(Search());
@@ -204,7 +204,7 @@
 
 // A moved range is held by two targets, and both send the same item. The caller
 // sees it once.
-BOOST_AUTO_TEST_CASE(Engine_ItemHeldTwice_StandsOnceInTheAnswer) {
+BOOST_AUTO_TEST_CASE(Engine_ItemOnTwoTargets_AppearsOnceInTheAnswer) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
     AttemptReply reply = Answered(send);
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -123,7 +123,7 @@
 // comes together: one answer for each call and in time, true coverage, one
 // version, "not run" only where nothing ran, at most one run of a claim, and
 // nothing left behind.
-BOOST_AUTO_TEST_CASE(Engine_RandomFaults_PromisesHoldForEverySeed) {
+BOOST_AUTO_TEST_CASE(Engine_RandomFaults_InvariantsHoldForEverySeed) {
   std::array<std::size_t, 4> outcomes{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
--- a/test/jacinthdeck/query/engine_test.cc
+++ b/test/jacinthdeck/query/engine_test.cc
@@ -25,7 +25,8 @@
 
 // One shard never answers. The caller sees a partial answer at its deadline
 // that names exactly the missing range; the attempt is cancelled.
-BOOST_AUTO_TEST_CASE(Engine_OneShardSilent_PartialAtDeadlineNamesTheRange) {
+BOOST_AUTO_TEST_CASE(
+    Engine_OneShardUnresponsive_PartialAtDeadlineNamesTheRange) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
     if (send.range != Range(2)) {
@@ -121,7 +122,8 @@
 // A target is silent and the other replicas are busy. A hedge never waits for a
 // place, so the shard asks for a retry, which does: the caller gets a whole
 // answer and not one without the shard.
-BOOST_AUTO_TEST_CASE(Engine_SilentTargetAndOthersBusy_RetryWaitsForAPlace) {
+BOOST_AUTO_TEST_CASE(
+    Engine_UnresponsiveTargetAndOthersBusy_RetryWaitsForCapacity) {
   for (TargetInfo& target : targets) {
     target.connections = 1;
   }
@@ -145,7 +147,7 @@
 
 // Every target is at its limit. The next call waits for a place and takes it
 // when an attempt of another call finishes.
-BOOST_AUTO_TEST_CASE(Engine_TargetsAtLimit_AttemptWaitsForAFreedPlace) {
+BOOST_AUTO_TEST_CASE(Engine_TargetsAtLimit_AttemptWaitsForCapacity) {
   std::vector<SendAttempt> running;
   for (int i = 0; i < 200; ++i) {
     Call call = MakeCall(Claim());
--- a/test/jacinthdeck/query/quarantine_test.cc
+++ b/test/jacinthdeck/query/quarantine_test.cc
@@ -15,7 +15,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(QuarantineTest, QuarantineRulesFixture)
 
-BOOST_AUTO_TEST_CASE(Blame_DeathsBeforeTheFirstIsSeen_AreOneRound) {
+BOOST_AUTO_TEST_CASE(RecordCrash_AttemptsInFlightAtFirstCrash_AreOneRound) {
   BOOST_TEST((quarantine.RecordCrash(request, range, false, now) ==
               QuarantineState::kSuspect));
   BOOST_TEST((quarantine.RecordCrash(request, KeyRange{100, 200}, false, now) ==
@@ -27,21 +27,21 @@
 
 // A request crashes on the data of one shard. That other shards survive it says
 // nothing; believed, it would be cleared each time and kill without end.
-BOOST_AUTO_TEST_CASE(Survived_OtherKeys_DoesNotClear) {
+BOOST_AUTO_TEST_CASE(RecordCompletion_OtherKeys_DoesNotClear) {
   (void)quarantine.RecordCrash(request, range, false, now);
   BOOST_TEST(!quarantine.RecordCompletion(request, KeyRange{100, 200}, now));
   BOOST_TEST(quarantine.RecordCompletion(request, range, now));
   BOOST_TEST((quarantine.StateOf(request, now) == QuarantineState::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(Survived_Convicted_StaysConvicted) {
+BOOST_AUTO_TEST_CASE(RecordCompletion_Quarantined_StaysQuarantined) {
   quarantine.AddPeerQuarantine(request, now);
   BOOST_TEST(!quarantine.RecordCompletion(request, range, now));
   BOOST_TEST(
       (quarantine.StateOf(request, now) == QuarantineState::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(Of_LivesEnd_ConvictionThenSuspicionThenNothing) {
+BOOST_AUTO_TEST_CASE(StateOf_TtlsExpire_QuarantinedThenSuspectThenNone) {
   quarantine.AddPeerQuarantine(request, now);
   now += options.quarantine_ttl;
   BOOST_TEST((quarantine.StateOf(request, now) == QuarantineState::kSuspect));
@@ -52,7 +52,7 @@
 }
 
 // A flood of suspects fills the table. A known killer stays refused.
-BOOST_AUTO_TEST_CASE(Blame_TableFull_ConvictionsAreKept) {
+BOOST_AUTO_TEST_CASE(RecordCrash_TableFull_QuarantinedEntriesAreKept) {
   quarantine.AddPeerQuarantine(request, now);
   now += options.quarantine_ttl - options.suspect_ttl / 2;
   for (std::uint64_t i = 10; i < 30; ++i) {
@@ -66,7 +66,7 @@
   BOOST_TEST(quarantine.Entries(now).size() == options.limit);
 }
 
-BOOST_AUTO_TEST_CASE(SuspectTold_ByPeer_NextDeathConvicts) {
+BOOST_AUTO_TEST_CASE(AddPeerSuspect_ProbeCrashesTarget_IsQuarantined) {
   quarantine.AddPeerSuspect(request, now);
   BOOST_TEST((quarantine.RecordCrash(request, range, true, now) ==
               QuarantineState::kQuarantined));
