--- a/test/jacinthdeck/query/admission_queue_test.cc
+++ b/test/jacinthdeck/query/admission_queue_test.cc
@@ -63,8 +63,7 @@
 
 // One tenant always has a single call waiting, another a backlog. If the first
 // were new each time, it would go first each time and the backlog never move.
-BOOST_AUTO_TEST_CASE(
-    TakeNext_TenantWithOneCallReturnsAtOnce_OthersAreNotStarved) {
+BOOST_AUTO_TEST_CASE(TakeNext_TenantReturnsAtOnce_BacklogIsNotStarved) {
   for (int i = 0; i < 5; ++i) {
     Add("heavy");
   }
--- a/test/jacinthdeck/query/engine_admission_test.cc
+++ b/test/jacinthdeck/query/engine_admission_test.cc
@@ -62,12 +62,13 @@
   double twice = 0;
   std::size_t wasted = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    AdmissionFixture at_once(seed, {}, {}, WithoutEjection());
-    once += at_once.OfferLoad(kCapacity, std::chrono::seconds(4));
-    AdmissionFixture at_twice(seed, {}, {}, WithoutEjection());
-    twice += at_twice.OfferLoad(2 * kCapacity, std::chrono::seconds(4));
-    wasted += at_twice.CountOf(Outcome::kPartial);
-    wasted += at_twice.CountOf(Outcome::kUnknown);
+    AdmissionFixture at_capacity(seed, {}, {}, WithoutEjection());
+    once += at_capacity.OfferLoad(kCapacity, std::chrono::seconds(4));
+    AdmissionFixture at_twice_capacity(seed, {}, {}, WithoutEjection());
+    twice +=
+        at_twice_capacity.OfferLoad(2 * kCapacity, std::chrono::seconds(4));
+    wasted += at_twice_capacity.CountOf(Outcome::kPartial);
+    wasted += at_twice_capacity.CountOf(Outcome::kUnknown);
   }
   BOOST_TEST_MESSAGE("goodput at 1x " << once / 4 << ", at 2x " << twice / 4
                                       << " a second, not whole " << wasted);
--- a/test/jacinthdeck/query/engine_quarantine_test.cc
+++ b/test/jacinthdeck/query/engine_quarantine_test.cc
@@ -50,8 +50,7 @@
 
 // A request to every shard crashes them all at once, before anything is known
 // of it. After that round one probe, on one target, decides.
-BOOST_AUTO_TEST_CASE(
-    Engine_AllShardsRequestCrashesTargets_OneCrashPerShardPlusOne) {
+BOOST_AUTO_TEST_CASE(Engine_AllShardsRequestCrashes_OneTargetPerShardPlusOne) {
   SubmitRepeatedly(Search(), 20);
   BOOST_TEST(Crashes() == kShards + 1);
   BOOST_TEST(effects.suspects.size() == 1U);
@@ -60,8 +59,7 @@
 
 // The same request may not be repeated. The first loss is answered as unknown
 // at once; only the caller's own resend runs it again, and that convicts it.
-BOOST_AUTO_TEST_CASE(
-    Engine_NonIdempotentRequestCrashesTargets_OneCrashPerCall) {
+BOOST_AUTO_TEST_CASE(Engine_NonIdempotentRequestCrashes_OneTargetPerCall) {
   (void)SubmitAndFlush(MakeFleetCall(Claim(), crashing));
   RunFor(std::chrono::milliseconds(2));
   BOOST_TEST((answers.at(CallId(1)).outcome == Outcome::kUnknown));
@@ -73,8 +71,7 @@
 
 // Innocent requests run on the targets that die. The callers see nothing of it:
 // each is retried elsewhere, which clears it, and none is refused.
-BOOST_AUTO_TEST_CASE(
-    Engine_HarmlessRequestsOnCrashedTargets_AnsweredAndCleared) {
+BOOST_AUTO_TEST_CASE(Engine_HarmlessRequestsOnCrashedTargets_AreCleared) {
   for (int i = 0; i < 8; ++i) {
     (void)SubmitAndFlush(
         MakeFleetCall(Search(), Fingerprint(1000 + next_call)));
@@ -91,8 +88,7 @@
 
 // Many callers send one popular request when a target dies under another one.
 // They wait for the verdict of one probe and then get whole answers.
-BOOST_AUTO_TEST_CASE(
-    Engine_HarmlessRequestIsSuspect_HeldCallsResumeWhenCleared) {
+BOOST_AUTO_TEST_CASE(Engine_HarmlessSuspectCleared_HeldCallsResume) {
   const Fingerprint harmless(5);
   engine.AddPeerSuspect(harmless, clock.Now());
   for (int i = 0; i < 5; ++i) {
@@ -220,20 +216,20 @@
 // each other. The first round kills one target a shard, then each entry's one
 // probe at most one more, however often the caller comes back.
 BOOST_AUTO_TEST_CASE(Engines_CallerResendsToEachHost_CrashesStayBounded) {
-  constexpr std::size_t kEntries = 3;
-  std::vector<std::unique_ptr<QuarantineFixture>> entries;
-  for (std::size_t i = 0; i < kEntries; ++i) {
-    entries.push_back(std::make_unique<QuarantineFixture>());
+  constexpr std::size_t kHosts = 3;
+  std::vector<std::unique_ptr<QuarantineFixture>> hosts;
+  for (std::size_t i = 0; i < kHosts; ++i) {
+    hosts.push_back(std::make_unique<QuarantineFixture>());
   }
   for (int round = 0; round < 10; ++round) {
-    for (const auto& entry : entries) {
-      (void)entry->SubmitAndFlush(entry->MakeFleetCall(Search(), crashing));
-      entry->RunFor(std::chrono::milliseconds(5));
-      for (const auto& peer : entries) {
-        for (const Fingerprint suspect : entry->effects.suspects) {
+    for (const auto& host : hosts) {
+      (void)host->SubmitAndFlush(host->MakeFleetCall(Search(), crashing));
+      host->RunFor(std::chrono::milliseconds(5));
+      for (const auto& peer : hosts) {
+        for (const Fingerprint suspect : host->effects.suspects) {
           peer->engine.AddPeerSuspect(suspect, peer->clock.Now());
         }
-        for (const Fingerprint quarantined : entry->effects.quarantined) {
+        for (const Fingerprint quarantined : host->effects.quarantined) {
           peer->engine.AddPeerQuarantine(quarantined, peer->clock.Now(),
                                          peer->effects);
         }
@@ -241,12 +237,12 @@
     }
   }
   std::size_t crashes = 0;
-  for (const auto& entry : entries) {
-    crashes += entry->Crashes();
+  for (const auto& host : hosts) {
+    crashes += host->Crashes();
   }
-  BOOST_TEST_MESSAGE("targets killed over " << kEntries
+  BOOST_TEST_MESSAGE("targets killed over " << kHosts
                                             << " entries: " << crashes);
-  BOOST_TEST(crashes <= kShards + kEntries);
+  BOOST_TEST(crashes <= kShards + kHosts);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/query/engine_test.cc
+++ b/test/jacinthdeck/query/engine_test.cc
@@ -25,8 +25,7 @@
 
 // One shard never answers. The caller sees a partial answer at its deadline
 // that names exactly the missing range; the attempt is cancelled.
-BOOST_AUTO_TEST_CASE(
-    Engine_OneShardUnresponsive_PartialAtDeadlineNamesTheRange) {
+BOOST_AUTO_TEST_CASE(Engine_OneShardUnresponsive_PartialNamesTheRange) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
     if (send.range != Range(2)) {
@@ -122,8 +121,7 @@
 // A target is silent and the other replicas are busy. A hedge never waits for a
 // place, so the shard asks for a retry, which does: the caller gets a whole
 // answer and not one without the shard.
-BOOST_AUTO_TEST_CASE(
-    Engine_UnresponsiveTargetAndOthersBusy_RetryWaitsForCapacity) {
+BOOST_AUTO_TEST_CASE(Engine_TargetHangsAndOthersBusy_RetryWaitsForCapacity) {
   for (TargetInfo& target : targets) {
     target.connections = 1;
   }
--- a/test/jacinthdeck/query/merge_test.cc
+++ b/test/jacinthdeck/query/merge_test.cc
@@ -82,10 +82,10 @@
     for (const MergeRule rule : {MergeRule::kTopK, MergeRule::kUnion,
                                  MergeRule::kCount, MergeRule::kLookup}) {
       const Merged once = Merge(rule, mixed);
-      std::vector<ShardReply> turned = mixed;
-      std::ranges::reverse(turned);
-      std::swap(turned[0], turned[random.Below(4)]);
-      BOOST_TEST((once.hits == Merge(rule, turned).hits));
+      std::vector<ShardReply> reordered = mixed;
+      std::ranges::reverse(reordered);
+      std::swap(reordered[0], reordered[random.Below(4)]);
+      BOOST_TEST((once.hits == Merge(rule, reordered).hits));
     }
   }
 }
