--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -180,7 +180,7 @@
                  AttemptKind kind,
                  TimePoint now,
                  Effects& effects);
-  [[nodiscard]] std::variant<TargetId, RouteRefusal> Choose(
+  [[nodiscard]] std::variant<TargetId, RouteRefusal> ChooseTarget(
       const OpenCall& open,
       const ShardState& state,
       AttemptKind kind,
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -7,10 +7,11 @@
 
 namespace jacinthdeck {
 
-std::variant<TargetId, RouteRefusal> Engine::Choose(const OpenCall& open,
-                                                    const ShardState& state,
-                                                    AttemptKind kind,
-                                                    TimePoint now) {
+std::variant<TargetId, RouteRefusal> Engine::ChooseTarget(
+    const OpenCall& open,
+    const ShardState& state,
+    AttemptKind kind,
+    TimePoint now) {
   const Method& method = *open.call.method;
   const bool may_probe = method.repeat == Repeat::kIdempotent;
   return m_router.Choose(RouteRequest{method.service, state.shard->replicas,
@@ -35,7 +36,7 @@
   if (quarantine_state == QuarantineState::kSuspect) {
     return SendSuspect(open, shard, kind, now, effects);
   }
-  const auto choice = Choose(open, open.shards[shard], kind, now);
+  const auto choice = ChooseTarget(open, open.shards[shard], kind, now);
   if (const auto* target = std::get_if<TargetId>(&choice)) {
     Launch(open, shard, kind, *target, now, effects);
   } else {
@@ -223,7 +224,7 @@
       }
       continue;
     }
-    const auto choice = Choose(open, open.shards[shard], kind, now);
+    const auto choice = ChooseTarget(open, open.shards[shard], kind, now);
     const auto* refusal = std::get_if<RouteRefusal>(&choice);
     if (refusal != nullptr && *refusal == RouteRefusal::kAtLimit) {
       break;
