--- a/src/jacinthdeck/query/admission_options.h
+++ b/src/jacinthdeck/query/admission_options.h
@@ -1,4 +1,4 @@
-// Bounds on the calls that run and wait, and the shares of tenants.
+// Limits on running and waiting calls, and the weights of tenants.
 #ifndef JACINTHDECK_QUERY_ADMISSION_OPTIONS_H_
 #define JACINTHDECK_QUERY_ADMISSION_OPTIONS_H_
 
@@ -9,20 +9,20 @@
 
 namespace jacinthdeck {
 
-/*! \brief Options of the admission of calls; all bounds are for one service. */
+/*! \brief Admission options; each limit applies to one service. */
 struct AdmissionOptions {
-  //! Calls that run at once.
+  //! Maximum number of calls that run at once.
   std::size_t max_running_calls = 1024;
-  //! Calls that wait to run.
+  //! Maximum number of calls that wait to run.
   std::size_t max_waiting_calls = 512;
-  //! Attempts that may wait for a place on a target, for each shard of the
-  //! service, before calls wait instead. A call that waits whole has cost the
-  //! targets nothing; one that waits for its last shard has cost all the
-  //! others.
+  //! Number of attempts per shard of the service that may wait for capacity on
+  //! a target. Once as many wait, calls are queued instead of started: a queued
+  //! call has cost the targets nothing, while one that waits for its last shard
+  //! has already used capacity for all others.
   double waiting_attempts_per_shard = 2.0;
-  //! Share of a tenant that has no weight of its own.
+  //! Weight of a tenant that is not listed in weights.
   double default_weight = 1.0;
-  //! Shares of tenants, above zero.
+  //! Weights of tenants, each above zero; shares are proportional to them.
   std::map<TenantId, double> weights;
 };
 
--- a/src/jacinthdeck/query/answer.h
+++ b/src/jacinthdeck/query/answer.h
@@ -1,4 +1,4 @@
-// The one answer that a call gets.
+// Final answer to a call.
 #ifndef JACINTHDECK_QUERY_ANSWER_H_
 #define JACINTHDECK_QUERY_ANSWER_H_
 
@@ -15,7 +15,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Why an answer is not whole. */
+/*! \brief Why an answer does not cover every key range asked for. */
 enum class AnswerReason {
   kNone,
   kDeadline,
@@ -30,33 +30,33 @@
   kElsewhere,
 };
 
-//! Names of the reasons, as they stand in answers.
+//! Names of the reasons as written in answers.
 inline constexpr NameTable<AnswerReason, 11> kAnswerReasonNames{
     {"none", "deadline", "no_replica", "overload", "tenant_limit",
      "quarantined", "version_gone", "target_failed", "draining", "not_ready",
      "elsewhere"}};
 
-/*! \brief Final answer to a call. */
+/*! \brief Final answer to a call; each call gets at most one. */
 struct Answer {
   Outcome outcome = Outcome::kNotRun;
   AnswerReason reason = AnswerReason::kNone;
-  //! Snapshot that every hit comes from; nothing where no version was read.
+  //! Index version that every hit comes from; empty if no shard answered.
   std::optional<IndexVersion> version;
-  //! Key ranges that answered, disjoint and ordered.
+  //! Key ranges of the shards that answered, disjoint and ordered.
   std::vector<KeyRange> covered;
-  //! Key ranges asked for that did not answer, disjoint and ordered.
+  //! Key ranges asked for but not answered, disjoint and ordered.
   std::vector<KeyRange> missing;
   std::vector<Hit> hits;
-  //! Sum of the shards' counts, for MergeRule::kCount.
+  //! Sum of the shards' counts; set for MergeRule::kCount only.
   std::uint64_t count = 0;
-  //! Requests sent to targets for this call.
+  //! Requests sent to targets for this call, hedges and retries included.
   std::uint32_t attempts = 0;
-  //! Of these, hedges.
+  //! Number of attempts that were hedges.
   std::uint32_t hedges = 0;
-  //! Of these, retries.
+  //! Number of attempts that were retries.
   std::uint32_t retries = 0;
-  //! When a refused caller may come back; nothing where coming back is
-  //! pointless or not needed.
+  //! Time after which the caller may send the call again; empty if a resend is
+  //! not needed or not allowed.
   std::optional<Duration> retry_after;
 };
 
--- a/src/jacinthdeck/query/call.h
+++ b/src/jacinthdeck/query/call.h
@@ -1,4 +1,4 @@
-// A caller's request after its checks.
+// A validated typed call.
 #ifndef JACINTHDECK_QUERY_CALL_H_
 #define JACINTHDECK_QUERY_CALL_H_
 
@@ -13,16 +13,16 @@
 
 namespace jacinthdeck {
 
-/*! \brief One call inside one entry. */
+/*! \brief Typed call that this host has validated and is to answer. */
 struct Call {
   CallId id;
   TenantId tenant;
   std::shared_ptr<const Method> method;
-  //! Request as canonical JSON.
+  //! Request body as canonical JSON.
   std::shared_ptr<const std::string> body;
-  //! Hash of the key field, for keyed calls.
+  //! Hash of the key field; set for keyed calls only.
   std::optional<std::uint64_t> key;
-  //! When the caller stops waiting.
+  //! Time at which the caller stops waiting.
   TimePoint deadline;
   Fingerprint fingerprint;
 };
--- a/src/jacinthdeck/query/effects.h
+++ b/src/jacinthdeck/query/effects.h
@@ -1,4 +1,4 @@
-// What the engine wants done, and what it is told of attempts.
+// Actions that the engine requests, and the attempt results it is given.
 #ifndef JACINTHDECK_QUERY_EFFECTS_H_
 #define JACINTHDECK_QUERY_EFFECTS_H_
 
@@ -18,7 +18,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Send one request to one target. */
+/*! \brief Request to send one attempt to a target. */
 struct SendAttempt {
   AttemptId attempt;
   CallId call;
@@ -27,48 +27,48 @@
   std::shared_ptr<const std::string> body;
   KeyRange range;
   IndexVersion version;
-  //! The target stops working on it then.
+  //! Time at which the target stops working on the request.
   TimePoint deadline;
   AttemptKind kind = AttemptKind::kFirst;
 };
 
-/*! \brief Tell a target that an attempt is no longer wanted; its end is
- * reported as kCancelled. */
+/*! \brief Request to cancel an attempt. Its end must still be reported, with
+ * status kCancelled if the cancellation took effect. */
 struct CancelAttempt {
   AttemptId attempt;
   TargetId target;
 };
 
-/*! \brief Give a caller its final answer. */
+/*! \brief Request to send a caller its final answer. */
 struct DeliverAnswer {
   CallId call;
   Answer answer;
 };
 
-/*! \brief Everything that one event made the engine want, in order within each
- * list. */
+/*! \brief Actions that the engine requested; each list is in the order of the
+ * requests. */
 struct Effects {
   std::vector<SendAttempt> sends;
   std::vector<CancelAttempt> cancels;
   std::vector<DeliverAnswer> answers;
-  //! Requests newly suspected of crashing targets, to be told to the peers.
+  //! Fingerprints that became suspects, to be announced to the peers.
   std::vector<Fingerprint> suspects;
-  //! Requests newly convicted of it, to be told to the peers.
+  //! Fingerprints that were quarantined, to be announced to the peers.
   std::vector<Fingerprint> quarantined;
 };
 
-/*! \brief End of an attempt as the transport saw it. */
+/*! \brief End of an attempt as reported by the transport. */
 struct AttemptReply {
   AttemptId attempt;
   AttemptStatus status = AttemptStatus::kAnswered;
-  //! Version that the target says it answered from.
+  //! Index version that the target reports for its answer.
   IndexVersion version;
-  //! Range that the target says it answered for.
+  //! Key range that the target reports for its answer.
   KeyRange range;
   std::vector<Hit> hits;
   std::uint64_t count = 0;
   std::optional<double> reported_load;
-  //! With kShed: the target said that it is draining.
+  //! Set with kShed if the target reported that it is draining.
   bool draining = false;
 };
 
--- a/src/jacinthdeck/query/engine_options.h
+++ b/src/jacinthdeck/query/engine_options.h
@@ -1,4 +1,4 @@
-// Bounds and delays of the engine, with the defaults that the daemons use.
+// Limits and delays of the engine; the daemons use the defaults.
 #ifndef JACINTHDECK_QUERY_ENGINE_OPTIONS_H_
 #define JACINTHDECK_QUERY_ENGINE_OPTIONS_H_
 
@@ -11,34 +11,38 @@
 
 namespace jacinthdeck {
 
-/*! \brief Bounds on what one call may send besides its first attempts. */
+/*! \brief Limits on the retries, hedges and restarts of one call. */
 struct RetryOptions {
-  //! Retries of one shard of a call.
+  //! Maximum retries of one shard of a call.
   std::uint32_t retries_per_shard = 3;
-  //! Retries of a whole call, over one for each of its shards.
+  //! Maximum retries of a call beyond one for each of its shards.
   std::uint32_t spare_retries_per_call = 4;
-  //! Hedges of one shard of a call; the router's budget is the tighter bound.
+  //! Maximum hedges of one shard of a call; the router's hedge budget usually
+  //! limits them earlier.
   std::uint32_t hedges_per_shard = 2;
-  //! Hedge delays without an answer or a hedge after which a shard is retried
-  //! beside its silent attempt.
+  //! Number of consecutive refused hedges after which a shard is retried while
+  //! its unanswered attempt stays in flight. Hedges are asked for at intervals
+  //! of the hedge delay.
   std::uint32_t refused_hedges_before_retry = 2;
-  //! Restarts of a call on another index version.
+  //! Maximum restarts of a call on another index version.
   std::uint32_t restarts_per_call = 2;
-  //! Pause before a target is asked again that was asked already; doubles with
-  //! each retry. Without it a shedding shard would use up its retries at once.
+  //! Delay before a retry when every live replica has been tried; doubles with
+  //! each retry of the shard. Without it, a shard that sheds load would use up
+  //! its retries at once.
   Duration initial_backoff = std::chrono::milliseconds(5);
 };
 
-/*! \brief Bounds on attempts that wait for a place on a target. */
+/*! \brief Limits on attempts that wait for capacity on a target. */
 struct WaitingOptions {
-  //! Waiting attempts of all services together.
+  //! Maximum number of waiting attempts of all services together.
   std::size_t limit = 16384;
-  //! How often waiting attempts ask again when no attempt finishes: places also
-  //! come back when targets or entries come and go, which is no event here.
+  //! Interval at which waiting attempts are tried again if no attempt finishes.
+  //! Capacity also changes when targets or hosts join or leave, and the engine
+  //! receives no event for that.
   Duration poll_interval = std::chrono::milliseconds(5);
 };
 
-/*! \brief Options of the engine. */
+/*! \brief Options of the engine, grouped by subject. */
 struct EngineOptions {
   RetryOptions retry;
   WaitingOptions waiting;
--- a/src/jacinthdeck/query/fwd.h
+++ b/src/jacinthdeck/query/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the query module: scatter, gather, snapshots,
-// coverage, merging.
+// Forward declarations of the query module: the scatter-gather engine, index
+// snapshots, key coverage and merging.
 #ifndef JACINTHDECK_QUERY_FWD_H_
 #define JACINTHDECK_QUERY_FWD_H_
 
--- a/src/jacinthdeck/query/hit.h
+++ b/src/jacinthdeck/query/hit.h
@@ -1,4 +1,4 @@
-// One item of a shard's reply.
+// Result item of a shard's reply.
 #ifndef JACINTHDECK_QUERY_HIT_H_
 #define JACINTHDECK_QUERY_HIT_H_
 
@@ -6,12 +6,12 @@
 
 namespace jacinthdeck {
 
-/*! \brief One result item. */
+/*! \brief Result item with its score and payload. */
 struct Hit {
-  //! Identifies the item; two hits of one id are the same item.
+  //! Hits with equal ids are the same item.
   std::string id;
   double score = 0;
-  //! JSON object as the target sent it.
+  //! JSON object, unchanged from the target's reply.
   std::string data;
 
   [[nodiscard]] bool operator==(const Hit&) const = default;
--- a/src/jacinthdeck/query/key_range.h
+++ b/src/jacinthdeck/query/key_range.h
@@ -1,4 +1,4 @@
-// Half-open ranges of the hashed key space, the unit of coverage.
+// Half-open range of hashed keys, the unit in which coverage is measured.
 #ifndef JACINTHDECK_QUERY_KEY_RANGE_H_
 #define JACINTHDECK_QUERY_KEY_RANGE_H_
 
@@ -7,19 +7,19 @@
 
 namespace jacinthdeck {
 
-//! One past the highest hashed key; keys are 32-bit hashes.
+//! One past the highest hashed key. Keys are 32-bit hashes.
 inline constexpr std::uint64_t kKeySpaceEnd = std::uint64_t{1} << 32U;
 
-/*! \brief Keys from begin up to, but without, end. */
+/*! \brief Keys from begin (inclusive) to end (exclusive). */
 struct KeyRange {
   std::uint64_t begin = 0;
-  //! Never below begin, at most kKeySpaceEnd.
+  //! At least begin and at most kKeySpaceEnd.
   std::uint64_t end = 0;
 
   [[nodiscard]] auto operator<=>(const KeyRange&) const = default;
   [[nodiscard]] bool operator==(const KeyRange&) const = default;
 
-  /*! \brief Tells whether a hashed key lies in the range. */
+  /*! \brief Returns whether a hashed key lies in the range. */
   [[nodiscard]] constexpr bool Contains(std::uint64_t key) const noexcept {
     return key >= begin && key < end;
   }
--- a/src/jacinthdeck/query/latency_quantile.h
+++ b/src/jacinthdeck/query/latency_quantile.h
@@ -1,4 +1,4 @@
-// A running estimate of one quantile of latencies, in constant space.
+// Running estimate of a latency quantile in constant space.
 #ifndef JACINTHDECK_QUERY_LATENCY_QUANTILE_H_
 #define JACINTHDECK_QUERY_LATENCY_QUANTILE_H_
 
@@ -8,26 +8,26 @@
 
 namespace jacinthdeck {
 
-/*! \brief Follows a quantile by steps that balance at it. */
+/*! \brief Estimates a quantile of latencies by stochastic approximation. */
 class LatencyQuantile {
  public:
-  /*! \brief Makes an estimate of a quantile between 0 and 1. */
+  /*! \brief Constructs an estimator of a quantile between 0 and 1. */
   explicit LatencyQuantile(double quantile) noexcept : m_quantile(quantile) {}
 
-  /*! \brief Gives the estimate; zero before the first sample. */
+  /*! \brief Returns the estimate; zero before the first sample. */
   [[nodiscard]] Duration value() const noexcept {
     return Duration(static_cast<Duration::rep>(m_value));
   }
 
-  /*! \brief Counts a latency. */
+  /*! \brief Updates the estimate with a sample. */
   void Add(Duration latency) noexcept {
     const auto sample = static_cast<double>(latency.count());
     if (m_value <= 0) {
       m_value = sample;
       return;
     }
-    // A step up as often as the quantile is exceeded, down as often as not,
-    // weighted so that both cancel out at the quantile.
+    // Moves up for a sample above the estimate and down otherwise. The weights
+    // make the steps cancel out when the estimate is at the quantile.
     const double step = kStep * std::max(m_value, 1.0);
     m_value += sample > m_value ? step * m_quantile : -step * (1 - m_quantile);
   }
--- a/src/jacinthdeck/query/partition_map.h
+++ b/src/jacinthdeck/query/partition_map.h
@@ -1,4 +1,4 @@
-// Which targets hold which key range in one version of a service's index.
+// Assignment of key ranges to targets in one index version of a service.
 #ifndef JACINTHDECK_QUERY_PARTITION_MAP_H_
 #define JACINTHDECK_QUERY_PARTITION_MAP_H_
 
@@ -9,19 +9,19 @@
 
 namespace jacinthdeck {
 
-/*! \brief One shard of an index version. */
+/*! \brief Shard of an index version: a key range and its replicas. */
 struct Shard {
   ShardId id;
   KeyRange range;
-  //! Targets that hold the range in this version.
+  //! Targets that serve the range in this version.
   std::vector<TargetId> replicas;
 };
 
-/*! \brief A version together with its partition; the two are never taken from
- * different sources. */
+/*! \brief Index version together with its shards. Both come from the same
+ * source, so that they always match. */
 struct PartitionMap {
   IndexVersion version;
-  //! Disjoint and together the whole key space, ordered by range.
+  //! Ordered by range; disjoint and without gaps over the whole key space.
   std::vector<Shard> shards;
 };
 
--- a/src/jacinthdeck/query/retry_after.cc
+++ b/src/jacinthdeck/query/retry_after.cc
@@ -1,4 +1,4 @@
-// Times to come back, as a table.
+// Table of the resend delays.
 #include "jacinthdeck/query/retry_after.h"
 
 #include <array>
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-//! In the order of AnswerReason.
+//! Resend delays, indexed by AnswerReason.
 constexpr std::array<milliseconds, kAnswerReasonNames.names.size()> kRetryAfter{
     milliseconds(0),      // kNone
     milliseconds(100),    // kDeadline
@@ -20,7 +20,7 @@
     milliseconds(10000),  // kQuarantined
     milliseconds(250),    // kVersionGone
     milliseconds(500),    // kTargetFailed
-    milliseconds(0),      // kDraining: at another entry, at once
+    milliseconds(0),      // kDraining: at once, to another host
     milliseconds(1000),   // kNotReady
     milliseconds(0),      // kElsewhere
 };
--- a/src/jacinthdeck/query/retry_after.h
+++ b/src/jacinthdeck/query/retry_after.h
@@ -1,4 +1,4 @@
-// When a caller whose call is not answered whole may come back.
+// Default delay after which a caller may send a failed call again.
 #ifndef JACINTHDECK_QUERY_RETRY_AFTER_H_
 #define JACINTHDECK_QUERY_RETRY_AFTER_H_
 
@@ -8,10 +8,10 @@
 namespace jacinthdeck {
 
 /**
- * \brief Default time to come back after a call that was given up.
- * \param reason Why.
- * \return Time until a resend has a fair chance; about as long as the cause
- * commonly lasts.
+ * \brief Returns the default delay before a resend of an incomplete call.
+ * \param reason Why the answer is not whole.
+ * \return Delay after which a resend is likely to succeed: about as long as the
+ * cause usually lasts.
  */
 [[nodiscard]] Duration RetryAfter(AnswerReason reason) noexcept;
 
--- a/src/jacinthdeck/query/service_state.h
+++ b/src/jacinthdeck/query/service_state.h
@@ -1,4 +1,4 @@
-// What the engine holds of each service.
+// Per-service state of the engine.
 #ifndef JACINTHDECK_QUERY_SERVICE_STATE_H_
 #define JACINTHDECK_QUERY_SERVICE_STATE_H_
 
@@ -12,20 +12,23 @@
 
 namespace jacinthdeck::internal {
 
-/*! \brief Calls of one service and what was learned of its times. */
+/*! \brief Running and waiting calls of a service and its measured latencies. */
 struct ServiceState {
   ServiceState(ServiceId service_id, const AdmissionOptions& options)
       : id(std::move(service_id)), queue(options) {}
 
   ServiceId id;
-  //! Calls that run.
+  //! Number of calls that run.
   std::size_t running_calls = 0;
-  //! Calls that wait; while it holds any, no newcomer starts before them.
+  //! Calls that wait to run; while it holds any, a new call joins it instead of
+  //! starting at once.
   AdmissionQueue queue;
   StartInterval start_interval;
-  //! Time that an attempt rarely stays below.
+  //! Latency that only 10 % of the answered attempts stay below; the least time
+  //! that an attempt is assumed to need.
   LatencyQuantile p10_attempt_latency{0.1};
-  //! Time from the start of a call that its whole answer rarely exceeds.
+  //! Time from the start of a call to its whole answer, exceeded by only 5 % of
+  //! the calls.
   LatencyQuantile p95_call_latency{0.95};
 };
 
--- a/src/jacinthdeck/query/shard_reply.h
+++ b/src/jacinthdeck/query/shard_reply.h
@@ -1,4 +1,4 @@
-// What one shard contributed to an answer.
+// Contribution of one shard to an answer.
 #ifndef JACINTHDECK_QUERY_SHARD_REPLY_H_
 #define JACINTHDECK_QUERY_SHARD_REPLY_H_
 
@@ -9,7 +9,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Accepted reply of one shard; there is at most one for a shard. */
+/*! \brief Reply accepted for a shard; a call accepts at most one per shard. */
 struct ShardReply {
   std::vector<Hit> hits;
   std::uint64_t count = 0;
--- a/src/jacinthdeck/query/start_interval.h
+++ b/src/jacinthdeck/query/start_interval.h
@@ -1,4 +1,4 @@
-// How fast calls leave a backlog.
+// Running average of the time between call starts from a queue.
 #ifndef JACINTHDECK_QUERY_START_INTERVAL_H_
 #define JACINTHDECK_QUERY_START_INTERVAL_H_
 
@@ -8,18 +8,19 @@
 
 namespace jacinthdeck {
 
-/*! \brief Average time between two starts from a queue that is not empty. */
+/*! \brief Averages the time between consecutive starts while a queue stays
+ * non-empty. */
 class StartInterval {
  public:
-  /*! \brief Gives the average; zero before the second start. */
+  /*! \brief Returns the average; zero before the second start. */
   [[nodiscard]] Duration value() const noexcept {
     return Duration(static_cast<Duration::rep>(m_value));
   }
 
   /**
-   * \brief Counts a start from the queue.
+   * \brief Records the start of a call from the queue.
    * \param now Present time.
-   * \param backlog More calls wait behind it.
+   * \param backlog Whether more calls remain in the queue.
    */
   void OnStart(TimePoint now, bool backlog) noexcept {
     if (m_last) {
@@ -33,7 +34,7 @@
   static constexpr double kWeight = 0.05;
 
   double m_value = 0;
-  //! Last start, while the queue has not been empty since.
+  //! Time of the last start; empty once the queue has run empty.
   std::optional<TimePoint> m_last;
 };
 
