--- a/src/jacinthdeck/query/coverage.cc
+++ b/src/jacinthdeck/query/coverage.cc
@@ -1,4 +1,4 @@
-// Set arithmetic on ordered key ranges.
+// Set operations on ordered key ranges.
 #include "jacinthdeck/query/coverage.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/query/coverage.h
+++ b/src/jacinthdeck/query/coverage.h
@@ -1,4 +1,4 @@
-// Which key ranges of the asked ones have answered.
+// Set of hashed keys, used to tell which of the keys asked for were answered.
 #ifndef JACINTHDECK_QUERY_COVERAGE_H_
 #define JACINTHDECK_QUERY_COVERAGE_H_
 
@@ -11,48 +11,50 @@
 namespace jacinthdeck {
 
 /**
- * \brief A set of keys, kept as disjoint, ordered ranges.
+ * \brief Set of hashed keys, stored as disjoint, ordered ranges.
  *
- * A range that overlaps one already held is refused, not merged: two replies
- * for one key mean that something was counted twice, and the caller must drop
- * the second.
+ * Add() rejects a range that overlaps the set instead of merging it. An overlap
+ * means that two replies contain the same keys, and the caller must drop the
+ * second, which would otherwise be counted twice.
  */
 class Coverage {
  public:
-  /*! \brief Gives the ranges, ordered, disjoint, with touching ones joined. */
+  /*! \brief Returns the ranges: ordered, disjoint, adjacent ones joined. */
   [[nodiscard]] const std::vector<KeyRange>& ranges() const noexcept {
     return m_ranges;
   }
 
-  /*! \brief Tells whether no key is held. */
+  /*! \brief Returns whether the set is empty. */
   [[nodiscard]] bool empty() const noexcept { return m_ranges.empty(); }
 
-  /*! \brief Tells whether every key of a range is held. */
+  /*! \brief Returns whether the set contains every key of a range. */
   [[nodiscard]] bool Covers(const KeyRange& range) const noexcept;
 
   /**
-   * \brief Names what of another coverage is not held here.
+   * \brief Subtracts this set from another one.
    * \param asked Keys that were asked for.
-   * \return The keys of `asked` that are missing.
+   * \return Keys of `asked` that this set does not contain.
    */
   [[nodiscard]] Coverage MissingFrom(const Coverage& asked) const;
 
   /**
    * \brief Adds a range.
-   * \param range Range; an empty or inverted one is refused.
-   * \return False, and nothing changes, if any key of it is already held.
+   * \param range Range; rejected if it is empty, inverted or ends beyond
+   * kKeySpaceEnd.
+   * \return False, with the set unchanged, if the range is rejected or the set
+   * already contains any of its keys.
    */
   [[nodiscard]] bool Add(const KeyRange& range);
 
  private:
-  //! Ordered, disjoint, none empty, no two touching.
+  //! Ordered, disjoint and not empty; no two are adjacent.
   std::vector<KeyRange> m_ranges;
 };
 
 /**
  * \brief Checks that a map is a partition of the whole key space.
- * \param map Map as an index builder wrote it.
- * \return True if the shards are ordered, disjoint and leave no gap.
+ * \param map Map as written by an index builder; not validated before.
+ * \return True if the shards are ordered, disjoint and without gaps.
  */
 [[nodiscard]] bool IsPartition(const PartitionMap& map) noexcept;
 
--- a/src/jacinthdeck/query/merge.cc
+++ b/src/jacinthdeck/query/merge.cc
@@ -1,4 +1,5 @@
-// One step for each merge rule, chosen from a table of member pointers.
+// Implements each merge rule; Take() selects one from a table of member
+// pointers.
 #include "jacinthdeck/query/merge.h"
 
 #include <algorithm>
@@ -14,7 +15,8 @@
   return a.score != b.score ? a.score > b.score : a.id < b.id;
 }
 
-// Data is compared last, so that equal ids and scores still have one order.
+// Compares data last, so that hits with equal ids and scores have a fixed
+// order.
 [[nodiscard]] bool BeforeById(const Hit& a, const Hit& b) noexcept {
   if (a.id != b.id) {
     return a.id < b.id;
@@ -30,11 +32,11 @@
 }
 
 Merged Merger::Take() {
-  //! In the order of MergeRule.
+  //! Indexed by MergeRule.
   static constexpr Step kSteps[] = {&Merger::TopK, &Merger::Union,
                                     &Merger::Count, &Merger::Lookup};
-  // Read on a line of its own: in one expression with the call, gcc 12 checks a
-  // wrong index under -fsanitize=bounds -O0.
+  // Kept as a separate statement: combined with the call, gcc 12 checks a wrong
+  // index under -fsanitize=bounds -O0.
   const Step step = kSteps[static_cast<std::size_t>(m_rule)];
   (this->*step)();
   return std::exchange(m_merged, Merged{});
--- a/src/jacinthdeck/query/merge.h
+++ b/src/jacinthdeck/query/merge.h
@@ -1,4 +1,4 @@
-// How the replies of the shards become one list of hits or one count.
+// Merges the shards' replies into one list of hits or one count.
 #ifndef JACINTHDECK_QUERY_MERGE_H_
 #define JACINTHDECK_QUERY_MERGE_H_
 
@@ -11,32 +11,33 @@
 
 namespace jacinthdeck {
 
-/*! \brief Hits and count of a whole answer. */
+/*! \brief Merged hits and count of all shards. */
 struct Merged {
   std::vector<Hit> hits;
   std::uint64_t count = 0;
 };
 
 /**
- * \brief Merges replies; the result does not depend on their order.
+ * \brief Merges replies; the result does not depend on the order of Add().
  *
- * Every hit id stands once in the result, with its best score: two targets that
- * both hold a moved key would otherwise show one item twice.
+ * Every hit id appears once in the result, with its best score. Without that,
+ * an item whose key is being moved and is held by two targets would appear
+ * twice.
  */
 class Merger {
  public:
   /**
-   * \brief Makes a merger.
-   * \param rule Rule of the method.
-   * \param limit Most hits of kTopK and kUnion.
+   * \brief Constructs a merger.
+   * \param rule Merge rule of the method.
+   * \param limit Maximum number of hits for kTopK and kUnion.
    */
   Merger(MergeRule rule, std::uint32_t limit) noexcept
       : m_rule(rule), m_limit(limit) {}
 
-  /*! \brief Takes the one reply of a shard. */
+  /*! \brief Adds the reply of a shard; called at most once per shard. */
   void Add(ShardReply reply);
 
-  /*! \brief Gives the result and leaves the merger empty. */
+  /*! \brief Returns the merged result and resets the merger. */
   [[nodiscard]] Merged Take();
 
  private:
--- a/src/jacinthdeck/query/version_catalog.cc
+++ b/src/jacinthdeck/query/version_catalog.cc
@@ -1,4 +1,5 @@
-// Choice of the snapshot from the maps, the targets' states and their own word.
+// Choice of the index version from the partition maps, the targets' states and
+// their reports.
 #include "jacinthdeck/query/version_catalog.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/query/version_catalog.h
+++ b/src/jacinthdeck/query/version_catalog.h
@@ -1,4 +1,4 @@
-// The index versions of each service, and what targets said of them.
+// Index versions of each service, and which targets do not serve them.
 #ifndef JACINTHDECK_QUERY_VERSION_CATALOG_H_
 #define JACINTHDECK_QUERY_VERSION_CATALOG_H_
 
@@ -17,55 +17,59 @@
 
 namespace jacinthdeck {
 
-/*! \brief Version that a call pins, with its map. */
+/*! \brief Index version chosen for a call, with its partition map. */
 struct VersionChoice {
   std::shared_ptr<const PartitionMap> map;
-  //! Every asked shard has a usable replica.
+  //! Whether every shard asked for has a usable replica.
   bool complete = false;
 };
 
-/*! \brief What a call needs of a version. */
+/*! \brief Requirements of a call on the index version chosen for it. */
 struct VersionRequest {
   ServiceId service;
-  //! Hash of the key of a keyed call; nothing asks for every shard.
+  //! Hash of the key of a keyed call; empty if the call asks every shard.
   std::optional<std::uint64_t> key;
-  //! Versions that this call gave up already.
+  //! Versions that must not be chosen, since the call already abandoned them.
   std::span<const IndexVersion> excluded;
 };
 
-/*! \brief Chooses the one snapshot of each answer. */
+/*! \brief Chooses the index version that all shards of a call are read from. */
 class VersionCatalog {
  public:
-  //! Evidence ages out, since a target that does not serve a version yet may
-  //! serve it soon.
+  //! How long a target's report that it does not serve a version is used. It
+  //! expires because a target may still be loading the version.
   static constexpr Duration kVersionGoneTtl = std::chrono::seconds(2);
 
-  /*! \brief Makes a catalog that asks a router, which outlives it, for the
-   * state of targets. */
+  /**
+   * \brief Constructs a catalog.
+   * \param router Source of the targets' states; must outlive the catalog.
+   */
   explicit VersionCatalog(const Router& router) noexcept : m_router(router) {}
 
-  /*! \brief Tells whether any version of a service is known. */
+  /*! \brief Returns whether any version of a service is known. */
   [[nodiscard]] bool HasVersions(const ServiceId& service) const;
 
-  /*! \brief Counts the shards of the newest version; 0 without any. */
+  /*! \brief Returns the number of shards of a service's newest version; 0 if
+   * no version is known. */
   [[nodiscard]] std::size_t ShardCount(const ServiceId& service) const;
 
-  /*! \brief Tells whether a version stands in the newest list of its service.
+  /*! \brief Returns whether the last Set() for a service contained a version.
    */
   [[nodiscard]] bool IsListed(const ServiceId& service,
                               IndexVersion version) const;
 
   /**
-   * \brief Chooses the newest version all of whose asked shards have a usable
-   * replica; where there is none, the one with the most such shards.
-   * \return The choice; without a map if no version is left.
+   * \brief Chooses the newest version in which every shard asked for has a
+   * usable replica; if there is none, the version with the most such shards.
+   * \return The choice; its map is null if every version is excluded.
    */
   [[nodiscard]] VersionChoice Choose(const VersionRequest& request,
                                      TimePoint now) const;
 
   /**
-   * \brief Tells whether a target may serve a version.
-   * \return False if it is not live or lately said that it does not serve it.
+   * \brief Returns whether a target may serve a version.
+   * \return False if the target is not live, or reported less than
+   * kVersionGoneTtl ago that it does not serve the version.
    */
   [[nodiscard]] bool IsUsable(const ServiceId& service,
                               IndexVersion version,
@@ -74,13 +78,13 @@
 
   /**
    * \brief Replaces the versions of a service.
-   * \param maps Maps, newest last. One that is not a partition of the key space
-   * is left out: an answer could call itself whole over its gap.
-   * \return Number of maps left out.
+   * \param maps Maps, newest last. A map that is not a partition of the key
+   * space is ignored: with a gap, an answer that lacks the keys of the gap
+   * would be reported as whole. \return Number of ignored maps.
    */
   std::size_t Set(const ServiceId& service, std::vector<PartitionMap> maps);
 
-  /*! \brief Remembers that a target said it does not serve a version. */
+  /*! \brief Records a target's report that it does not serve a version. */
   void RecordVersionGone(const ServiceId& service,
                          IndexVersion version,
                          const TargetId& target,
@@ -88,9 +92,9 @@
 
  private:
   struct Versions {
-    //! Ordered by version, newest last; each is a partition.
+    //! Ordered by version, newest last; each is a partition of the key space.
     std::vector<std::shared_ptr<const PartitionMap>> maps;
-    //! When each target last said that it does not serve the version.
+    //! Time of each target's last report that it does not serve the version.
     std::map<IndexVersion, std::map<TargetId, TimePoint>> gone;
   };
 
