--- a/src/jacinthdeck/query/admission_queue.cc
+++ b/src/jacinthdeck/query/admission_queue.cc
@@ -1,4 +1,4 @@
-// Weighted fair queueing of waiting calls.
+// Start-time fair queueing of waiting calls.
 #include "jacinthdeck/query/admission_queue.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/query/admission_queue.h
+++ b/src/jacinthdeck/query/admission_queue.h
@@ -1,5 +1,5 @@
-// Calls of one service that wait to run: fair between tenants, by deadline
-// within one.
+// Queue of the calls of a service that wait to run: weighted fair between
+// tenants, by deadline within a tenant.
 #ifndef JACINTHDECK_QUERY_ADMISSION_QUEUE_H_
 #define JACINTHDECK_QUERY_ADMISSION_QUEUE_H_
 
@@ -17,15 +17,16 @@
 namespace jacinthdeck {
 
 /**
- * \brief Bounded queue with weighted fair shares.
+ * \brief Bounded queue with weighted fair shares for tenants.
  *
- * Start-time fair queueing between tenants: each start moves the tenant's
- * virtual time on by its cost over its weight, and the tenant that is furthest
- * behind goes next. A tenant that floods lengthens its own wait only.
+ * Uses start-time fair queueing: each start advances the tenant's virtual time
+ * by the call's cost divided by the tenant's weight, and the tenant with the
+ * lowest virtual time goes next. A tenant that sends too many calls therefore
+ * only delays its own.
  */
 class AdmissionQueue {
  public:
-  /*! \brief Names a waiting call; the earlier deadline comes first. */
+  /*! \brief Identifies a waiting call; ordered by deadline, then arrival. */
   struct Key {
     TimePoint deadline;
     std::uint64_t arrival = 0;
@@ -33,7 +34,7 @@
     [[nodiscard]] auto operator<=>(const Key&) const = default;
   };
 
-  /*! \brief Makes a queue; the options outlive it. */
+  /*! \brief Constructs an empty queue; the options must outlive it. */
   explicit AdmissionQueue(const AdmissionOptions& options) noexcept
       : m_options(&options) {}
 
@@ -43,42 +44,46 @@
     return m_calls.size() >= m_options->max_waiting_calls;
   }
 
-  /*! \brief Counts the waiting calls of a tenant. */
+  /*! \brief Returns the number of waiting calls of a tenant. */
   [[nodiscard]] std::size_t CountOf(const TenantId& tenant) const;
 
-  /*! \brief Gives the earliest deadline; the queue is not empty. */
+  /*! \brief Returns the earliest deadline; the queue must not be empty. */
   [[nodiscard]] TimePoint EarliestDeadline() const {
     return m_calls.begin()->first.deadline;
   }
 
   /**
-   * \brief Tells how many starts a new call of a tenant would wait for.
-   * \return Its own calls ahead of it, scaled by its share of the starts.
+   * \brief Estimates how many starts precede that of a new call of a tenant.
+   * \return Number of the tenant's waiting calls divided by its share of the
+   * starts, at most the size of the queue.
    */
   [[nodiscard]] double StartsAhead(const TenantId& tenant) const;
 
-  /*! \brief Tells whether a tenant holds more than its share of the queue, or
-   * would with one more call. */
+  /*! \brief Returns whether a tenant with one more call would exceed its share
+   * of the queue. */
   [[nodiscard]] bool ExceedsShare(const TenantId& tenant) const;
 
   /**
-   * \brief Adds a call; the queue is not full.
-   * \param call Call.
-   * \param cost Requests to targets that it will take; above zero.
+   * \brief Adds a call; the queue must not be full.
+   * \param call Call to add.
+   * \param cost Number of requests to targets that the call needs; above zero.
+   * \return Key that identifies the call in Take().
    */
   Key Add(Call call, double cost);
 
-  /*! \brief Takes the call that is to run next; the queue is not empty. */
+  /*! \brief Removes and returns the call that runs next; the queue must not be
+   * empty. */
   [[nodiscard]] Call TakeNext();
 
-  /*! \brief Takes a call whose deadline is at or before a moment. */
+  /*! \brief Removes and returns the call with the earliest deadline if that is
+   * at or before a given time. */
   [[nodiscard]] std::optional<Call> TakeDueBy(TimePoint moment);
 
-  /*! \brief Takes the last call of the tenant that is furthest over its share;
-   * the queue is not empty. */
+  /*! \brief Removes and returns the call with the latest deadline of the tenant
+   * with the most calls for its weight; the queue must not be empty. */
   [[nodiscard]] Call TakeExcess();
 
-  /*! \brief Takes a call out, if it still waits. */
+  /*! \brief Removes and returns a call if it is still in the queue. */
   [[nodiscard]] std::optional<Call> Take(const Key& key);
 
  private:
@@ -98,15 +103,15 @@
 
   const AdmissionOptions* m_options;
   std::uint64_t m_arrivals = 0;
-  //! Virtual time of the last start; newcomers begin there, so that a tenant
-  //! gathers no credit while it is away.
+  //! Virtual time of the last start. A tenant without waiting calls resumes at
+  //! least there, so that it gains no priority by being idle.
   double m_virtual_time = 0;
   std::map<Key, Waiting> m_calls;
-  //! Exactly the tenants with waiting calls.
+  //! The tenants that have waiting calls, and no others.
   std::map<TenantId, Tenant> m_tenants;
-  //! Virtual times of tenants without waiting calls that are ahead of
-  //! m_virtual_time. Forgotten, a tenant that always has one call waiting would
-  //! go first each time and starve those that queue.
+  //! Virtual times of the tenants without waiting calls that are ahead of
+  //! m_virtual_time. Without them, a tenant that adds one call whenever its
+  //! last one started would always go first and starve tenants with a backlog.
   std::map<TenantId, double> m_idle_virtual_times;
 };
 
--- a/src/jacinthdeck/query/probe_gate.h
+++ b/src/jacinthdeck/query/probe_gate.h
@@ -1,5 +1,5 @@
-// Lets each suspect run on one target at a time, and no two suspects on one
-// target.
+// Limits each suspect request to one target at a time, and each target to one
+// suspect.
 #ifndef JACINTHDECK_QUERY_PROBE_GATE_H_
 #define JACINTHDECK_QUERY_PROBE_GATE_H_
 
@@ -15,7 +15,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief A shard of a call that is held until a probe ends. */
+/*! \brief Shard of a call whose attempt is held until a probe ends. */
 struct HeldShard {
   CallId call;
   std::uint32_t epoch = 0;
@@ -24,38 +24,42 @@
 };
 
 /**
- * \brief Probes in flight and the shards that wait for their ends.
+ * \brief Tracks the probes in flight and the shards that wait for them.
  *
- * Two suspects on one target would both be blamed for its death, and the
- * innocent one of them could be convicted with the other.
+ * A probe is an attempt of a suspect, which may crash its target. If two
+ * suspects ran on one target, its crash would count against both, and a
+ * harmless one could be quarantined with the other.
  */
 class ProbeGate {
  public:
-  /*! \brief Tells whether a probe of a fingerprint is in flight. */
+  /*! \brief Returns whether a probe of a fingerprint is in flight. */
   [[nodiscard]] bool IsProbing(Fingerprint fingerprint) const {
     return m_fingerprints.contains(fingerprint);
   }
 
-  /*! \brief Gives the targets that a probe runs on. */
+  /*! \brief Returns the targets that run a probe. */
   [[nodiscard]] const std::set<TargetId>& targets() const noexcept {
     return m_targets;
   }
 
-  /*! \brief Holds a shard until the probe of its fingerprint ends. */
+  /*! \brief Holds a shard until the probe of its fingerprint ends. The shard is
+   * returned by End() or Release(). */
   void Hold(Fingerprint fingerprint, const HeldShard& held) {
     m_held[fingerprint].push_back(held);
   }
 
-  /*! \brief Holds a shard until any probe ends. */
+  /*! \brief Holds a shard until any probe ends: some of its replicas run probes
+   * and no other may get work. */
   void HoldForTarget(const HeldShard& held) { m_for_target.push_back(held); }
 
-  /*! \brief Counts a probe that was sent. */
+  /*! \brief Records that a probe was sent. */
   void Begin(Fingerprint fingerprint, const TargetId& target) {
     m_fingerprints.insert(fingerprint);
     m_targets.insert(target);
   }
 
-  /*! \brief Counts the end of a probe and gives what was held for it. */
+  /*! \brief Records the end of a probe and returns the shards held for it, and
+   * those held for any target. */
   [[nodiscard]] std::vector<HeldShard> End(Fingerprint fingerprint,
                                            const TargetId& target) {
     m_fingerprints.erase(fingerprint);
@@ -66,7 +70,8 @@
     return freed;
   }
 
-  /*! \brief Gives what was held for a fingerprint that is free again. */
+  /*! \brief Returns the shards held for a fingerprint, which are then no longer
+   * held. */
   [[nodiscard]] std::vector<HeldShard> Release(Fingerprint fingerprint) {
     const auto held = m_held.find(fingerprint);
     if (held == m_held.end()) {
--- a/src/jacinthdeck/query/quarantine.cc
+++ b/src/jacinthdeck/query/quarantine.cc
@@ -1,4 +1,4 @@
-// Evidence about requests that may crash targets.
+// State changes of suspect and quarantined requests.
 #include "jacinthdeck/query/quarantine.h"
 
 #include <algorithm>
@@ -17,8 +17,9 @@
   if (now < entry.expires_at) {
     return entry.state;
   }
-  // A conviction that ended leaves a suspicion behind: a request that still
-  // crashes targets then costs one more target, not a whole first round.
+  // A quarantine that expired leaves a suspect behind. A request that still
+  // crashes targets then costs one more target instead of a first round on all
+  // shards.
   const bool downgraded = entry.state == QuarantineState::kQuarantined &&
                           now < entry.expires_at + m_options.suspect_ttl;
   return downgraded ? QuarantineState::kSuspect : QuarantineState::kNone;
@@ -85,8 +86,9 @@
   if (before == QuarantineState::kNone) {
     return QuarantineState::kSuspect;
   }
-  // Attempts that were out before the first death was seen are one round: when
-  // a failure domain is lost, an innocent request loses many of them at once.
+  // The attempts in flight before the first crash was seen count as one round:
+  // when a failure domain fails, a harmless request loses many attempts at
+  // once.
   if (!probe || ++entry->crash_rounds < m_options.crash_rounds_to_quarantine) {
     return QuarantineState::kNone;
   }
@@ -162,8 +164,9 @@
   if (m_entries.size() < m_options.limit) {
     return;
   }
-  // The suspicion that ends first goes. A conviction never does: a flood of
-  // suspects must not free a request that is known to kill.
+  // Evicts the suspect that expires first, but never a quarantined entry: a
+  // flood of suspects must not release a request that is known to crash
+  // targets.
   auto oldest = m_entries.end();
   for (auto at = m_entries.begin(); at != m_entries.end(); ++at) {
     if (at->second.state == QuarantineState::kSuspect &&
--- a/src/jacinthdeck/query/quarantine.h
+++ b/src/jacinthdeck/query/quarantine.h
@@ -1,5 +1,5 @@
-// Which requests are suspected or convicted of crashing the targets that run
-// them.
+// Tracks requests that crash the targets that run them: suspects run under
+// restrictions, quarantined ones are refused.
 #ifndef JACINTHDECK_QUERY_QUARANTINE_H_
 #define JACINTHDECK_QUERY_QUARANTINE_H_
 
@@ -16,70 +16,77 @@
 
 namespace jacinthdeck {
 
-/*! \brief What is held against a fingerprint. */
+/*! \brief Quarantine state of a request, which its fingerprint identifies. */
 enum class QuarantineState {
   kNone,
-  //! A target died under it: it runs on one target at a time and is not hedged.
+  //! A target crashed while running it. The request runs on one target at a
+  //! time and is not hedged.
   kSuspect,
-  //! It is refused.
+  //! It is refused without being sent; operators see this state as "convicted".
   kQuarantined,
 };
 
-//! Names of the suspicions, for operators and metrics.
+//! Names of the quarantine states, for operators and metrics.
 inline constexpr NameTable<QuarantineState, 3> kQuarantineStateNames{
     {"none", "suspect", "convicted"}};
 
-/*! \brief Bounds of the quarantine. */
+/*! \brief Options of the quarantine. */
 struct QuarantineOptions {
-  //! Rounds of kills that convict. The attempts that were in flight before the
-  //! first death is seen are one round, each probe after it is another.
+  //! Rounds of crashes after which a request is quarantined. All attempts in
+  //! flight before the first crash is seen are one round, and each probe after
+  //! it is another.
   std::uint32_t crash_rounds_to_quarantine = 2;
-  //! How long a suspicion lasts without new evidence.
+  //! How long a request stays a suspect without another crash.
   Duration suspect_ttl = std::chrono::minutes(1);
-  //! How long a conviction lasts; a suspicion of one round follows it.
+  //! How long a request stays quarantined. It then becomes a suspect that one
+  //! more round quarantines again.
   Duration quarantine_ttl = std::chrono::minutes(10);
-  //! Fingerprints held at once.
+  //! Maximum number of fingerprints tracked at once.
   std::size_t limit = 4096;
 };
 
-/*! \brief One fingerprint as operators see it. */
+/*! \brief Quarantine state of one fingerprint, for operators. */
 struct QuarantineEntry {
   Fingerprint fingerprint;
   QuarantineState state = QuarantineState::kNone;
-  //! Rounds of kills counted so far.
+  //! Rounds of crashes counted so far.
   std::uint32_t crash_rounds = 0;
-  //! When the suspicion or conviction ends by itself.
+  //! Time at which the state expires without operator action.
   TimePoint expires_at;
 };
 
-/*! \brief Evidence for and against fingerprints, from attempts and peers. */
+/*! \brief Table of suspect and quarantined requests, updated from the ends of
+ * attempts and from reports of peers. */
 class Quarantine {
  public:
   explicit Quarantine(const QuarantineOptions& options) noexcept
       : m_options(options) {}
 
-  /*! \brief Tells what is held against a fingerprint. */
+  /*! \brief Returns the state of a fingerprint. */
   [[nodiscard]] QuarantineState StateOf(Fingerprint fingerprint,
                                         TimePoint now) const;
 
-  /*! \brief Tells when a conviction ends; nothing while there is none. */
+  /*! \brief Returns when a quarantine expires; empty if the fingerprint is not
+   * quarantined. */
   [[nodiscard]] std::optional<TimePoint> QuarantinedUntil(
       Fingerprint fingerprint,
       TimePoint now) const;
 
-  /*! \brief Tells whether a target died under a request for keys of a range. */
+  /*! \brief Returns whether a target crashed while running a request for a
+   * range that overlaps the given one. */
   [[nodiscard]] bool CrashedInRange(Fingerprint fingerprint,
                                     const KeyRange& range) const;
 
-  /*! \brief IsListed what is held, ordered by fingerprint. */
+  /*! \brief Returns all suspect and quarantined fingerprints, in order. */
   [[nodiscard]] std::vector<QuarantineEntry> Entries(TimePoint now) const;
 
   /**
-   * \brief Takes a target's death under a request.
-   * \param fingerprint Request.
-   * \param range Keys that it was asked for.
-   * \param probe The request was a suspect already when it was sent.
-   * \return What the death newly led to; kNone if nothing changed.
+   * \brief Records that a target crashed while it ran a request.
+   * \param fingerprint Fingerprint of the request.
+   * \param range Key range that the attempt asked for.
+   * \param probe Whether the request was already a suspect when it was sent.
+   * \param now Present time.
+   * \return State that the crash newly caused; kNone if it did not change.
    */
   [[nodiscard]] QuarantineState RecordCrash(Fingerprint fingerprint,
                                             const KeyRange& range,
@@ -87,25 +94,26 @@
                                             TimePoint now);
 
   /**
-   * \brief Takes the survival of a target that ran a request to its end.
+   * \brief Records that a target ran a request to its end without a crash.
    *
-   * Clears a suspect where the keys are those that a target died on: a request
-   * may crash on the data of one shard only. Never clears a conviction.
+   * Clears a suspect only if the range overlaps one that a target crashed on,
+   * or if no such range is known: a request may crash on the data of one shard
+   * only. A quarantined fingerprint is never cleared.
    * \return True if a suspect was cleared.
    */
   bool RecordCompletion(Fingerprint fingerprint,
                         const KeyRange& range,
                         TimePoint now);
 
-  /*! \brief Takes a peer's word that a fingerprint is a suspect. */
+  /*! \brief Makes a fingerprint a suspect on a peer's report. */
   void AddPeerSuspect(Fingerprint fingerprint, TimePoint now);
 
-  /*! \brief Takes a peer's word that a fingerprint is convicted. */
+  /*! \brief Quarantines a fingerprint on a peer's report. */
   void AddPeerQuarantine(Fingerprint fingerprint, TimePoint now);
 
   /**
-   * \brief Ends a suspicion or conviction, on an operator's word.
-   * \return False if nothing was held against the fingerprint.
+   * \brief Clears the state of a fingerprint, at an operator's request.
+   * \return False if the fingerprint had no entry.
    */
   bool Release(Fingerprint fingerprint);
 
@@ -115,8 +123,8 @@
     //! At least 1.
     std::uint32_t crash_rounds = 1;
     TimePoint expires_at;
-    //! Keys that targets died on; empty where only a peer knows. At most
-    //! kMaxCrashRanges.
+    //! Key ranges whose attempts crashed a target, at most kMaxCrashRanges;
+    //! empty if the crashes are known from peers only.
     std::vector<KeyRange> ranges;
   };
 
@@ -124,7 +132,8 @@
 
   [[nodiscard]] QuarantineState StateAt(const Entry& entry,
                                         TimePoint now) const;
-  //! Finds or makes the entry; null if the table is full of convictions.
+  //! Returns the entry, added if absent; null if the table is full of
+  //! quarantined entries.
   [[nodiscard]] Entry* FindOrAdd(Fingerprint fingerprint, TimePoint now);
   void MakeRoom(TimePoint now);
 
--- a/src/jacinthdeck/query/waiting_attempts.cc
+++ b/src/jacinthdeck/query/waiting_attempts.cc
@@ -1,5 +1,5 @@
-// Index of the waiting attempts by target, so that a freed place costs one
-// look-up and not a scan.
+// Indexes the waiting attempts by target, so that the next attempt for a target
+// with free capacity is found by a look-up instead of a scan.
 #include "jacinthdeck/query/waiting_attempts.h"
 
 #include <utility>
--- a/src/jacinthdeck/query/waiting_attempts.h
+++ b/src/jacinthdeck/query/waiting_attempts.h
@@ -1,4 +1,4 @@
-// Attempts that wait for a place on one of their replicas.
+// Attempts that wait for capacity on one of their replicas.
 #ifndef JACINTHDECK_QUERY_WAITING_ATTEMPTS_H_
 #define JACINTHDECK_QUERY_WAITING_ATTEMPTS_H_
 
@@ -15,19 +15,18 @@
 
 namespace jacinthdeck {
 
-/*! \brief One shard of one call that waits. */
+/*! \brief Attempt for a shard of a call that waits for capacity. */
 struct WaitingAttempt {
   CallId call;
   std::size_t shard = 0;
   AttemptKind kind = AttemptKind::kFirst;
   ServiceId service;
-  //! Any of these may serve it.
+  //! Targets that may serve the attempt.
   std::vector<TargetId> replicas;
   TimePoint deadline;
 };
 
-/*! \brief Names a waiting attempt; the earlier deadline, then the earlier
- * arrival, comes first. */
+/*! \brief Identifies a waiting attempt; ordered by deadline, then arrival. */
 struct WaitingKey {
   TimePoint deadline;
   std::uint64_t arrival = 0;
@@ -35,37 +34,38 @@
   [[nodiscard]] auto operator<=>(const WaitingKey&) const = default;
 };
 
-/*! \brief Bounded, deadline-ordered queues, one seen from each target. */
+/*! \brief Bounded set of waiting attempts with a deadline-ordered queue for
+ * each target; an attempt is in the queue of each of its replicas. */
 class WaitingAttempts {
  public:
-  /*! \brief Makes queues that hold at most so many attempts together. */
+  /*! \brief Constructs an empty set that holds at most `limit` attempts. */
   explicit WaitingAttempts(std::size_t limit) noexcept : m_limit(limit) {}
 
   [[nodiscard]] std::size_t size() const noexcept { return m_entries.size(); }
 
-  /*! \brief Counts the waiting attempts of a service. */
+  /*! \brief Returns the number of waiting attempts of a service. */
   [[nodiscard]] std::size_t CountOf(const ServiceId& service) const;
 
-  /*! \brief Gives the targets that something waits for. */
+  /*! \brief Returns the targets that at least one attempt waits for. */
   [[nodiscard]] std::vector<TargetId> Targets() const;
 
-  /*! \brief Gives the first key that waits for a target. */
+  /*! \brief Returns the key of the first attempt that waits for a target. */
   [[nodiscard]] std::optional<WaitingKey> First(const TargetId& target) const;
 
-  /*! \brief Gives an attempt that waits. */
+  /*! \brief Returns a waiting attempt; the key must be in the set. */
   [[nodiscard]] const WaitingAttempt& Get(const WaitingKey& key) const;
 
-  /*! \brief Adds an attempt; nothing if the queues are full. */
+  /*! \brief Adds an attempt; returns no key if the set is full. */
   [[nodiscard]] std::optional<WaitingKey> Add(WaitingAttempt attempt);
 
-  /*! \brief Takes an attempt out. */
+  /*! \brief Removes an attempt; does nothing if it is no longer in the set. */
   void Remove(const WaitingKey& key);
 
  private:
   std::size_t m_limit;
   std::uint64_t m_arrivals = 0;
   std::map<WaitingKey, WaitingAttempt> m_entries;
-  //! Holds each key of m_entries once for each of its replicas; no set is
+  //! Contains each key of m_entries under each of its replicas; no set is
   //! empty.
   std::map<TargetId, std::set<WaitingKey>> m_by_target;
   std::map<ServiceId, std::size_t> m_by_service;
