--- a/src/jacinthdeck/query/call_state.h
+++ b/src/jacinthdeck/query/call_state.h
@@ -1,4 +1,4 @@
-// What the engine holds of each open call, shard and attempt.
+// Engine state of each running call, its shards and its attempts.
 #ifndef JACINTHDECK_QUERY_CALL_STATE_H_
 #define JACINTHDECK_QUERY_CALL_STATE_H_
 
@@ -20,60 +20,64 @@
 
 namespace jacinthdeck::internal {
 
-/*! \brief Where a shard of an open call stands. */
+/*! \brief Progress of a shard of a running call. */
 enum class ShardPhase { kOpen, kAnswered, kGivenUp };
 
-/*! \brief One shard that a call asked for. */
+/*! \brief State of a shard that a call asked for. */
 struct ShardState {
-  //! Lies in the map that the call pins.
+  //! Points into OpenCall::map.
   const Shard* shard = nullptr;
   ShardPhase phase = ShardPhase::kOpen;
-  //! Why the shard is given up, or its last failure while it is open.
+  //! Why the shard was given up, or its last failure while it is open.
   AnswerReason reason = AnswerReason::kDeadline;
   std::vector<TargetId> tried;
-  //! Attempts in flight; empty once the shard is settled.
+  //! Attempts in flight; cleared when the shard is answered or cancelled.
   std::vector<AttemptId> in_flight;
-  //! Set while the shard waits for a place on a target.
+  //! Set while an attempt of the shard waits for capacity on a target.
   std::optional<WaitingKey> waiting;
-  //! The request is a suspect and waits for the end of a probe.
+  //! Whether the next attempt is held until a probe ends, since the request is
+  //! a suspect.
   bool held = false;
-  //! When a hedge is due.
+  //! Time at which a hedge is due.
   std::optional<TimePoint> hedge_at;
-  //! When a retry that pauses is due.
+  //! Time at which a delayed retry is due.
   std::optional<TimePoint> retry_at;
   std::uint32_t retries = 0;
   std::uint32_t hedges = 0;
-  //! Hedges refused since the last attempt was sent.
+  //! Hedges refused by the router since the last attempt was sent.
   std::uint32_t refused_hedges = 0;
   ShardReply reply;
 };
 
-/*! \brief A call without an answer. */
+/*! \brief Running call, which has no answer yet. */
 struct OpenCall {
   Call call;
   //! Never null.
   ServiceState* service = nullptr;
   TimePoint started;
-  //! Pinned for the whole answer; a restart replaces it and all shards.
+  //! Map of the one index version that the whole answer comes from; a restart
+  //! replaces it and all shards.
   std::shared_ptr<const PartitionMap> map;
-  //! Shards asked for, in the order of the map.
+  //! Shards that the call asks, in the order of the map.
   std::vector<ShardState> shards;
   //! Number of shards in phase kOpen.
   std::size_t unsettled = 0;
-  //! Counts the snapshots; an attempt of an earlier one is never merged.
+  //! Number of times the call was begun on a map. A reply to an attempt of an
+  //! earlier epoch is not merged, since it may be of another index version.
   std::uint32_t epoch = 0;
   std::uint32_t attempts = 0;
   std::uint32_t hedges = 0;
   std::uint32_t retries = 0;
   std::uint32_t restarts = 0;
-  //! Some ended attempt may have run on a target; never goes back to false.
+  //! Whether an ended attempt may have run on a target; never reset.
   bool may_have_run = false;
-  //! The timer that is set; never later than anything that is due.
+  //! Time that the call's timer is set to; never later than the next action
+  //! that is due for the call.
   TimePoint timer_at;
   std::vector<IndexVersion> excluded_versions;
 };
 
-/*! \brief An attempt whose end is not reported yet; it outlives its call. */
+/*! \brief Attempt whose end is not reported yet; it may outlive its call. */
 struct OpenAttempt {
   CallId call;
   std::uint32_t epoch = 0;
@@ -86,9 +90,9 @@
   IndexVersion version;
   KeyRange range;
   Fingerprint fingerprint;
-  //! A cancel was sent; its reply is not wanted.
+  //! Whether a cancellation was requested; the reply is then not merged.
   bool cancelled = false;
-  //! The request was a suspect when it was sent.
+  //! Whether the request was already a suspect when the attempt was sent.
   bool probe = false;
 };
 
--- a/src/jacinthdeck/query/engine.cc
+++ b/src/jacinthdeck/query/engine.cc
@@ -1,4 +1,4 @@
-// Running calls and what becomes due.
+// Start of running calls, and their timers.
 #include "jacinthdeck/query/engine.h"
 
 #include <algorithm>
@@ -53,8 +53,9 @@
   const Fingerprint fingerprint = open.call.fingerprint;
   const bool suspect =
       m_quarantine.StateOf(fingerprint, now) == QuarantineState::kSuspect;
-  // A suspect's first shard is its probe; where it killed a target before, the
-  // probe tells most.
+  // The first shard of a suspect is its probe. Shards on which it crashed a
+  // target before go first, since a completion on any other shard does not
+  // clear the request.
   std::vector<std::size_t> order(open.shards.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   if (suspect) {
--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -1,4 +1,5 @@
-// The deterministic core of a query: events and the time in, effects out.
+// Deterministic scatter-gather engine: takes events and the present time, and
+// requests actions through Effects.
 #ifndef JACINTHDECK_QUERY_ENGINE_H_
 #define JACINTHDECK_QUERY_ENGINE_H_
 
@@ -31,91 +32,97 @@
 namespace jacinthdeck {
 
 /**
- * \brief Scatters calls, gathers replies and decides every answer of one entry.
+ * \brief Spreads the typed calls of one host over shards and merges the replies
+ * into answers.
  *
- * Holds no socket, thread or clock. Every submitted call gets exactly one
- * DeliverAnswer, unless it is abandoned first. Every SendAttempt must be
- * followed by exactly one OnReply(), also after its cancellation.
+ * Uses no socket, thread or clock; actions are appended to the Effects that are
+ * passed in. Every submitted call gets exactly one DeliverAnswer, unless it is
+ * abandoned first. Every SendAttempt must be followed by exactly one OnReply(),
+ * also after its cancellation.
  */
 class Engine {
  public:
   /**
-   * \brief Makes an engine.
-   * \param router Replica choice; outlives the engine.
-   * \param first_attempt Lowest attempt id of this life of the node; ids of
-   * earlier lives are below.
-   * \param options Bounds and delays.
+   * \brief Constructs an engine.
+   * \param router Chooses among replicas; must outlive the engine.
+   * \param first_attempt Lowest attempt id to assign; must be above all ids
+   * that earlier runs of this host's process assigned.
+   * \param options Limits and delays.
    */
   Engine(Router& router,
          std::uint64_t first_attempt,
          const EngineOptions& options = {});
 
-  /*! \brief Number of calls that have no answer yet, waiting ones included.
+  /*! \brief Returns the number of calls without an answer, running or waiting.
    */
   [[nodiscard]] std::size_t open_calls() const noexcept {
     return m_calls.size() + m_waiting_calls.size();
   }
 
-  /*! \brief Number of calls that wait to run. */
+  /*! \brief Returns the number of calls that wait to run. */
   [[nodiscard]] std::size_t waiting_calls() const noexcept {
     return m_waiting_calls.size();
   }
 
-  /*! \brief Tells whether new calls are refused. */
+  /*! \brief Returns whether new calls are refused because of Drain(). */
   [[nodiscard]] bool draining() const noexcept { return m_draining; }
 
-  /*! \brief Requests that are suspected or convicted of crashing targets. */
+  /*! \brief Returns the requests suspected of crashing targets, and the
+   * quarantined ones. */
   [[nodiscard]] const Quarantine& quarantine() const noexcept {
     return m_quarantine;
   }
 
-  /*! \brief Totals since the engine was made. */
+  /*! \brief Returns the totals since the engine was constructed. */
   [[nodiscard]] const EngineCounters& counters() const noexcept {
     return m_counters;
   }
 
-  /*! \brief Moment at which OnTimer() is due; nothing while no call waits. */
+  /*! \brief Returns when OnTimer() is due; empty if no call is open. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /**
-   * \brief Replaces the versions of a service that targets may still serve.
+   * \brief Replaces the index versions of a service that calls may start on.
    *
-   * Calls that run keep the version that they pinned.
+   * Running calls keep the version that they started on.
    * \param service Service.
-   * \param maps Maps, newest last; one that is not a partition of the key space
-   * is left out and counted.
+   * \param maps Partition maps, newest last. A map that is not a partition of
+   * the key space is ignored and counted in EngineCounters::rejected_maps.
    */
   void SetVersions(const ServiceId& service, std::vector<PartitionMap> maps);
 
-  /*! \brief Starts a call, or refuses it at once with its final answer. */
+  /*! \brief Starts a call, queues it, or refuses it at once with its final
+   * answer. */
   void Submit(Call call, TimePoint now, Effects& effects);
 
-  /*! \brief Takes the end of an attempt; one that is no longer known is
-   * dropped. */
+  /*! \brief Processes the end of an attempt; the end of an unknown attempt is
+   * only counted. */
   void OnReply(const AttemptReply& reply, TimePoint now, Effects& effects);
 
-  /*! \brief Acts on whatever is due: deadlines, hedges, waiting attempts. */
+  /*! \brief Processes due deadlines, hedges and retries, and tries waiting
+   * attempts and calls again. */
   void OnTimer(TimePoint now, Effects& effects);
 
-  /*! \brief Drops a call whose caller went away; it gets no answer. */
+  /*! \brief Cancels a call whose caller went away; it gets no answer. */
   void Abandon(const CallId& id, TimePoint now, Effects& effects);
 
-  /*! \brief Refuses calls from now on; those accepted before go on to their
+  /*! \brief Refuses all further calls; those accepted before still get their
    * answers. */
   void Drain() noexcept { m_draining = true; }
 
-  /*! \brief Takes a peer's word that a request is suspected of crashing
-   * targets. */
+  /*! \brief Makes a request a suspect on a peer's report that it crashed a
+   * target. */
   void AddPeerSuspect(Fingerprint fingerprint, TimePoint now);
 
-  /*! \brief Takes a peer's word that a request is convicted of it. */
+  /*! \brief Quarantines a request on a peer's report; shards held for its probe
+   * are given up. */
   void AddPeerQuarantine(Fingerprint fingerprint,
                          TimePoint now,
                          Effects& effects);
 
   /**
-   * \brief Ends what is held against a request, on an operator's word.
-   * \return False if nothing was held against it.
+   * \brief Clears the quarantine state of a request, at an operator's request.
+   * \return False if the request had no quarantine entry.
    */
   bool ReleaseQuarantine(Fingerprint fingerprint,
                          TimePoint now,
@@ -128,7 +135,7 @@
   using ServiceState = internal::ServiceState;
   using ShardState = internal::ShardState;
 
-  //! Where a waiting call stands.
+  //! Service and queue key of a waiting call.
   struct WaitingCall {
     ServiceState* service = nullptr;
     AdmissionQueue::Key key;
@@ -159,7 +166,7 @@
                          Effects& effects);
   void Deliver(const CallId& id, Answer answer, Effects& effects);
 
-  // Running calls and what becomes due, in engine.cc.
+  // Running calls and their timers, in engine.cc.
   void BeginOnMap(OpenCall& open,
                   std::shared_ptr<const PartitionMap> map,
                   TimePoint now,
@@ -210,7 +217,7 @@
                               AttemptStatus status,
                               TimePoint now) const;
   [[nodiscard]] Duration HedgeDelay(const OpenCall& open) const;
-  //! Live replicas of a shard that the call has not tried for it.
+  //! Returns the live replicas of a shard that the call has not tried for it.
   [[nodiscard]] std::vector<TargetId> UntriedReplicas(
       const ShardState& state) const;
   void SendWaiting(const TargetId& target, TimePoint now, Effects& effects);
@@ -242,8 +249,8 @@
   void CancelShard(ShardState& state, Effects& effects);
   void CancelAll(OpenCall& open, Effects& effects);
   void GiveUp(OpenCall& open, ShardState& state, AnswerReason reason);
-  //! Gives a shard up whose next attempt cannot be sent; one that is in flight
-  //! may still answer.
+  //! Gives a shard up whose next attempt cannot be sent, unless an attempt in
+  //! flight may still answer.
   void GiveUpUnlessInFlight(OpenCall& open,
                             ShardState& state,
                             AnswerReason reason);
@@ -251,7 +258,7 @@
   void Finish(OpenCall& open, TimePoint now, Effects& effects);
   void CloseCall(OpenCall& open, Effects& effects);
 
-  // Suspects, in engine_quarantine.cc.
+  // Suspect requests, in engine_quarantine.cc.
   void SendSuspect(OpenCall& open,
                    std::size_t shard,
                    AttemptKind kind,
@@ -264,7 +271,7 @@
   void ResumeHeld(const HeldShards& held, TimePoint now, Effects& effects);
 
   Router& m_router;
-  //! Referred to by the queues of m_services.
+  //! The queues of m_services hold pointers to its admission options.
   const EngineOptions m_options;
   EngineCounters m_counters;
   std::uint64_t m_next_attempt;
@@ -276,16 +283,16 @@
   std::map<ServiceId, ServiceState> m_services;
   //! References to its elements stay valid until they are erased.
   std::unordered_map<CallId, OpenCall> m_calls;
-  //! Calls that wait in the queues of m_services.
+  //! Where to find each call that waits in a queue of m_services.
   std::unordered_map<CallId, WaitingCall> m_waiting_calls;
   std::unordered_map<AttemptId, OpenAttempt> m_attempts;
   WaitingAttempts m_waiting;
   //! One timer for each element of m_calls.
   TimerQueue<CallId> m_timers;
-  //! One timer for each service with waiting calls: when the first of them can
-  //! no longer be answered in time.
+  //! One timer for each service with waiting calls, at the time when the first
+  //! of them can no longer be answered before its deadline.
   TimerQueue<ServiceId> m_waiting_timers;
-  //! Set exactly while m_waiting holds something.
+  //! Time to try waiting attempts again; set only while m_waiting is not empty.
   std::optional<TimePoint> m_poll_at;
 };
 
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -1,4 +1,4 @@
-// Which calls run, wait or are refused.
+// Decides which calls start, wait in the queue or are refused.
 #include <algorithm>
 #include <utility>
 
@@ -70,8 +70,9 @@
   const auto wait = Duration(static_cast<Duration::rep>(
       queue.StartsAhead(call.tenant) *
       static_cast<double>(service.start_interval.value().count())));
-  // Half of the time that a call can spare, so that the answer holds when the
-  // pace falls; a queue as long as the spare time starts each call too late.
+  // The expected wait may take at most half of the time that the call can
+  // spare, so that the call still starts in time if the starts slow down. A
+  // queue as long as the full spare time would start each call too late.
   const TimePoint latest = call.deadline - service.p95_call_latency.value();
   if (now + wait * 2 >= latest && service.running_calls > 0) {
     return Refuse(call, reason, now, effects);
@@ -126,8 +127,8 @@
                                TimePoint now,
                                Effects& effects) {
   AdmissionQueue& queue = service.queue;
-  // While nothing of the service runs, nothing shows that the learned time
-  // still holds: the next call is tried, however short its time is.
+  // While no call of the service runs, nothing shows that the measured latency
+  // still applies, so the next call is tried even if its deadline is near.
   while (!queue.empty()) {
     const TimePoint unreachable_deadline =
         service.running_calls > 0 ? now + service.p95_call_latency.value()
@@ -170,7 +171,7 @@
   }
   if (reason == AnswerReason::kOverload ||
       reason == AnswerReason::kTenantLimit) {
-    // After about as long as the backlog takes to drain.
+    // About the time that the queue needs to drain.
     const ServiceState& service = ServiceOf(call.method->service);
     const auto backlog = static_cast<Duration::rep>(service.queue.size() + 1);
     answer.retry_after =
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -1,4 +1,4 @@
-// Attempts: first ones, hedges, retries and those that wait for a place.
+// Sends first attempts, hedges and retries, and those that waited for capacity.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -111,9 +111,9 @@
     return GiveUpUnlessInFlight(open, state, state.reason);
   }
   if (HasTimeForAttempt(open, now)) {
-    // Indexed by the targets that it may take: at the head of a queue that it
-    // cannot use, it would block those behind it.
-    // An ejected target has no ends that would wake it.
+    // Waits only for targets that it may use: at the head of the queue of
+    // another target, it would block the attempts behind it. Ejected targets
+    // are left out, since no attempt ends there that would trigger the queue.
     std::vector<TargetId> untried = UntriedReplicas(state);
     std::erase_if(untried, [&](const TargetId& id) {
       return !m_router.TakesWork(id, now);
@@ -143,13 +143,14 @@
       !HasTimeForAttempt(open, now)) {
     return;
   }
-  // A refused hedge is asked for again after the same delay: a target that
-  // never answers would else hold the shard for the rest of the call.
+  // A refused hedge is tried again after the same delay. Otherwise, a target
+  // that never answers would block the shard until the deadline of the call.
   state.hedge_at = now + HedgeDelay(open);
   SendShard(open, shard, AttemptKind::kHedge, now, effects);
-  // With replicas lost the others are busy, and a hedge never waits for a
-  // place. A retry does, and the shard needs one. Not while calls wait to run:
-  // then every attempt is slow, and retries would only add to the load.
+  // If replicas fail, the remaining ones are busy and refuse hedges, which
+  // never wait for capacity. A retry does wait, so one is sent after repeated
+  // refusals. It is not sent while calls wait to run: every attempt is slow
+  // then, and retries would only add to the load.
   if (state.refused_hedges >= m_options.retry.refused_hedges_before_retry &&
       open.service->queue.empty() &&
       MayRetry(open, state, AttemptStatus::kTimedOut, now)) {
@@ -183,8 +184,8 @@
                       AttemptStatus status,
                       TimePoint now) const {
   const RetryOptions& bounds = m_options.retry;
-  // A request that may not be repeated goes out again only after proof that the
-  // attempt before it cannot have run.
+  // A non-idempotent request is sent again only if the status proves that the
+  // previous attempt cannot have run.
   const bool repeatable =
       open.call.method->repeat == Repeat::kIdempotent || ProvesNotRun(status);
   return repeatable && state.retries < bounds.retries_per_shard &&
--- a/src/jacinthdeck/query/engine_finish.cc
+++ b/src/jacinthdeck/query/engine_finish.cc
@@ -1,4 +1,4 @@
-// Ends of shards and of calls: the one answer.
+// Ends shards and calls, and builds the final answer.
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +13,7 @@
 
 namespace internal {
 
-//! Reason of a call that ends with shards missing.
+//! Returns the reason to report for a call that ends with missing shards.
 [[nodiscard]] AnswerReason ReasonOf(const OpenCall& open) noexcept {
   AnswerReason reason = AnswerReason::kNone;
   for (const ShardState& state : open.shards) {
@@ -100,8 +100,8 @@
     answer.version = open.map->version;
     answer.outcome = missing.empty() ? Outcome::kWhole : Outcome::kPartial;
   } else {
-    // "Not run" only where each attempt ended with proof of it; one that is
-    // still in flight may run until its cancel arrives.
+    // Reports kNotRun only if every attempt ended with proof that it did not
+    // run. An attempt in flight may still run until its cancellation arrives.
     answer.outcome = may_have_run ? Outcome::kUnknown : Outcome::kNotRun;
   }
   if (answer.outcome == Outcome::kWhole) {
@@ -110,7 +110,8 @@
   } else {
     answer.reason = internal::ReasonOf(open);
   }
-  // A call that may have run and may not be repeated must not come back.
+  // A non-idempotent call that may have run must not be sent again, so its
+  // answer has no retry_after.
   if (answer.outcome == Outcome::kNotRun ||
       (answer.outcome != Outcome::kWhole &&
        method.repeat == Repeat::kIdempotent)) {
--- a/src/jacinthdeck/query/engine_quarantine.cc
+++ b/src/jacinthdeck/query/engine_quarantine.cc
@@ -1,4 +1,5 @@
-// Suspects: one probe at a time, verdicts, and what was held for them.
+// Sends suspects as probes, one at a time, and resumes the shards held for
+// them.
 #include <algorithm>
 #include <iterator>
 #include <utility>
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -1,4 +1,4 @@
-// Ends of attempts: what is learned, what is merged, what follows a failure.
+// Processes the ends of attempts: statistics, replies, retries and restarts.
 #include <algorithm>
 #include <array>
 #include <utility>
@@ -11,8 +11,8 @@
 
 namespace internal {
 
-//! Why a shard is missing after an attempt ended so; in the order of
-//! AttemptStatus.
+//! Reason reported for a shard whose last attempt ended with a status; indexed
+//! by AttemptStatus.
 constexpr std::array<AnswerReason, kAttemptStatusNames.names.size()> kReasons{
     AnswerReason::kNone,          // kAnswered
     AnswerReason::kVersionGone,   // kVersionGone
@@ -44,8 +44,8 @@
   AttemptStatus status = reply.status;
   if (status == AttemptStatus::kAnswered &&
       (reply.version != attempt.version || reply.range != attempt.range)) {
-    // It ran, but it answers another question: merged, it would mix snapshots
-    // or claim a range that nobody read.
+    // The request ran, but for another version or range. Merging the reply
+    // would mix index versions or cover keys that were not read.
     ++m_counters.mismatched_replies;
     status = AttemptStatus::kFailed;
   }
@@ -68,7 +68,7 @@
                               const AttemptReply& reply,
                               TimePoint now) {
   const auto latency = std::chrono::duration_cast<Duration>(now - attempt.sent);
-  // A hedge whose answer was no longer wanted did not win.
+  // A cancelled hedge did not win; it is reported as a first attempt.
   const AttemptKind kind =
       attempt.cancelled ? AttemptKind::kFirst : attempt.kind;
   m_router.Finish(AttemptResult{attempt.target, status, latency,
@@ -119,13 +119,14 @@
     }
   }
   if (!state.in_flight.empty()) {
-    // The other attempt may still answer; a hedge replaces the one that failed.
+    // Another attempt may still answer; a hedge replaces the failed one.
     state.hedge_at = now + HedgeDelay(open);
     return ArmTimerAt(open, *state.hedge_at);
   }
   const bool survived = status == AttemptStatus::kFailed;
   if (attempt.probe && !ProvesNotRun(status) && !survived) {
-    // A suspect is retried once, and this was the retry.
+    // A suspect is retried only once, as a probe, since each run may crash
+    // another target. This attempt was the probe.
     const bool quarantined = m_quarantine.StateOf(attempt.fingerprint, now) ==
                              QuarantineState::kQuarantined;
     return GiveUp(open, state,
