--- a/test/jacinthdeck/query/engine_fixture.h
+++ b/test/jacinthdeck/query/engine_fixture.h
@@ -1,4 +1,5 @@
-// An engine over a real router, a paused clock and targets that the test plays.
+// Fixture with an engine, a real router and a manual clock; the test itself
+// sends the replies of the targets.
 #ifndef JACINTHDECK_TEST_QUERY_ENGINE_FIXTURE_H_
 #define JACINTHDECK_TEST_QUERY_ENGINE_FIXTURE_H_
 
@@ -15,7 +16,8 @@
 
 namespace jacinthdeck {
 
-/*! \brief One service of kShards shards with kReplicas replicas each. */
+/*! \brief Engine with one service of kShards shards, each with kReplicas
+ * replicas. */
 struct EngineFixture {
   static constexpr std::size_t kShards = 4;
   static constexpr std::size_t kReplicas = 3;
@@ -24,7 +26,7 @@
   ManualClock clock;
   Router router;
   Engine engine;
-  //! Everything that the engine wanted since the test last cleared it.
+  //! Actions that the engine requested since the test last cleared them.
   Effects effects;
   ServiceId service{"Desk"};
   std::vector<TargetInfo> targets;
@@ -103,7 +105,7 @@
     return call;
   }
 
-  //! Submits a call of a method and gives its id.
+  //! Submits a call of a method and returns its id.
   CallId Submit(const Method& method) { return Submit(MakeCall(method)); }
 
   CallId Submit(Call call) {
@@ -112,7 +114,7 @@
     return id;
   }
 
-  //! Moves the clock and lets the engine act at each moment that it asked for.
+  //! Advances the clock and calls OnTimer() whenever the engine asked for it.
   void Advance(Duration step) {
     const TimePoint end = clock.Now() + step;
     while (engine.NextTimer() && *engine.NextTimer() <= end) {
@@ -122,7 +124,7 @@
     clock.Advance(end - clock.Now());
   }
 
-  //! A right answer to a send, with one hit named after its range.
+  //! Returns a correct reply to a send, with one hit named after its range.
   [[nodiscard]] static AttemptReply Answered(const SendAttempt& send) {
     AttemptReply reply;
     reply.attempt = send.attempt;
@@ -143,12 +145,12 @@
     Reply(reply);
   }
 
-  //! Takes the sends recorded so far.
+  //! Returns the sends recorded so far and clears them.
   [[nodiscard]] std::vector<SendAttempt> TakeSends() {
     return std::exchange(effects.sends, {});
   }
 
-  //! Answers everything that is sent until nothing more is.
+  //! Answers all sends, and those that follow from the answers.
   void AnswerAll() {
     while (!effects.sends.empty()) {
       for (const SendAttempt& send : TakeSends()) {
@@ -157,7 +159,8 @@
     }
   }
 
-  //! The only answer recorded so far.
+  //! Returns the only answer recorded so far; fails the test if there is not
+  //! exactly one.
   [[nodiscard]] const Answer& OnlyAnswer() const {
     BOOST_REQUIRE(effects.answers.size() == 1);
     return effects.answers.front().answer;
--- a/test/jacinthdeck/query/engine_once_test.cc
+++ b/test/jacinthdeck/query/engine_once_test.cc
@@ -1,4 +1,5 @@
-// Tests of requests that may run at most once, and of truthful outcomes.
+// Tests of requests that may run at most once, and of the outcomes "not run"
+// and "unknown".
 #include <boost/test/unit_test.hpp>
 
 #include "engine_fixture.h"
@@ -12,8 +13,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineOnceTest, OnceFixture)
 
-// The connection to the target of a claim is lost. It may have run: the caller
-// is told so at once, it is not sent again, and it must not come back.
+// The connection is lost after a claim was sent, so the claim may have run. The
+// caller gets kUnknown at once without a retry_after, and the engine does not
+// send the claim again.
 BOOST_AUTO_TEST_CASE(Engine_ClaimLost_UnknownAtOnceAndNeverSentAgain) {
   End(sends[0], AttemptStatus::kLost);
   BOOST_TEST((OnlyAnswer().outcome == Outcome::kUnknown));
@@ -22,7 +24,7 @@
   BOOST_TEST(effects.sends.empty());
 }
 
-// Each end that may have run forbids another attempt.
+// After each status with which the claim may have run, it is not sent again.
 BOOST_AUTO_TEST_CASE(Engine_ClaimMayHaveRun_NoSecondAttempt) {
   for (const AttemptStatus status :
        {AttemptStatus::kTimedOut, AttemptStatus::kFailed,
@@ -38,7 +40,8 @@
   }
 }
 
-// A claim is answered from another version than asked for. It ran.
+// A claim is answered from another index version than requested. The answer is
+// not used, but the claim ran.
 BOOST_AUTO_TEST_CASE(Engine_ClaimAnsweredForAnotherVersion_IsUnknown) {
   AttemptReply reply = Answered(sends[0]);
   reply.version = IndexVersion(9);
@@ -47,7 +50,8 @@
   BOOST_TEST(effects.sends.empty());
 }
 
-// Each end that proves that it did not run allows another attempt.
+// After each status that proves that the claim did not run, it is sent to
+// another target.
 BOOST_AUTO_TEST_CASE(Engine_ClaimProvedNotRun_IsSentElsewhere) {
   for (const AttemptStatus status :
        {AttemptStatus::kShed, AttemptStatus::kNotSent,
@@ -62,7 +66,7 @@
   }
 }
 
-// The target of a claim is slow. A second attempt would run it twice.
+// The target of a claim is slow. A hedge could run the claim twice.
 BOOST_AUTO_TEST_CASE(Engine_ClaimSlow_IsNotHedged) {
   Advance(kDeadline);
   BOOST_TEST(effects.sends.empty());
@@ -70,8 +74,8 @@
   BOOST_TEST(OnlyAnswer().attempts == 1U);
 }
 
-// All replicas refuse a claim. Nothing ran, the caller is told so well before
-// its deadline, and when to come back.
+// All replicas shed a claim. The caller gets kNotRun with a retry_after well
+// before its deadline.
 BOOST_AUTO_TEST_CASE(Engine_ClaimShedEverywhere_NotRunBeforeTheDeadline) {
   End(sends[0], AttemptStatus::kShed);
   const TimePoint start = clock.Now();
@@ -87,8 +91,8 @@
   BOOST_TEST((clock.Now() < start + kDeadline / 2));
 }
 
-// A search is refused by one replica and lost at another before its shards are
-// given up. One attempt may have run, so the answer is not "not run".
+// One attempt of a search fails on its target and all others are shed. Since
+// one attempt may have run, the outcome must not be kNotRun.
 BOOST_AUTO_TEST_CASE(Engine_OneAttemptOfManyMayHaveRun_OutcomeIsUnknown) {
   effects = Effects();
   (void)Submit(Search());
@@ -104,8 +108,8 @@
   BOOST_TEST(OnlyAnswer().retry_after.has_value());
 }
 
-// A claim asks every shard, which may not repeat it either; one part is lost.
-// The others are answered, and nothing of it is sent again.
+// A non-idempotent request goes to all shards, and the connection to one target
+// is lost. The answer is partial, and no attempt is sent again.
 BOOST_AUTO_TEST_CASE(Engine_AllShardsClaimLosesOneShard_PartialWithoutRetry) {
   effects = Effects();
   Method method = Search();
@@ -122,8 +126,8 @@
   BOOST_TEST(effects.sends.empty());
 }
 
-// A version is gone after one part of such a call was answered. A restart would
-// run that part twice.
+// A version is gone on one shard after the other shards of a non-idempotent
+// call were answered. A restart would run the call on those shards twice.
 BOOST_AUTO_TEST_CASE(Engine_AllShardsClaimVersionGone_NoRestartAfterARun) {
   effects = Effects();
   engine.SetVersions(service, {Map(7), Map(8)});
--- a/test/jacinthdeck/query/engine_snapshot_test.cc
+++ b/test/jacinthdeck/query/engine_snapshot_test.cc
@@ -1,4 +1,4 @@
-// Tests of the one snapshot of each answer.
+// Tests that each answer comes from a single index version.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 
@@ -7,7 +7,7 @@
 namespace jacinthdeck {
 
 struct SnapshotFixture : EngineFixture {
-  //! Ends every attempt of a version with kVersionGone and answers the others.
+  //! Ends all attempts on a version with kVersionGone and answers the others.
   void AnswerAllBut(IndexVersion gone) {
     while (!effects.sends.empty()) {
       for (const SendAttempt& send : TakeSends()) {
@@ -20,7 +20,7 @@
     }
   }
 
-  //! A map of the same version 7 numbering but other shard borders.
+  //! Returns a map with other shard boundaries than Map().
   [[nodiscard]] static PartitionMap Repartitioned(std::uint64_t version) {
     PartitionMap map = Map(version);
     map.shards[0].range.end += 1000;
@@ -38,8 +38,8 @@
   BOOST_TEST((OnlyAnswer().version == IndexVersion(8)));
 }
 
-// The newest version lacks a live replica for one shard. An answer from it
-// could not be whole; the one from the version before it can.
+// One shard of the newest version has no live replica. An answer from it could
+// not be whole, while the previous version can give a whole answer.
 BOOST_AUTO_TEST_CASE(Engine_NewestVersionLacksAShard_OlderOneIsPinned) {
   PartitionMap newest = Map(8);
   newest.shards[3].replicas = {TargetId("not-there-yet")};
@@ -50,9 +50,9 @@
   BOOST_TEST((OnlyAnswer().outcome == Outcome::kWhole));
 }
 
-// Three shards have answered from version 8 when the fourth says that none of
-// its replicas serves it. The caller gets a whole answer from version 7 alone:
-// what was gathered from 8 is dropped.
+// Three shards have answered from version 8 when all replicas of the fourth
+// report that they do not serve it. The caller gets a whole answer from version
+// 7 alone, and the replies from version 8 are dropped.
 BOOST_AUTO_TEST_CASE(Engine_VersionGoneMidCall_WholeCallRestartsOnAnother) {
   engine.SetVersions(service, {Map(7), Map(8)});
   (void)Submit(Search());
@@ -75,8 +75,8 @@
   BOOST_TEST(engine.counters().restarts == 1U);
 }
 
-// A reply of the abandoned version arrives after the restart. It is dropped: a
-// merge would mix two snapshots.
+// A reply from the abandoned version arrives after the restart. Merging it
+// would mix two index versions, so it is dropped.
 BOOST_AUTO_TEST_CASE(Engine_LateReplyOfAbandonedVersion_IsNotMerged) {
   engine.SetVersions(service, {Map(7), Map(8)});
   (void)Submit(Search());
@@ -97,8 +97,8 @@
   BOOST_TEST(engine.counters().late_replies == 1U);
 }
 
-// The operators' builders retire version 7 while a call on it runs. Replicas
-// that still hold it answer, and the call ends on 7 with the map of 7.
+// Version 7 is retired while a call on it runs. Replicas that still serve it
+// answer, and the call completes with version 7 and its map.
 BOOST_AUTO_TEST_CASE(Engine_VersionsReplacedDuringCall_PinnedMapIsKept) {
   (void)Submit(Search());
   engine.SetVersions(service, {Repartitioned(8)});
@@ -107,8 +107,9 @@
   BOOST_TEST((OnlyAnswer().outcome == Outcome::kWhole));
 }
 
-// Version 7 is retired and one replica says that it is gone. One word is enough
-// then: asking the other replicas of the shard would only cost time.
+// Version 7 is retired, and one replica reports that it no longer serves it.
+// The call restarts at once, since trying the shard's other replicas would only
+// cost time.
 BOOST_AUTO_TEST_CASE(Engine_RetiredVersionGoneOnce_RestartsAtOnce) {
   (void)Submit(Search());
   engine.SetVersions(service, {Repartitioned(8)});
@@ -121,8 +122,8 @@
   BOOST_TEST(effects.cancels.size() == kShards - 1);
 }
 
-// The only version is gone from a whole shard and there is no other. The caller
-// gets what the other shards hold, at once, and is told why.
+// All replicas of one shard no longer serve the only version. The caller gets a
+// partial answer with the reason at once.
 BOOST_AUTO_TEST_CASE(Engine_OnlyVersionGoneFromAShard_PartialAtOnce) {
   (void)Submit(Search());
   const TimePoint start = clock.Now();
@@ -142,7 +143,8 @@
   BOOST_TEST((clock.Now() < start + kDeadline / 2));
 }
 
-// No replica serves the only version. Nothing ran, and the caller is told so.
+// No replica serves the only version, so nothing ran and the outcome is
+// kNotRun.
 BOOST_AUTO_TEST_CASE(Engine_OnlyVersionGoneEverywhere_NotRun) {
   (void)Submit(Search());
   for (int round = 0; round < 20 && effects.answers.empty(); ++round) {
@@ -154,8 +156,8 @@
   BOOST_TEST(OnlyAnswer().retry_after.has_value());
 }
 
-// New calls go straight to the version that works while the evidence against
-// the newer one is fresh, and try the newer one again later.
+// New calls start on the older version while the reports that the newer one is
+// not served are fresh, and try the newer one again later.
 BOOST_AUTO_TEST_CASE(Engine_VersionNotServedYet_IsSkippedUntilReportExpires) {
   engine.SetVersions(service, {Map(7), Map(8)});
   for (int i = 0; i < 2; ++i) {
@@ -168,8 +170,8 @@
   BOOST_TEST((effects.sends[0].version == IndexVersion(8)));
 }
 
-// A target answers from another version or for another range than it was asked
-// for. Merged, the answer would mix snapshots or claim keys that nobody read.
+// A target answers from another version or for another range than requested.
+// Merging the reply would mix index versions or cover keys that were not read.
 BOOST_AUTO_TEST_CASE(Engine_ReplyForAnotherVersionOrRange_IsNeverMerged) {
   (void)Submit(Search());
   const auto sends = TakeSends();
@@ -191,8 +193,8 @@
   BOOST_TEST(engine.counters().mismatched_replies == 2U);
 }
 
-// A map that leaves a gap in the key space would let an answer call itself
-// whole without the keys of the gap.
+// With a map that leaves a gap in the key space, an answer that lacks the keys
+// of the gap would be reported as whole.
 BOOST_AUTO_TEST_CASE(Engine_MapWithAGap_IsNotUsed) {
   PartitionMap gap = Map(8);
   gap.shards[1].range.begin += 1;
@@ -202,8 +204,8 @@
   BOOST_TEST((effects.sends[0].version == IndexVersion(7)));
 }
 
-// A moved range is held by two targets, and both send the same item. The caller
-// sees it once.
+// A range that is being moved is held by two targets, and both return the same
+// item. It appears once in the answer.
 BOOST_AUTO_TEST_CASE(Engine_ItemOnTwoTargets_AppearsOnceInTheAnswer) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -1,4 +1,4 @@
-// Random orders of faults; what must hold, holds for every seed.
+// Checks the engine's invariants under random sequences of faults.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <numeric>
@@ -118,11 +118,11 @@
 
 BOOST_AUTO_TEST_SUITE(EngineSweepTest)
 
-// Versions change, targets leave, fall silent, crash under requests and end
-// them in every way, callers go away, in an order drawn from the seed. Whatever
-// comes together: one answer for each call and in time, true coverage, one
-// version, "not run" only where nothing ran, at most one run of a claim, and
-// nothing left behind.
+// Versions change, targets leave, stop answering, crash or end requests with
+// any status, and callers go away, in an order drawn from the seed. Each call
+// that is not abandoned gets one answer by its deadline, with correct coverage
+// and hits of one version; kNotRun means that nothing ran; a claim runs at most
+// once; and no call, timer or attempt remains at the end.
 BOOST_AUTO_TEST_CASE(Engine_RandomFaults_InvariantsHoldForEverySeed) {
   std::array<std::size_t, 4> outcomes{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
--- a/test/jacinthdeck/query/engine_test.cc
+++ b/test/jacinthdeck/query/engine_test.cc
@@ -1,4 +1,4 @@
-// Tests of the plain path of a call, its deadline, retries and hedges.
+// Tests of a call without faults, and of deadlines, retries and hedges.
 #include "jacinthdeck/query/engine.h"
 
 #include <algorithm>
@@ -23,8 +23,9 @@
   BOOST_TEST(!engine.NextTimer().has_value());
 }
 
-// One shard never answers. The caller sees a partial answer at its deadline
-// that names exactly the missing range; the attempt is cancelled.
+// One shard never answers. The caller gets a partial answer at its deadline
+// that lists exactly the missing range, and the attempts of the shard are
+// cancelled.
 BOOST_AUTO_TEST_CASE(Engine_OneShardUnresponsive_PartialNamesTheRange) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
@@ -42,8 +43,9 @@
   BOOST_TEST(effects.cancels.size() == answer.hedges + 1);
 }
 
-// A target is slow. After the router's delay the shard is asked elsewhere too;
-// the first answer wins, the loser is cancelled and its late answer dropped.
+// A target is slow. After the router's hedge delay, a hedge goes to another
+// replica. Its answer wins; the first attempt is cancelled, and its late answer
+// is dropped.
 BOOST_AUTO_TEST_CASE(Engine_SlowTarget_HedgeWinsAndLoserIsCancelled) {
   (void)Submit(Search());
   const auto sends = TakeSends();
@@ -66,7 +68,7 @@
 }
 
 // A hedge wins, and the first attempt answers too while other shards are open.
-// Taken as the answer of one more shard, it would end the call too early.
+// Counted as the answer of another shard, it would end the call too early.
 BOOST_AUTO_TEST_CASE(Engine_LoserAnswersWhileCallIsOpen_CountsOnce) {
   Method count = Search();
   count.merge = MergeRule::kCount;
@@ -96,8 +98,8 @@
   BOOST_TEST((retries[0].target != sends[0].target));
 }
 
-// A target fails every request at once, and so do its peers. The caller gets
-// the partial answer when the bound on retries is reached, not at its deadline.
+// All replicas of a shard fail every request at once. The caller gets the
+// partial answer when the retry limit is reached, not at its deadline.
 BOOST_AUTO_TEST_CASE(Engine_ShardKeepsFailing_PartialIsAnsweredAtOnce) {
   (void)Submit(Search());
   const TimePoint start = clock.Now();
@@ -118,9 +120,9 @@
   BOOST_TEST((clock.Now() < start + kDeadline));
 }
 
-// A target is silent and the other replicas are busy. A hedge never waits for a
-// place, so the shard asks for a retry, which does: the caller gets a whole
-// answer and not one without the shard.
+// A target does not answer and the other replicas are busy. A hedge never waits
+// for capacity, but a retry does. Without the retry, the shard would be missing
+// from the answer.
 BOOST_AUTO_TEST_CASE(Engine_TargetHangsAndOthersBusy_RetryWaitsForCapacity) {
   for (TargetInfo& target : targets) {
     target.connections = 1;
@@ -143,8 +145,8 @@
   BOOST_TEST((tight.effects.sends[0].target == sends[1].target));
 }
 
-// Every target is at its limit. The next call waits for a place and takes it
-// when an attempt of another call finishes.
+// Every target is at its limit of attempts in flight. The next attempt waits
+// and is sent when an attempt of another call finishes.
 BOOST_AUTO_TEST_CASE(Engine_TargetsAtLimit_AttemptWaitsForCapacity) {
   std::vector<SendAttempt> running;
   for (int i = 0; i < 200; ++i) {
--- a/test/jacinthdeck/query/fleet_fixture.h
+++ b/test/jacinthdeck/query/fleet_fixture.h
@@ -1,4 +1,4 @@
-// An engine over simulated targets, run to chosen moments.
+// Fixture with an engine and simulated targets on one manual clock.
 #ifndef JACINTHDECK_TEST_QUERY_FLEET_FIXTURE_H_
 #define JACINTHDECK_TEST_QUERY_FLEET_FIXTURE_H_
 
@@ -14,7 +14,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Drives one engine and its targets on one clock. */
+/*! \brief Runs the events of an engine and of its targets in time order. */
 struct FleetFixture : EngineFixture {
   TargetFleet fleet;
   std::map<CallId, Answer> answers;
@@ -32,7 +32,8 @@
     router.SetTargets(targets, clock.Now());
   }
 
-  //! A call whose body names its fingerprint, so that targets can tell it.
+  //! Makes a call whose body contains its fingerprint, so that the simulated
+  //! targets can identify it.
   [[nodiscard]] Call MakeFleetCall(const Method& method,
                                    Fingerprint fingerprint) {
     Call call = MakeCall(method);
@@ -48,7 +49,7 @@
     return id;
   }
 
-  //! Hands effects to the targets and keeps the answers.
+  //! Passes the engine's effects to the targets and stores the answers.
   void Flush() {
     for (const SendAttempt& send : effects.sends) {
       BOOST_TEST_REQUIRE(
@@ -65,7 +66,7 @@
     effects.answers.clear();
   }
 
-  //! Lets time pass with everything that happens in it.
+  //! Advances the clock and processes all timers and target events on the way.
   void RunFor(Duration step) {
     const TimePoint end = clock.Now() + step;
     while (true) {
--- a/test/jacinthdeck/query/target_fleet.h
+++ b/test/jacinthdeck/query/target_fleet.h
@@ -1,5 +1,5 @@
-// Simulated targets under an engine: slots, queues, service times, faults and
-// open-loop callers, all on one paused clock.
+// Simulated targets for engine tests: slots, queues, service times and faults
+// on a manual clock.
 #ifndef JACINTHDECK_TEST_QUERY_TARGET_FLEET_H_
 #define JACINTHDECK_TEST_QUERY_TARGET_FLEET_H_
 
@@ -18,31 +18,31 @@
 
 namespace jacinthdeck {
 
-/*! \brief How the simulated targets behave. */
+/*! \brief Behaviour of the simulated targets. */
 struct FleetOptions {
   std::uint32_t slots = 3;
-  //! Requests that wait at one target; beyond them it sheds.
+  //! Maximum number of requests that wait at a target; it sheds further ones.
   std::size_t queue = 8;
   //! Mean of the exponential service time.
   Duration service = std::chrono::milliseconds(10);
   Duration network = std::chrono::microseconds(500);
 };
 
-/*! \brief Targets that answer whatever the engine sends. */
+/*! \brief Discrete-event simulation of the targets that the engine sends to. */
 class TargetFleet {
  public:
   TargetFleet(std::uint64_t seed, const FleetOptions& options)
       : m_random(seed), m_options(options) {}
 
-  //! Requests that crash the target that runs them.
+  //! Fingerprints of the requests that crash the target that runs them.
   std::set<Fingerprint> crashing;
-  //! Crashes so far, by fingerprint.
+  //! Number of crashes so far, by fingerprint.
   std::map<Fingerprint, std::size_t> crashes;
-  //! Share of requests that end in a way drawn from all of them.
+  //! Share of requests that end at once with a status drawn at random.
   double fault_rate = 0;
-  //! Targets that accept and never answer.
+  //! Targets that accept requests and never answer them.
   std::set<TargetId> unresponsive;
-  //! Requests that began to run, by call.
+  //! Number of requests that started to run on a target, by call.
   std::map<CallId, std::size_t> runs;
 
   [[nodiscard]] std::optional<TimePoint> NextEventAt() const {
@@ -62,7 +62,7 @@
     }
   }
 
-  //! Runs the earliest event; gives the reply that it led to.
+  //! Runs the earliest event and returns the replies that it caused.
   [[nodiscard]] std::vector<AttemptReply> RunNextEvent() {
     const TimePoint now = m_events.begin()->first;
     const Event event = m_events.begin()->second;
