--- a/src/jacinthdeck/query/quarantine.h
+++ b/src/jacinthdeck/query/quarantine.h
@@ -86,7 +86,7 @@
    * \param range Key range that the attempt asked for.
    * \param probe Whether the request was already a suspect when it was sent.
    * \param now Present time.
-   * \return State that the crash newly caused; kNone if it did not change.
+   * \return New state if the crash changed it, otherwise kNone.
    */
   [[nodiscard]] QuarantineState RecordCrash(Fingerprint fingerprint,
                                             const KeyRange& range,
--- a/src/jacinthdeck/query/version_catalog.h
+++ b/src/jacinthdeck/query/version_catalog.h
@@ -61,7 +61,7 @@
   /**
    * \brief Chooses the newest version in which every shard asked for has a
    * usable replica; if there is none, the version with the most such shards.
-   * \return The choice; its map is null if every version is excluded.
+   * \return The choice; its map is null if no version is left.
    */
   [[nodiscard]] VersionChoice Choose(const VersionRequest& request,
                                      TimePoint now) const;
@@ -80,7 +80,8 @@
    * \brief Replaces the versions of a service.
    * \param maps Maps, newest last. A map that is not a partition of the key
    * space is ignored: with a gap, an answer that lacks the keys of the gap
-   * would be reported as whole. \return Number of ignored maps.
+   * would be reported as whole.
+   * \return Number of ignored maps.
    */
   std::size_t Set(const ServiceId& service, std::vector<PartitionMap> maps);
 
--- a/test/jacinthdeck/query/admission_queue_test.cc
+++ b/test/jacinthdeck/query/admission_queue_test.cc
@@ -1,4 +1,4 @@
-// Tests of the fair waiting queue.
+// Tests of the weighted fair admission queue.
 #include "jacinthdeck/query/admission_queue.h"
 
 #include <boost/test/unit_test.hpp>
@@ -51,7 +51,8 @@
   BOOST_TEST(std::ranges::count(taken, 'h') == 3);
 }
 
-// A call to ten shards takes as much of the targets as ten calls to one.
+// Starts are weighted by cost: a call to ten shards uses as much target
+// capacity as ten calls to one shard.
 BOOST_AUTO_TEST_CASE(TakeNext_CostlyCalls_CountByTheirCost) {
   for (int i = 0; i < 4; ++i) {
     Add("wide", 100, 3);
@@ -61,8 +62,9 @@
   BOOST_TEST(std::ranges::count(taken, 'n') == 3);
 }
 
-// One tenant always has a single call waiting, another a backlog. If the first
-// were new each time, it would go first each time and the backlog never move.
+// One tenant adds a new call whenever its last one started, and another has a
+// backlog. If the first tenant's virtual time were reset each time, its calls
+// would always go first and the backlog would never start.
 BOOST_AUTO_TEST_CASE(TakeNext_TenantReturnsAtOnce_BacklogIsNotStarved) {
   for (int i = 0; i < 5; ++i) {
     Add("heavy");
--- a/test/jacinthdeck/query/coverage_test.cc
+++ b/test/jacinthdeck/query/coverage_test.cc
@@ -1,4 +1,4 @@
-// Tests of key range sets.
+// Tests of Coverage and IsPartition().
 #include "jacinthdeck/query/coverage.h"
 
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,8 @@
   BOOST_TEST((coverage.ranges() == std::vector{KeyRange{0, 30}}));
 }
 
-// Two replies claim the same keys. Counted twice, a sum would be too high.
+// Two replies cover the same keys. If both were counted, a sum would be too
+// high.
 BOOST_AUTO_TEST_CASE(Coverage_OverlappingRange_IsRefusedUnchanged) {
   BOOST_TEST(coverage.Add(KeyRange{10, 20}));
   for (const KeyRange range :
@@ -52,7 +53,7 @@
   BOOST_TEST(asked.MissingFrom(asked).empty());
 }
 
-// Held and missing keys are compared with a plain bit for each key.
+// Compares the covered and missing keys with a model of one bit per key.
 BOOST_AUTO_TEST_CASE(Coverage_RandomRanges_MatchesBitPerKeyModel) {
   constexpr std::uint64_t kKeys = 64;
   Random random(3);
--- a/test/jacinthdeck/query/engine_admission_test.cc
+++ b/test/jacinthdeck/query/engine_admission_test.cc
@@ -1,4 +1,5 @@
-// Tests of admission: overload, tenants, drain, callers that go away.
+// Tests of admission: overload, fairness between tenants, draining and callers
+// that go away.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <limits>
@@ -10,15 +11,15 @@
 struct AdmissionFixture : FleetFixture {
   using FleetFixture::FleetFixture;
 
-  //! Without ejections, which take sound targets out under overload and differ
-  //! from seed to seed: the tests are of admission.
+  //! Disables outlier ejection, which removes healthy targets under overload
+  //! and would make the results of admission depend on the seed.
   [[nodiscard]] static RouterOptions WithoutEjection() {
     RouterOptions options;
     options.eject_outliers = false;
     return options;
   }
 
-  //! Offers calls at even intervals; gives the whole answers a second.
+  //! Submits calls at even intervals; returns the whole answers per second.
   double OfferLoad(double calls_per_second, Duration length) {
     const auto gap =
         Duration(static_cast<Duration::rep>(1e6 / calls_per_second));
@@ -33,7 +34,7 @@
            (static_cast<double>(length.count()) / 1e6);
   }
 
-  //! Takes every place of the targets, so that calls begin to wait.
+  //! Uses all capacity of the targets, so that further calls wait.
   void Saturate() {
     for (int i = 0; i < 1000 && engine.waiting_calls() == 0; ++i) {
       (void)Submit(Search());
@@ -52,12 +53,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineAdmissionTest, AdmissionFixture)
 
-// Twice the load that the targets can serve. Without admission every call gets
-// some of its shards and misses its deadline on the others, so the targets are
-// busy and nobody gets a whole answer. With it, calls that cannot be served are
-// refused before they cost anything, and the others get whole answers.
+// Callers send twice the load that the targets can serve. Without admission,
+// each call would get answers from some shards and miss its deadline on the
+// others: the targets are busy, but no answer is whole. With admission, calls
+// that cannot be served are refused before they cost anything, and the others
+// get whole answers.
 BOOST_AUTO_TEST_CASE(Engine_TwiceCapacityOffered_GoodputDoesNotCollapse) {
-  constexpr double kCapacity = 800;  // 9 slots a shard, 11 ms a request
+  constexpr double kCapacity = 800;  // 9 slots per shard, 11 ms per request
   double once = 0;
   double twice = 0;
   std::size_t wasted = 0;
@@ -76,9 +78,9 @@
   BOOST_TEST(static_cast<double>(wasted) < 0.01 * 16 * twice);
 }
 
-// One tenant offers ten times what the targets can serve, another a tenth of
-// it. The second must not notice: its calls go first, since it is behind its
-// share.
+// One tenant sends ten times the load that the targets can serve, and another
+// one sends a tenth of what they can serve. The second one is not affected: it
+// uses less than its share, so its calls start first.
 BOOST_AUTO_TEST_CASE(Engine_OneTenantFloods_OtherTenantIsServed) {
   std::vector<CallId> quiet;
   for (int i = 0; i < 16000; ++i) {
@@ -100,8 +102,8 @@
              0.99 * static_cast<double>(quiet.size()));
 }
 
-// The queue of a flooding tenant is full. Its next call is refused at once as
-// not run, with a time to come back, and another tenant's call still gets in.
+// One tenant has filled the queue. Its next call is refused at once as not run
+// and with a retry_after, while a call of another tenant is still queued.
 BOOST_AUTO_TEST_CASE(Engine_WaitingQueueFull_RefusesTheTenantOverItsShare) {
   Saturate();
   const std::size_t most = AdmissionOptions().max_waiting_calls;
@@ -119,8 +121,8 @@
   BOOST_TEST(engine.waiting_calls() == most);
 }
 
-// A waiting call runs out of time. It is refused when it can no longer be
-// answered, as not run, and not held until a target is free.
+// A waiting call can no longer be answered before its deadline. It is refused
+// at that time as not run, instead of waiting until a target is free.
 BOOST_AUTO_TEST_CASE(Engine_WaitingCallOutOfTime_IsRefusedAsNotRun) {
   Saturate();
   Advance(kDeadline);
@@ -129,8 +131,8 @@
   BOOST_TEST(!engine.NextTimer().has_value());
 }
 
-// An operator drains the entry. New calls are refused as not run, and the one
-// that runs gets its whole answer.
+// An operator drains the host. New calls are refused as not run, and the
+// running one gets its whole answer.
 BOOST_AUTO_TEST_CASE(Engine_Draining_RefusesNewCallsAndFinishesRunningOnes) {
   const CallId running = Submit(Search());
   engine.Drain();
--- a/test/jacinthdeck/query/engine_quarantine_test.cc
+++ b/test/jacinthdeck/query/engine_quarantine_test.cc
@@ -1,4 +1,5 @@
-// Tests of requests that crash the targets that run them.
+// Tests of requests that crash the targets that run them, and of their
+// quarantine.
 #include <boost/test/unit_test.hpp>
 
 #include "fleet_fixture.h"
@@ -22,7 +23,7 @@
     return method;
   }
 
-  //! A caller that sends the request again as soon as it has an answer.
+  //! Submits the crashing request repeatedly, once every 50 ms.
   void SubmitRepeatedly(const Method& method, int times) {
     for (int i = 0; i < times; ++i) {
       (void)SubmitAndFlush(MakeFleetCall(method, crashing));
@@ -34,8 +35,8 @@
 BOOST_FIXTURE_TEST_SUITE(EngineQuarantineTest, QuarantineFixture)
 
 // A keyed request crashes each target that runs it, and its caller sends it
-// again at once. Two targets die: the first run and the one retry. From then on
-// it is refused as not run.
+// again and again. The first attempt and its one retry crash a target each.
+// After that the request is refused as not run.
 BOOST_AUTO_TEST_CASE(Engine_KeyedRequestCrashesTargets_RefusedAfterTwoCrashes) {
   SubmitRepeatedly(Lookup(), 20);
   BOOST_TEST(Crashes() == 2U);
@@ -48,8 +49,9 @@
   BOOST_TEST(refused.attempts == 0U);
 }
 
-// A request to every shard crashes them all at once, before anything is known
-// of it. After that round one probe, on one target, decides.
+// A request to all shards crashes one target of each at once, before the first
+// crash is seen. One more crash, of the target of a single probe, quarantines
+// it.
 BOOST_AUTO_TEST_CASE(Engine_AllShardsRequestCrashes_OneTargetPerShardPlusOne) {
   SubmitRepeatedly(Search(), 20);
   BOOST_TEST(Crashes() == kShards + 1);
@@ -57,8 +59,9 @@
   BOOST_TEST(effects.quarantined.size() == 1U);
 }
 
-// The same request may not be repeated. The first loss is answered as unknown
-// at once; only the caller's own resend runs it again, and that convicts it.
+// A non-idempotent request crashes its target. Its caller gets kUnknown at
+// once. Only a resend by the caller runs the request again, and that crash
+// quarantines it.
 BOOST_AUTO_TEST_CASE(Engine_NonIdempotentRequestCrashes_OneTargetPerCall) {
   (void)SubmitAndFlush(MakeFleetCall(Claim(), crashing));
   RunFor(std::chrono::milliseconds(2));
@@ -69,8 +72,8 @@
   BOOST_TEST(Crashes() == 2U);
 }
 
-// Innocent requests run on the targets that die. The callers see nothing of it:
-// each is retried elsewhere, which clears it, and none is refused.
+// Harmless requests run on the targets that crash. Each is retried on another
+// target, which clears it, and gets a whole answer; none is refused.
 BOOST_AUTO_TEST_CASE(Engine_HarmlessRequestsOnCrashedTargets_AreCleared) {
   for (int i = 0; i < 8; ++i) {
     (void)SubmitAndFlush(
@@ -86,8 +89,9 @@
   BOOST_TEST(CountOf(Outcome::kWhole) == 8U);
 }
 
-// Many callers send one popular request when a target dies under another one.
-// They wait for the verdict of one probe and then get whole answers.
+// Several callers send a harmless request that is a suspect, because a target
+// crashed while running it beside another one. The calls wait for the result of
+// a single probe and then get whole answers.
 BOOST_AUTO_TEST_CASE(Engine_HarmlessSuspectCleared_HeldCallsResume) {
   const Fingerprint harmless(5);
   engine.AddPeerSuspect(harmless, clock.Now());
@@ -101,9 +105,8 @@
               QuarantineState::kNone));
 }
 
-// Calls wait for the verdict of a probe when a peer says that the request is
-// convicted. They are refused at that moment, as not run, and not when the
-// probe ends.
+// Calls wait for the result of a probe when a peer reports that the request is
+// quarantined. They are refused at once as not run, before the probe ends.
 BOOST_AUTO_TEST_CASE(Engine_PeerQuarantinesWhileCallsAreHeld_RefusedAtOnce) {
   engine.AddPeerSuspect(crashing, clock.Now());
   for (int i = 0; i < 3; ++i) {
@@ -118,8 +121,8 @@
   }
 }
 
-// The probe of a suspect ends without a verdict, but may have run. The request
-// is not sent once more: each run may cost a target.
+// The probe of a suspect times out, so it may have run. The request is not sent
+// again, since each run may crash a target.
 BOOST_AUTO_TEST_CASE(Engine_ProbeTimesOut_IsNotSentAgain) {
   engine.AddPeerSuspect(crashing, clock.Now());
   (void)Submit(MakeFleetCall(Lookup(), crashing));
@@ -130,9 +133,9 @@
   BOOST_TEST(effects.sends.empty());
 }
 
-// A failure domain goes down and takes several attempts of one request with
-// it. That is one round of deaths: the request is probed elsewhere and not
-// convicted.
+// A failure domain fails, and with it several attempts of one request. They
+// count as one round of crashes: the request is probed on another target and
+// not quarantined.
 BOOST_AUTO_TEST_CASE(Engine_FailureDomainLost_RequestIsNotQuarantined) {
   (void)Submit(Search());
   for (const SendAttempt& send : TakeSends()) {
@@ -144,8 +147,8 @@
   BOOST_TEST(engine.quarantine().Entries(clock.Now()).empty());
 }
 
-// Two suspects, one of them deadly. On one target both would be blamed for its
-// death; they are probed on different ones.
+// There are two suspects. If both were probed on one target, its crash would
+// count against both, so they must be probed on different ones.
 BOOST_AUTO_TEST_CASE(Engine_TwoSuspects_AreNeverProbedOnOneTarget) {
   engine.AddPeerSuspect(Fingerprint(1), clock.Now());
   engine.AddPeerSuspect(Fingerprint(2), clock.Now());
@@ -169,8 +172,8 @@
   }
 }
 
-// A request becomes a suspect while it runs on slow targets. A hedge would put
-// it on more of them.
+// A request becomes a suspect while it runs on slow targets. A hedge would run
+// it on more targets, which it might crash.
 BOOST_AUTO_TEST_CASE(Engine_SuspectWhileRunning_IsNotHedged) {
   const Call call = MakeCall(Search());
   (void)Submit(call);
@@ -190,8 +193,8 @@
   BOOST_TEST(OnlyAnswer().attempts == 1U);
 }
 
-// The conviction ends by itself. The request is still deadly: it costs one more
-// target, not a whole round, and is refused again.
+// The quarantine of a request that still crashes targets expires. The request
+// crashes one more target instead of one per shard, and is refused again.
 BOOST_AUTO_TEST_CASE(Engine_QuarantineExpires_OneMoreCrashRenewsIt) {
   SubmitRepeatedly(Search(), 3);
   const std::size_t before = Crashes();
@@ -212,9 +215,10 @@
   BOOST_TEST((answers.at(id).outcome == Outcome::kWhole));
 }
 
-// The caller goes round three entries that share nothing but what they tell
-// each other. The first round kills one target a shard, then each entry's one
-// probe at most one more, however often the caller comes back.
+// A caller sends a crashing request to three hosts in turn, which share nothing
+// but their reports of suspect and quarantined requests. The first round
+// crashes one target per shard, and the probe of each host at most one more,
+// however often the caller sends the request.
 BOOST_AUTO_TEST_CASE(Engines_CallerResendsToEachHost_CrashesStayBounded) {
   constexpr std::size_t kHosts = 3;
   std::vector<std::unique_ptr<QuarantineFixture>> hosts;
@@ -240,8 +244,8 @@
   for (const auto& host : hosts) {
     crashes += host->Crashes();
   }
-  BOOST_TEST_MESSAGE("targets killed over " << kHosts
-                                            << " entries: " << crashes);
+  BOOST_TEST_MESSAGE("targets crashed over " << kHosts
+                                             << " hosts: " << crashes);
   BOOST_TEST(crashes <= kShards + kHosts);
 }
 
--- a/test/jacinthdeck/query/merge_test.cc
+++ b/test/jacinthdeck/query/merge_test.cc
@@ -1,4 +1,4 @@
-// Tests of the merge rules.
+// Tests of the merge rules in Merger.
 #include "jacinthdeck/query/merge.h"
 
 #include <algorithm>
@@ -68,7 +68,7 @@
   }
 }
 
-// Replies arrive in any order. Two callers that ask the same must see the same.
+// Replies arrive in any order, and equal requests must get equal answers.
 BOOST_AUTO_TEST_CASE(EveryRule_AnyOrderOfReplies_SameResult) {
   Random random(5);
   for (int round = 0; round < 200; ++round) {
--- a/test/jacinthdeck/query/quarantine_test.cc
+++ b/test/jacinthdeck/query/quarantine_test.cc
@@ -1,4 +1,4 @@
-// Tests of the evidence about crashing requests.
+// Tests of the quarantine state of crashing requests.
 #include "jacinthdeck/query/quarantine.h"
 
 #include <boost/test/unit_test.hpp>
@@ -25,8 +25,9 @@
               QuarantineState::kQuarantined));
 }
 
-// A request crashes on the data of one shard. That other shards survive it says
-// nothing; believed, it would be cleared each time and kill without end.
+// A request crashes targets on the data of one shard only. If its completion on
+// other shards cleared it, it would never be quarantined and crash targets
+// without limit.
 BOOST_AUTO_TEST_CASE(RecordCompletion_OtherKeys_DoesNotClear) {
   (void)quarantine.RecordCrash(request, range, false, now);
   BOOST_TEST(!quarantine.RecordCompletion(request, KeyRange{100, 200}, now));
@@ -51,7 +52,7 @@
   BOOST_TEST(quarantine.Entries(now).empty());
 }
 
-// A flood of suspects fills the table. A known killer stays refused.
+// A flood of suspects fills the table. Quarantined requests are not evicted.
 BOOST_AUTO_TEST_CASE(RecordCrash_TableFull_QuarantinedEntriesAreKept) {
   quarantine.AddPeerQuarantine(request, now);
   now += options.quarantine_ttl - options.suspect_ttl / 2;
--- a/test/jacinthdeck/query/waiting_attempts_test.cc
+++ b/test/jacinthdeck/query/waiting_attempts_test.cc
@@ -1,4 +1,4 @@
-// Tests of the queues of attempts and of timers.
+// Tests of WaitingAttempts and TimerQueue.
 #include "jacinthdeck/query/waiting_attempts.h"
 
 #include <boost/test/unit_test.hpp>
