--- a/src/jacinthdeck/query/coverage.cc
+++ b/src/jacinthdeck/query/coverage.cc
@@ -40,9 +40,9 @@
   }
   const auto next =
       std::ranges::lower_bound(m_ranges, range.begin, {}, &KeyRange::begin);
-  const bool hits_next = next != m_ranges.end() && next->begin < range.end;
+  const bool overlaps_next = next != m_ranges.end() && next->begin < range.end;
   const bool has_before = next != m_ranges.begin();
-  if (hits_next || (has_before && (next - 1)->end > range.begin)) {
+  if (overlaps_next || (has_before && (next - 1)->end > range.begin)) {
     return false;
   }
   const bool joins_before = has_before && (next - 1)->end == range.begin;
--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -9,8 +9,8 @@
 
 namespace internal {
 
-constexpr Duration kShortestOverload = std::chrono::milliseconds(50);
-constexpr Duration kLongestOverload = std::chrono::seconds(5);
+constexpr Duration kMinOverloadRetryAfter = std::chrono::milliseconds(50);
+constexpr Duration kMaxOverloadRetryAfter = std::chrono::seconds(5);
 
 }  // namespace internal
 
@@ -51,12 +51,12 @@
 
 bool Engine::MayStart(const ServiceState& service) const {
   const AdmissionOptions& bounds = m_options.admission;
-  const double most_waiting =
+  const double max_waiting_attempts =
       bounds.waiting_attempts_per_shard *
       static_cast<double>(m_versions.ShardCount(service.id));
   const auto waiting = static_cast<double>(m_waiting.CountOf(service.id));
   return service.running_calls < bounds.max_running_calls &&
-         (waiting == 0 || waiting < most_waiting);
+         (waiting == 0 || waiting < max_waiting_attempts);
 }
 
 void Engine::Enqueue(Call call,
@@ -64,17 +64,18 @@
                      TimePoint now,
                      Effects& effects) {
   AdmissionQueue& queue = service.queue;
-  const bool alone = queue.size() == queue.CountOf(call.tenant);
+  const bool only_tenant = queue.size() == queue.CountOf(call.tenant);
   const AnswerReason reason =
-      alone ? AnswerReason::kOverload : AnswerReason::kTenantLimit;
+      only_tenant ? AnswerReason::kOverload : AnswerReason::kTenantLimit;
   const auto wait = Duration(static_cast<Duration::rep>(
       queue.StartsAhead(call.tenant) *
       static_cast<double>(service.start_interval.value().count())));
   // The expected wait may take at most half of the time that the call can
   // spare, so that the call still starts in time if the starts slow down. A
   // queue as long as the full spare time would start each call too late.
-  const TimePoint latest = call.deadline - service.p95_call_latency.value();
-  if (now + wait * 2 >= latest && service.running_calls > 0) {
+  const TimePoint latest_start =
+      call.deadline - service.p95_call_latency.value();
+  if (now + wait * 2 >= latest_start && service.running_calls > 0) {
     return Refuse(call, reason, now, effects);
   }
   if (queue.full()) {
@@ -174,9 +175,9 @@
     // About the time that the queue needs to drain.
     const ServiceState& service = ServiceOf(call.method->service);
     const auto backlog = static_cast<Duration::rep>(service.queue.size() + 1);
-    answer.retry_after =
-        std::clamp(service.start_interval.value() * backlog,
-                   internal::kShortestOverload, internal::kLongestOverload);
+    answer.retry_after = std::clamp(service.start_interval.value() * backlog,
+                                    internal::kMinOverloadRetryAfter,
+                                    internal::kMaxOverloadRetryAfter);
   }
   Deliver(call.id, std::move(answer), effects);
 }
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -90,8 +90,9 @@
 }
 
 Duration Engine::HedgeDelay(const OpenCall& open) const {
-  constexpr Duration kShortest = std::chrono::milliseconds(1);
-  return std::max(kShortest, m_router.HedgeDelay(open.call.method->service));
+  constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(1);
+  return std::max(kMinHedgeDelay,
+                  m_router.HedgeDelay(open.call.method->service));
 }
 
 void Engine::OnRouteRefusal(OpenCall& open,
--- a/src/jacinthdeck/query/quarantine.cc
+++ b/src/jacinthdeck/query/quarantine.cc
@@ -74,16 +74,16 @@
                                         const KeyRange& range,
                                         bool probe,
                                         TimePoint now) {
-  const QuarantineState before = StateOf(fingerprint, now);
+  const QuarantineState previous = StateOf(fingerprint, now);
   Entry* entry = FindOrAdd(fingerprint, now);
-  if (entry == nullptr || before == QuarantineState::kQuarantined) {
+  if (entry == nullptr || previous == QuarantineState::kQuarantined) {
     return QuarantineState::kNone;
   }
   if (entry->ranges.size() < kMaxCrashRanges) {
     entry->ranges.push_back(range);
   }
   entry->expires_at = now + m_options.suspect_ttl;
-  if (before == QuarantineState::kNone) {
+  if (previous == QuarantineState::kNone) {
     return QuarantineState::kSuspect;
   }
   // The attempts in flight before the first crash was seen count as one round:
@@ -167,16 +167,16 @@
   // Evicts the suspect that expires first, but never a quarantined entry: a
   // flood of suspects must not release a request that is known to crash
   // targets.
-  auto oldest = m_entries.end();
+  auto first_to_expire = m_entries.end();
   for (auto at = m_entries.begin(); at != m_entries.end(); ++at) {
     if (at->second.state == QuarantineState::kSuspect &&
-        (oldest == m_entries.end() ||
-         at->second.expires_at < oldest->second.expires_at)) {
-      oldest = at;
+        (first_to_expire == m_entries.end() ||
+         at->second.expires_at < first_to_expire->second.expires_at)) {
+      first_to_expire = at;
     }
   }
-  if (oldest != m_entries.end()) {
-    m_entries.erase(oldest);
+  if (first_to_expire != m_entries.end()) {
+    m_entries.erase(first_to_expire);
   }
 }
 
--- a/src/jacinthdeck/query/version_catalog.cc
+++ b/src/jacinthdeck/query/version_catalog.cc
@@ -37,7 +37,7 @@
   }
   const Versions& versions = found->second;
   VersionChoice best;
-  std::size_t most = 0;
+  std::size_t most_usable = 0;
   for (auto at = versions.maps.rbegin(); at != versions.maps.rend(); ++at) {
     const auto& map = *at;
     if (std::ranges::find(request.excluded, map->version) !=
@@ -59,9 +59,9 @@
     if (asked > 0 && usable == asked) {
       return VersionChoice{map, true};
     }
-    if (!best.map || usable > most) {
+    if (!best.map || usable > most_usable) {
       best.map = map;
-      most = usable;
+      most_usable = usable;
     }
   }
   return best;
--- a/test/jacinthdeck/query/engine_admission_test.cc
+++ b/test/jacinthdeck/query/engine_admission_test.cc
@@ -106,8 +106,8 @@
 // and with a retry_after, while a call of another tenant is still queued.
 BOOST_AUTO_TEST_CASE(Engine_WaitingQueueFull_RefusesTheTenantOverItsShare) {
   Saturate();
-  const std::size_t most = AdmissionOptions().max_waiting_calls;
-  while (engine.waiting_calls() < most) {
+  const std::size_t max_waiting = AdmissionOptions().max_waiting_calls;
+  while (engine.waiting_calls() < max_waiting) {
     (void)Submit(Search());
   }
   (void)Submit(Search());
@@ -118,7 +118,7 @@
   other.tenant = TenantId("other");
   (void)Submit(std::move(other));
   BOOST_TEST(Refusals(AnswerReason::kTenantLimit) == 1U);
-  BOOST_TEST(engine.waiting_calls() == most);
+  BOOST_TEST(engine.waiting_calls() == max_waiting);
 }
 
 // A waiting call can no longer be answered before its deadline. It is refused
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -9,7 +9,7 @@
 
 struct RandomFaultsFixture : FleetFixture {
   explicit RandomFaultsFixture(std::uint64_t seed)
-      : FleetFixture(seed, FleetOptions{.slots = 2, .queue = 2}),
+      : FleetFixture(seed, FleetOptions{.slots = 2, .max_waiting = 2}),
         random(seed) {}
 
   Random random;
--- a/test/jacinthdeck/query/target_fleet.h
+++ b/test/jacinthdeck/query/target_fleet.h
@@ -22,10 +22,10 @@
 struct FleetOptions {
   std::uint32_t slots = 3;
   //! Maximum number of requests that wait at a target; it sheds further ones.
-  std::size_t queue = 8;
+  std::size_t max_waiting = 8;
   //! Mean of the exponential service time.
-  Duration service = std::chrono::milliseconds(10);
-  Duration network = std::chrono::microseconds(500);
+  Duration mean_service_time = std::chrono::milliseconds(10);
+  Duration network_latency = std::chrono::microseconds(500);
 };
 
 /*! \brief Discrete-event simulation of the targets that the engine sends to. */
@@ -52,13 +52,15 @@
 
   void Apply(const Effects& effects, TimePoint now) {
     for (const SendAttempt& send : effects.sends) {
-      m_events.emplace(now + m_options.network, Event{send, Step::kArrive});
+      m_events.emplace(now + m_options.network_latency,
+                       Event{send, Step::kArrive});
     }
     for (const CancelAttempt& cancel : effects.cancels) {
       SendAttempt ended;
       ended.attempt = cancel.attempt;
       ended.target = cancel.target;
-      m_events.emplace(now + m_options.network, Event{ended, Step::kCancel});
+      m_events.emplace(now + m_options.network_latency,
+                       Event{ended, Step::kCancel});
     }
   }
 
@@ -116,7 +118,7 @@
     if (target.running.size() < m_options.slots) {
       return Begin(target, send, now);
     }
-    if (target.waiting.size() >= m_options.queue) {
+    if (target.waiting.size() >= m_options.max_waiting) {
       return {Ended(send, AttemptStatus::kShed)};
     }
     target.waiting.push_back(send);
@@ -147,11 +149,12 @@
       return Crash(target, send);
     }
     target.running.emplace(send.attempt, send);
-    const double time = -std::log(1 - m_random.Unit()) *
-                        static_cast<double>(m_options.service.count());
-    m_events.emplace(
-        now + m_options.network + Duration(static_cast<Duration::rep>(time)),
-        Event{send, Step::kEnd});
+    const double time =
+        -std::log(1 - m_random.Unit()) *
+        static_cast<double>(m_options.mean_service_time.count());
+    m_events.emplace(now + m_options.network_latency +
+                         Duration(static_cast<Duration::rep>(time)),
+                     Event{send, Step::kEnd});
     return {};
   }
 
@@ -174,13 +177,13 @@
       return {};
     }
     std::vector<AttemptReply> replies{Ended(send, AttemptStatus::kAnswered)};
-    Refill(target, now, replies);
+    FillSlots(target, now, replies);
     return replies;
   }
 
-  void Refill(Target& target,
-              TimePoint now,
-              std::vector<AttemptReply>& replies) {
+  void FillSlots(Target& target,
+                 TimePoint now,
+                 std::vector<AttemptReply>& replies) {
     while (!target.waiting.empty() && target.running.size() < m_options.slots) {
       const SendAttempt next = target.waiting.front();
       target.waiting.pop_front();
@@ -202,7 +205,7 @@
     if (waited || target.running.erase(send.attempt) > 0) {
       replies.push_back(Ended(send, AttemptStatus::kCancelled));
       if (!unresponsive.contains(send.target)) {
-        Refill(target, now, replies);
+        FillSlots(target, now, replies);
       }
     }
     return replies;
