--- a/test/jacinthdeck/query/engine_quarantine_test.cc
+++ b/test/jacinthdeck/query/engine_quarantine_test.cc
@@ -35,7 +35,7 @@
 BOOST_FIXTURE_TEST_SUITE(EngineQuarantineTest, QuarantineFixture)
 
 // A keyed request crashes each target that runs it, and its caller sends it
-// again and again. The first attempt and its one retry crash a target each.
+// repeatedly. The first attempt and its one retry crash a target each.
 // After that the request is refused as not run.
 BOOST_AUTO_TEST_CASE(Engine_KeyedRequestCrashesTargets_RefusedAfterTwoCrashes) {
   SubmitRepeatedly(Lookup(), 20);
--- a/test/jacinthdeck/query/target_fleet.h
+++ b/test/jacinthdeck/query/target_fleet.h
@@ -23,8 +23,9 @@
   std::uint32_t slots = 3;
   //! Maximum number of requests that wait at a target; it sheds further ones.
   std::size_t max_waiting = 8;
-  //! Mean of the exponential service time.
+  //! Mean of the exponentially distributed service time.
   Duration mean_service_time = std::chrono::milliseconds(10);
+  //! Time that a message takes in one direction.
   Duration network_latency = std::chrono::microseconds(500);
 };
 
