--- a/src/jacinthdeck/query/engine_options.h
+++ b/src/jacinthdeck/query/engine_options.h
@@ -17,8 +17,8 @@
   std::uint32_t retries_per_shard = 3;
   //! Maximum retries of a call beyond one for each of its shards.
   std::uint32_t spare_retries_per_call = 4;
-  //! Maximum hedges of one shard of a call; the router's hedge budget usually
-  //! limits them earlier.
+  //! Maximum hedges of one shard of a call; the router's hedge budget is the
+  //! tighter limit.
   std::uint32_t hedges_per_shard = 2;
   //! Number of consecutive refused hedges after which a shard is retried while
   //! its unanswered attempt stays in flight. Hedges are asked for at intervals
