--- a/src/jacinthdeck/query/engine_admission.cc
+++ b/src/jacinthdeck/query/engine_admission.cc
@@ -1,4 +1,4 @@
-// Which calls run, wait or are refused.
+// Decides which calls start, wait in the queue or are refused.
 #include <algorithm>
 #include <utility>
 
@@ -9,8 +9,8 @@
 
 namespace internal {
 
-constexpr Duration kShortestOverload = std::chrono::milliseconds(50);
-constexpr Duration kLongestOverload = std::chrono::seconds(5);
+constexpr Duration kMinOverloadRetryAfter = std::chrono::milliseconds(50);
+constexpr Duration kMaxOverloadRetryAfter = std::chrono::seconds(5);
 
 }  // namespace internal
 
@@ -21,7 +21,7 @@
     return Refuse(call, reason, now, effects);
   }
   ServiceState& service = ServiceOf(call.method->service);
-  if (service.waiting.empty() && MayStart(service)) {
+  if (service.queue.empty() && MayStart(service)) {
     return Start(std::move(call), service, now, effects);
   }
   Enqueue(std::move(call), service, now, effects);
@@ -39,10 +39,11 @@
   if (call.deadline <= now) {
     return AnswerReason::kDeadline;
   }
-  if (m_quarantine.Of(call.fingerprint, now) == Suspicion::kConvicted) {
+  if (m_quarantine.StateOf(call.fingerprint, now) ==
+      QuarantineState::kQuarantined) {
     return AnswerReason::kQuarantined;
   }
-  if (!m_versions.Knows(call.method->service)) {
+  if (!m_versions.HasVersions(call.method->service)) {
     return AnswerReason::kNotReady;
   }
   return AnswerReason::kNone;
@@ -50,36 +51,39 @@
 
 bool Engine::MayStart(const ServiceState& service) const {
   const AdmissionOptions& bounds = m_options.admission;
-  const double most_waiting =
+  const double max_waiting_attempts =
       bounds.waiting_attempts_per_shard *
       static_cast<double>(m_versions.ShardCount(service.id));
   const auto waiting = static_cast<double>(m_waiting.CountOf(service.id));
-  return service.open < bounds.max_open &&
-         (waiting == 0 || waiting < most_waiting);
+  return service.running_calls < bounds.max_running_calls &&
+         (waiting == 0 || waiting < max_waiting_attempts);
 }
 
 void Engine::Enqueue(Call call,
                      ServiceState& service,
                      TimePoint now,
                      Effects& effects) {
-  AdmissionQueue& queue = service.waiting;
-  const bool alone = queue.size() == queue.CountOf(call.tenant);
+  AdmissionQueue& queue = service.queue;
+  const bool only_tenant = queue.size() == queue.CountOf(call.tenant);
   const AnswerReason reason =
-      alone ? AnswerReason::kOverload : AnswerReason::kTenantLimit;
+      only_tenant ? AnswerReason::kOverload : AnswerReason::kTenantLimit;
   const auto wait = Duration(static_cast<Duration::rep>(
       queue.StartsAhead(call.tenant) *
-      static_cast<double>(service.pace.value().count())));
-  // Half of the time that a call can spare, so that the answer holds when the
-  // pace falls; a queue as long as the spare time starts each call too late.
-  const TimePoint latest = call.deadline - service.usual.value();
-  if (now + wait * 2 >= latest && service.open > 0) {
+      static_cast<double>(service.start_interval.value().count())));
+  // The expected wait may take at most half of the time that the call can
+  // spare, so that the call still starts in time if the starts slow down. A
+  // queue as long as the full spare time would start each call too late.
+  const TimePoint latest_start =
+      call.deadline - service.p95_call_latency.value();
+  if (now + wait * 2 >= latest_start && service.running_calls > 0) {
     return Refuse(call, reason, now, effects);
   }
   if (queue.full()) {
-    if (queue.OverShare(call.tenant)) {
+    if (queue.ExceedsShare(call.tenant)) {
       return Refuse(call, reason, now, effects);
     }
-    RefuseWaiting(queue.TakeExcess(), AnswerReason::kTenantLimit, now, effects);
+    RefuseWaitingCall(queue.TakeExcess(), AnswerReason::kTenantLimit, now,
+                      effects);
   }
   const CallId id = call.id;
   const double cost =
@@ -87,7 +91,7 @@
   const AdmissionQueue::Key key =
       queue.Add(std::move(call), std::max(cost, 1.0));
   m_waiting_calls[id] = WaitingCall{&service, key};
-  ArmWaiting(service);
+  ArmWaitingTimer(service);
 }
 
 void Engine::Start(Call call,
@@ -104,53 +108,56 @@
   open.call = std::move(call);
   open.service = &service;
   open.started = now;
-  ++service.open;
-  Begin(open, std::move(choice.map), now, effects);
-  Settle(open, now, effects);
+  ++service.running_calls;
+  BeginOnMap(open, std::move(choice.map), now, effects);
+  FinishIfSettled(open, now, effects);
 }
 
-void Engine::StartWaiting(TimePoint now, Effects& effects) {
+void Engine::StartWaitingCalls(TimePoint now, Effects& effects) {
   if (m_waiting_calls.empty()) {
     return;
   }
   for (auto& [id, service] : m_services) {
-    if (!service.waiting.empty()) {
-      StartWaiting(service, now, effects);
+    if (!service.queue.empty()) {
+      StartWaitingCalls(service, now, effects);
     }
   }
 }
 
-void Engine::StartWaiting(ServiceState& service,
-                          TimePoint now,
-                          Effects& effects) {
-  AdmissionQueue& queue = service.waiting;
-  // While nothing of the service runs, nothing shows that the learned time
-  // still holds: the next call is tried, however short its time is.
+void Engine::StartWaitingCalls(ServiceState& service,
+                               TimePoint now,
+                               Effects& effects) {
+  AdmissionQueue& queue = service.queue;
+  // While no call of the service runs, nothing shows that the measured latency
+  // still applies, so the next call is tried even if its deadline is near.
   while (!queue.empty()) {
-    const TimePoint hopeless =
-        service.open > 0 ? now + service.usual.value() : now;
-    if (const auto call = queue.TakeDueBy(hopeless)) {
-      RefuseWaiting(*call, AnswerReason::kOverload, now, effects);
+    const TimePoint unreachable_deadline =
+        service.running_calls > 0 ? now + service.p95_call_latency.value()
+                                  : now;
+    if (const auto call = queue.TakeDueBy(unreachable_deadline)) {
+      RefuseWaitingCall(*call, AnswerReason::kOverload, now, effects);
     } else if (MayStart(service)) {
       Call next = queue.TakeNext();
-      service.pace.OnStart(now, !queue.empty());
+      service.start_interval.OnStart(now, !queue.empty());
       m_waiting_calls.erase(next.id);
       Start(std::move(next), service, now, effects);
     } else {
       break;
     }
   }
-  ArmWaiting(service);
+  ArmWaitingTimer(service);
 }
 
-void Engine::ArmWaiting(ServiceState& service) {
-  if (service.waiting.empty()) {
+void Engine::ArmWaitingTimer(ServiceState& service) {
+  if (service.queue.empty()) {
     m_waiting_timers.Remove(service.id);
     return;
   }
-  const Duration usual =
-      service.open > 0 ? service.usual.value() : Duration::zero();
-  m_waiting_timers.Set(service.id, service.waiting.EarliestDeadline() - usual);
+  const Duration p95_call_latency = service.running_calls > 0
+                                        ? service.p95_call_latency.value()
+                                        : Duration::zero();
+  m_waiting_timers.Set(service.id,
+                       service.queue.EarliestDeadline() - p95_call_latency);
 }
 
 void Engine::Refuse(const Call& call,
@@ -160,25 +167,25 @@
   Answer answer;
   answer.reason = reason;
   answer.retry_after = RetryAfter(reason);
-  if (const auto until = m_quarantine.ConvictedUntil(call.fingerprint, now)) {
+  if (const auto until = m_quarantine.QuarantinedUntil(call.fingerprint, now)) {
     answer.retry_after = std::chrono::duration_cast<Duration>(*until - now);
   }
   if (reason == AnswerReason::kOverload ||
       reason == AnswerReason::kTenantLimit) {
-    // After about as long as the backlog takes to drain.
+    // About the time that the queue needs to drain.
     const ServiceState& service = ServiceOf(call.method->service);
-    const auto backlog = static_cast<Duration::rep>(service.waiting.size() + 1);
-    answer.retry_after =
-        std::clamp(service.pace.value() * backlog, internal::kShortestOverload,
-                   internal::kLongestOverload);
+    const auto backlog = static_cast<Duration::rep>(service.queue.size() + 1);
+    answer.retry_after = std::clamp(service.start_interval.value() * backlog,
+                                    internal::kMinOverloadRetryAfter,
+                                    internal::kMaxOverloadRetryAfter);
   }
   Deliver(call.id, std::move(answer), effects);
 }
 
-void Engine::RefuseWaiting(const Call& call,
-                           AnswerReason reason,
-                           TimePoint now,
-                           Effects& effects) {
+void Engine::RefuseWaitingCall(const Call& call,
+                               AnswerReason reason,
+                               TimePoint now,
+                               Effects& effects) {
   m_waiting_calls.erase(call.id);
   Refuse(call, reason, now, effects);
 }
@@ -188,13 +195,13 @@
   if (waiting != m_waiting_calls.end()) {
     const WaitingCall call = waiting->second;
     m_waiting_calls.erase(waiting);
-    (void)call.service->waiting.Take(call.key);
-    return ArmWaiting(*call.service);
+    (void)call.service->queue.Take(call.key);
+    return ArmWaitingTimer(*call.service);
   }
   const auto open = m_calls.find(id);
   if (open != m_calls.end()) {
-    Close(open->second, effects);
-    StartWaiting(now, effects);
+    CloseCall(open->second, effects);
+    StartWaitingCalls(now, effects);
   }
 }
 
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -1,4 +1,4 @@
-// Attempts: first ones, hedges, retries and those that wait for a place.
+// Sends first attempts, hedges and retries, and those that waited for capacity.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -7,10 +7,11 @@
 
 namespace jacinthdeck {
 
-std::variant<TargetId, RouteRefusal> Engine::Choose(const OpenCall& open,
-                                                    const ShardState& state,
-                                                    AttemptKind kind,
-                                                    TimePoint now) {
+std::variant<TargetId, RouteRefusal> Engine::ChooseTarget(
+    const OpenCall& open,
+    const ShardState& state,
+    AttemptKind kind,
+    TimePoint now) {
   const Method& method = *open.call.method;
   const bool may_probe = method.repeat == Repeat::kIdempotent;
   return m_router.Choose(RouteRequest{method.service, state.shard->replicas,
@@ -23,21 +24,23 @@
                        AttemptKind kind,
                        TimePoint now,
                        Effects& effects) {
-  const Suspicion suspicion = m_quarantine.Of(open.call.fingerprint, now);
-  if (suspicion != Suspicion::kNone && kind == AttemptKind::kHedge) {
+  const QuarantineState quarantine_state =
+      m_quarantine.StateOf(open.call.fingerprint, now);
+  if (quarantine_state != QuarantineState::kNone &&
+      kind == AttemptKind::kHedge) {
     return;
   }
-  if (suspicion == Suspicion::kConvicted) {
+  if (quarantine_state == QuarantineState::kQuarantined) {
     return GiveUp(open, open.shards[shard], AnswerReason::kQuarantined);
   }
-  if (suspicion == Suspicion::kSuspect) {
+  if (quarantine_state == QuarantineState::kSuspect) {
     return SendSuspect(open, shard, kind, now, effects);
   }
-  const auto choice = Choose(open, open.shards[shard], kind, now);
+  const auto choice = ChooseTarget(open, open.shards[shard], kind, now);
   if (const auto* target = std::get_if<TargetId>(&choice)) {
     Launch(open, shard, kind, *target, now, effects);
   } else {
-    OnRefusal(open, shard, kind, std::get<RouteRefusal>(choice), now);
+    OnRouteRefusal(open, shard, kind, std::get<RouteRefusal>(choice), now);
   }
 }
 
@@ -78,7 +81,7 @@
   }
   if (method.repeat == Repeat::kIdempotent) {
     state.hedge_at = now + HedgeDelay(open);
-    ArmAt(open, *state.hedge_at);
+    ArmTimerAt(open, *state.hedge_at);
   }
   effects.sends.push_back(SendAttempt{
       attempt, open.call.id, target, open.call.method, open.call.body,
@@ -87,15 +90,16 @@
 }
 
 Duration Engine::HedgeDelay(const OpenCall& open) const {
-  constexpr Duration kShortest = std::chrono::milliseconds(1);
-  return std::max(kShortest, m_router.HedgeDelay(open.call.method->service));
+  constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(1);
+  return std::max(kMinHedgeDelay,
+                  m_router.HedgeDelay(open.call.method->service));
 }
 
-void Engine::OnRefusal(OpenCall& open,
-                       std::size_t shard,
-                       AttemptKind kind,
-                       RouteRefusal refusal,
-                       TimePoint now) {
+void Engine::OnRouteRefusal(OpenCall& open,
+                            std::size_t shard,
+                            AttemptKind kind,
+                            RouteRefusal refusal,
+                            TimePoint now) {
   ShardState& state = open.shards[shard];
   if (kind == AttemptKind::kHedge) {
     ++state.refused_hedges;
@@ -107,11 +111,11 @@
   if (refusal != RouteRefusal::kAtLimit) {
     return GiveUpUnlessInFlight(open, state, state.reason);
   }
-  if (CanStillEnd(open, now)) {
-    // Indexed by the targets that it may take: at the head of a queue that it
-    // cannot use, it would block those behind it.
-    // An ejected target has no ends that would wake it.
-    std::vector<TargetId> untried = Untried(state);
+  if (HasTimeForAttempt(open, now)) {
+    // Waits only for targets that it may use: at the head of the queue of
+    // another target, it would block the attempts behind it. Ejected targets
+    // are left out, since no attempt ends there that would trigger the queue.
+    std::vector<TargetId> untried = UntriedReplicas(state);
     std::erase_if(untried, [&](const TargetId& id) {
       return !m_router.TakesWork(id, now);
     });
@@ -122,54 +126,58 @@
   if (!state.waiting) {
     return GiveUpUnlessInFlight(open, state, AnswerReason::kOverload);
   }
-  ArmAt(open, open.call.deadline - open.service->fast.value());
+  ArmTimerAt(open,
+             open.call.deadline - open.service->p10_attempt_latency.value());
   if (!m_poll_at) {
-    m_poll_at = now + m_options.waiting.poll;
+    m_poll_at = now + m_options.waiting.poll_interval;
   }
 }
 
-void Engine::Hedge(OpenCall& open,
-                   std::size_t shard,
-                   TimePoint now,
-                   Effects& effects) {
+void Engine::HedgeShard(OpenCall& open,
+                        std::size_t shard,
+                        TimePoint now,
+                        Effects& effects) {
   ShardState& state = open.shards[shard];
   state.hedge_at.reset();
   if (state.hedges >= m_options.retry.hedges_per_shard ||
-      state.in_flight.empty() || state.waiting || !CanStillEnd(open, now)) {
+      state.in_flight.empty() || state.waiting ||
+      !HasTimeForAttempt(open, now)) {
     return;
   }
-  // A refused hedge is asked for again after the same delay: a target that
-  // never answers would else hold the shard for the rest of the call.
+  // A refused hedge is tried again after the same delay. Otherwise, a target
+  // that never answers would block the shard until the deadline of the call.
   state.hedge_at = now + HedgeDelay(open);
   SendShard(open, shard, AttemptKind::kHedge, now, effects);
-  // With replicas lost the others are busy, and a hedge never waits for a
-  // place. A retry does, and the shard needs one. Not while calls wait to run:
-  // then every attempt is slow, and retries would only add to the load.
-  if (state.refused_hedges >= m_options.retry.delays_until_overdue &&
-      open.service->waiting.empty() &&
+  // If replicas fail, the remaining ones are busy and refuse hedges, which
+  // never wait for capacity. A retry does wait, so one is sent after repeated
+  // refusals. It is not sent while calls wait to run: every attempt is slow
+  // then, and retries would only add to the load.
+  if (state.refused_hedges >= m_options.retry.refused_hedges_before_retry &&
+      open.service->queue.empty() &&
       MayRetry(open, state, AttemptStatus::kTimedOut, now)) {
     SendShard(open, shard, AttemptKind::kRetry, now, effects);
   }
 }
 
-void Engine::Retry(OpenCall& open,
-                   std::size_t shard,
-                   AttemptStatus status,
-                   TimePoint now,
-                   Effects& effects) {
+void Engine::RetryShard(OpenCall& open,
+                        std::size_t shard,
+                        AttemptStatus status,
+                        TimePoint now,
+                        Effects& effects) {
   ShardState& state = open.shards[shard];
   if (!MayRetry(open, state, status, now)) {
     return GiveUp(open, state, state.reason);
   }
-  if (!Untried(state).empty()) {
+  if (!UntriedReplicas(state).empty()) {
     return SendShard(open, shard, AttemptKind::kRetry, now, effects);
   }
-  const TimePoint at = now + m_options.retry.pause * (1U << state.retries);
-  if (!CanStillEnd(open, at)) {
+  const TimePoint at =
+      now + m_options.retry.initial_backoff * (1U << state.retries);
+  if (!HasTimeForAttempt(open, at)) {
     return GiveUp(open, state, state.reason);
   }
   state.retry_at = at;
-  ArmAt(open, at);
+  ArmTimerAt(open, at);
 }
 
 bool Engine::MayRetry(const OpenCall& open,
@@ -177,16 +185,16 @@
                       AttemptStatus status,
                       TimePoint now) const {
   const RetryOptions& bounds = m_options.retry;
-  // A request that may not be repeated goes out again only after proof that the
-  // attempt before it cannot have run.
+  // A non-idempotent request is sent again only if the status proves that the
+  // previous attempt cannot have run.
   const bool repeatable =
       open.call.method->repeat == Repeat::kIdempotent || ProvesNotRun(status);
   return repeatable && state.retries < bounds.retries_per_shard &&
          open.retries < open.shards.size() + bounds.spare_retries_per_call &&
-         CanStillEnd(open, now);
+         HasTimeForAttempt(open, now);
 }
 
-std::vector<TargetId> Engine::Untried(const ShardState& state) const {
+std::vector<TargetId> Engine::UntriedReplicas(const ShardState& state) const {
   std::vector<TargetId> untried;
   for (const TargetId& replica : state.shard->replicas) {
     const TargetInfo* info = m_router.FindTarget(replica);
@@ -198,7 +206,7 @@
   return untried;
 }
 
-void Engine::PumpWaiting(const TargetId& target,
+void Engine::SendWaiting(const TargetId& target,
                          TimePoint now,
                          Effects& effects) {
   while (const auto key = m_waiting.First(target)) {
@@ -206,18 +214,19 @@
     OpenCall& open = m_calls.at(first.call);
     const std::size_t shard = first.shard;
     const AttemptKind kind = first.kind;
-    if (m_quarantine.Of(open.call.fingerprint, now) != Suspicion::kNone) {
+    if (m_quarantine.StateOf(open.call.fingerprint, now) !=
+        QuarantineState::kNone) {
       m_waiting.Remove(*key);
       open.shards[shard].waiting.reset();
       SendShard(open, shard, kind, now, effects);
       const bool waits_again = open.shards[shard].waiting.has_value();
-      Settle(open, now, effects);
+      FinishIfSettled(open, now, effects);
       if (waits_again) {
         break;
       }
       continue;
     }
-    const auto choice = Choose(open, open.shards[shard], kind, now);
+    const auto choice = ChooseTarget(open, open.shards[shard], kind, now);
     const auto* refusal = std::get_if<RouteRefusal>(&choice);
     if (refusal != nullptr && *refusal == RouteRefusal::kAtLimit) {
       break;
@@ -225,24 +234,24 @@
     m_waiting.Remove(*key);
     open.shards[shard].waiting.reset();
     if (refusal != nullptr) {
-      OnRefusal(open, shard, kind, *refusal, now);
+      OnRouteRefusal(open, shard, kind, *refusal, now);
     } else {
       Launch(open, shard, kind, std::get<TargetId>(choice), now, effects);
     }
-    Settle(open, now, effects);
+    FinishIfSettled(open, now, effects);
   }
   if (m_waiting.size() == 0) {
     m_poll_at.reset();
   }
 }
 
-void Engine::PumpAllWaiting(TimePoint now, Effects& effects) {
+void Engine::SendAllWaiting(TimePoint now, Effects& effects) {
   for (const TargetId& target : m_waiting.Targets()) {
-    PumpWaiting(target, now, effects);
+    SendWaiting(target, now, effects);
   }
   m_poll_at.reset();
   if (m_waiting.size() > 0) {
-    m_poll_at = now + m_options.waiting.poll;
+    m_poll_at = now + m_options.waiting.poll_interval;
   }
 }
 
--- a/src/jacinthdeck/query/engine_finish.cc
+++ b/src/jacinthdeck/query/engine_finish.cc
@@ -1,4 +1,4 @@
-// Ends of shards and of calls: the one answer.
+// Ends shards and calls, and builds the final answer.
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +13,7 @@
 
 namespace internal {
 
-//! Reason of a call that ends with shards missing.
+//! Returns the reason to report for a call that ends with missing shards.
 [[nodiscard]] AnswerReason ReasonOf(const OpenCall& open) noexcept {
   AnswerReason reason = AnswerReason::kNone;
   for (const ShardState& state : open.shards) {
@@ -66,7 +66,7 @@
   }
 }
 
-void Engine::Settle(OpenCall& open, TimePoint now, Effects& effects) {
+void Engine::FinishIfSettled(OpenCall& open, TimePoint now, Effects& effects) {
   if (open.unsettled == 0) {
     Finish(open, now, effects);
   }
@@ -100,34 +100,35 @@
     answer.version = open.map->version;
     answer.outcome = missing.empty() ? Outcome::kWhole : Outcome::kPartial;
   } else {
-    // "Not run" only where each attempt ended with proof of it; one that is
-    // still in flight may run until its cancel arrives.
+    // Reports kNotRun only if every attempt ended with proof that it did not
+    // run. An attempt in flight may still run until its cancellation arrives.
     answer.outcome = may_have_run ? Outcome::kUnknown : Outcome::kNotRun;
   }
   if (answer.outcome == Outcome::kWhole) {
-    open.service->usual.Add(
+    open.service->p95_call_latency.Add(
         std::chrono::duration_cast<Duration>(now - open.started));
   } else {
     answer.reason = internal::ReasonOf(open);
   }
-  // A call that may have run and may not be repeated must not come back.
+  // A non-idempotent call that may have run must not be sent again, so its
+  // answer has no retry_after.
   if (answer.outcome == Outcome::kNotRun ||
       (answer.outcome != Outcome::kWhole &&
        method.repeat == Repeat::kIdempotent)) {
     answer.retry_after = RetryAfter(answer.reason);
     if (const auto until =
-            m_quarantine.ConvictedUntil(open.call.fingerprint, now)) {
+            m_quarantine.QuarantinedUntil(open.call.fingerprint, now)) {
       answer.retry_after = std::chrono::duration_cast<Duration>(*until - now);
     }
   }
   const CallId id = open.call.id;
-  Close(open, effects);
+  CloseCall(open, effects);
   Deliver(id, std::move(answer), effects);
 }
 
-void Engine::Close(OpenCall& open, Effects& effects) {
+void Engine::CloseCall(OpenCall& open, Effects& effects) {
   CancelAll(open, effects);
-  --open.service->open;
+  --open.service->running_calls;
   const CallId id = open.call.id;
   m_timers.Remove(id);
   m_calls.erase(id);
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -1,4 +1,4 @@
-// Ends of attempts: what is learned, what is merged, what follows a failure.
+// Processes the ends of attempts: statistics, replies, retries and restarts.
 #include <algorithm>
 #include <array>
 #include <utility>
@@ -11,8 +11,8 @@
 
 namespace internal {
 
-//! Why a shard is missing after an attempt ended so; in the order of
-//! AttemptStatus.
+//! Reason reported for a shard whose last attempt ended with a status; indexed
+//! by AttemptStatus.
 constexpr std::array<AnswerReason, kAttemptStatusNames.names.size()> kReasons{
     AnswerReason::kNone,          // kAnswered
     AnswerReason::kVersionGone,   // kVersionGone
@@ -44,51 +44,51 @@
   AttemptStatus status = reply.status;
   if (status == AttemptStatus::kAnswered &&
       (reply.version != attempt.version || reply.range != attempt.range)) {
-    // It ran, but it answers another question: merged, it would mix snapshots
-    // or claim a range that nobody read.
-    ++m_counters.wrong_replies;
+    // The request ran, but for another version or range. Merging the reply
+    // would mix index versions or cover keys that were not read.
+    ++m_counters.mismatched_replies;
     status = AttemptStatus::kFailed;
   }
-  Learn(attempt, status, reply, now);
-  const HeldShards held = Judge(attempt, status, now, effects);
+  RecordAttemptEnd(attempt, status, reply, now);
+  const HeldShards held = UpdateQuarantine(attempt, status, now, effects);
   const auto call = m_calls.find(attempt.call);
   if (call == m_calls.end() || attempt.cancelled ||
       call->second.epoch != attempt.epoch) {
     ++m_counters.late_replies;
   } else {
-    TakeReply(call->second, attempt, status, reply, now, effects);
+    ApplyReply(call->second, attempt, status, reply, now, effects);
   }
-  Resume(held, now, effects);
-  PumpWaiting(attempt.target, now, effects);
-  StartWaiting(now, effects);
+  ResumeHeld(held, now, effects);
+  SendWaiting(attempt.target, now, effects);
+  StartWaitingCalls(now, effects);
 }
 
-void Engine::Learn(const OpenAttempt& attempt,
-                   AttemptStatus status,
-                   const AttemptReply& reply,
-                   TimePoint now) {
+void Engine::RecordAttemptEnd(const OpenAttempt& attempt,
+                              AttemptStatus status,
+                              const AttemptReply& reply,
+                              TimePoint now) {
   const auto latency = std::chrono::duration_cast<Duration>(now - attempt.sent);
-  // A hedge whose answer was no longer wanted did not win.
+  // A cancelled hedge did not win; it is reported as a first attempt.
   const AttemptKind kind =
       attempt.cancelled ? AttemptKind::kFirst : attempt.kind;
   m_router.Finish(AttemptResult{attempt.target, status, latency,
                                 reply.reported_load, kind, reply.draining},
                   now);
   if (status == AttemptStatus::kAnswered) {
-    attempt.service->fast.Add(latency);
+    attempt.service->p10_attempt_latency.Add(latency);
   }
   if (status == AttemptStatus::kVersionGone) {
-    m_versions.NoteGone(attempt.service->id, attempt.version, attempt.target,
-                        now);
+    m_versions.RecordVersionGone(attempt.service->id, attempt.version,
+                                 attempt.target, now);
   }
 }
 
-void Engine::TakeReply(OpenCall& open,
-                       const OpenAttempt& attempt,
-                       AttemptStatus status,
-                       const AttemptReply& reply,
-                       TimePoint now,
-                       Effects& effects) {
+void Engine::ApplyReply(OpenCall& open,
+                        const OpenAttempt& attempt,
+                        AttemptStatus status,
+                        const AttemptReply& reply,
+                        TimePoint now,
+                        Effects& effects) {
   ShardState& state = open.shards[attempt.shard];
   std::erase(state.in_flight, reply.attempt);
   open.may_have_run = open.may_have_run || !ProvesNotRun(status);
@@ -100,7 +100,7 @@
   } else {
     OnFailure(open, attempt, status, now, effects);
   }
-  Settle(open, now, effects);
+  FinishIfSettled(open, now, effects);
 }
 
 void Engine::OnFailure(OpenCall& open,
@@ -114,24 +114,25 @@
     if (Restart(open, now, effects)) {
       return;
     }
-    if (Untried(state).empty()) {
+    if (UntriedReplicas(state).empty()) {
       return GiveUpUnlessInFlight(open, state, state.reason);
     }
   }
   if (!state.in_flight.empty()) {
-    // The other attempt may still answer; a hedge replaces the one that failed.
+    // Another attempt may still answer; a hedge replaces the failed one.
     state.hedge_at = now + HedgeDelay(open);
-    return ArmAt(open, *state.hedge_at);
+    return ArmTimerAt(open, *state.hedge_at);
   }
   const bool survived = status == AttemptStatus::kFailed;
   if (attempt.probe && !ProvesNotRun(status) && !survived) {
-    // A suspect is retried once, and this was the retry.
-    const bool convicted =
-        m_quarantine.Of(attempt.fingerprint, now) == Suspicion::kConvicted;
+    // A suspect is retried only once, as a probe, since each run may crash
+    // another target. This attempt was the probe.
+    const bool quarantined = m_quarantine.StateOf(attempt.fingerprint, now) ==
+                             QuarantineState::kQuarantined;
     return GiveUp(open, state,
-                  convicted ? AnswerReason::kQuarantined : state.reason);
+                  quarantined ? AnswerReason::kQuarantined : state.reason);
   }
-  Retry(open, attempt.shard, status, now, effects);
+  RetryShard(open, attempt.shard, status, now, effects);
 }
 
 bool Engine::VersionIsGone(const OpenCall& open,
@@ -139,23 +140,23 @@
                            AttemptStatus status,
                            TimePoint now) const {
   if (status == AttemptStatus::kWrongRange) {
-    return Untried(state).empty();
+    return UntriedReplicas(state).empty();
   }
   if (status != AttemptStatus::kVersionGone) {
     return false;
   }
   const ServiceId& service = open.service->id;
   const IndexVersion version = open.map->version;
-  return !m_versions.Lists(service, version) ||
+  return !m_versions.IsListed(service, version) ||
          std::ranges::none_of(
              state.shard->replicas, [&](const TargetId& target) {
-               return m_versions.Usable(service, version, target, now);
+               return m_versions.IsUsable(service, version, target, now);
              });
 }
 
 bool Engine::Restart(OpenCall& open, TimePoint now, Effects& effects) {
   if (open.restarts >= m_options.retry.restarts_per_call ||
-      !CanStillEnd(open, now)) {
+      !HasTimeForAttempt(open, now)) {
     return false;
   }
   const bool in_flight = std::ranges::any_of(
@@ -165,9 +166,9 @@
       (open.may_have_run || in_flight)) {
     return false;
   }
-  open.refused_versions.push_back(open.map->version);
+  open.excluded_versions.push_back(open.map->version);
   VersionChoice choice = m_versions.Choose(
-      VersionRequest{open.service->id, open.call.key, open.refused_versions},
+      VersionRequest{open.service->id, open.call.key, open.excluded_versions},
       now);
   if (!choice.complete) {
     return false;
@@ -176,7 +177,7 @@
   CancelAll(open, effects);
   ++open.restarts;
   ++m_counters.restarts;
-  Begin(open, std::move(choice.map), now, effects);
+  BeginOnMap(open, std::move(choice.map), now, effects);
   return true;
 }
 
--- a/src/jacinthdeck/query/fwd.h
+++ b/src/jacinthdeck/query/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the query module: scatter, gather, snapshots,
-// coverage, merging.
+// Forward declarations of the query module: the scatter-gather engine, index
+// snapshots, key coverage and merging.
 #ifndef JACINTHDECK_QUERY_FWD_H_
 #define JACINTHDECK_QUERY_FWD_H_
 
@@ -12,7 +12,7 @@
 class Merger;
 class ProbeGate;
 class Quarantine;
-class StartPace;
+class StartInterval;
 class VersionCatalog;
 class WaitingAttempts;
 struct AdmissionOptions;
@@ -41,7 +41,7 @@
 struct WaitingKey;
 struct WaitingOptions;
 enum class AnswerReason;
-enum class Suspicion;
+enum class QuarantineState;
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/query/service_state.h
+++ b/src/jacinthdeck/query/service_state.h
@@ -1,4 +1,4 @@
-// What the engine holds of each service.
+// Per-service state of the engine.
 #ifndef JACINTHDECK_QUERY_SERVICE_STATE_H_
 #define JACINTHDECK_QUERY_SERVICE_STATE_H_
 
@@ -8,25 +8,28 @@
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/query/admission_queue.h"
 #include "jacinthdeck/query/latency_quantile.h"
-#include "jacinthdeck/query/start_pace.h"
+#include "jacinthdeck/query/start_interval.h"
 
 namespace jacinthdeck::internal {
 
-/*! \brief Calls of one service and what was learned of its times. */
+/*! \brief Running and waiting calls of a service and its measured latencies. */
 struct ServiceState {
   ServiceState(ServiceId service_id, const AdmissionOptions& options)
-      : id(std::move(service_id)), waiting(options) {}
+      : id(std::move(service_id)), queue(options) {}
 
   ServiceId id;
-  //! Calls that run.
-  std::size_t open = 0;
-  //! Calls that wait; while it holds any, no newcomer starts before them.
-  AdmissionQueue waiting;
-  StartPace pace;
-  //! Time that an attempt rarely stays below.
-  LatencyQuantile fast{0.1};
-  //! Time from the start of a call that its whole answer rarely exceeds.
-  LatencyQuantile usual{0.95};
+  //! Number of calls that run.
+  std::size_t running_calls = 0;
+  //! Calls that wait to run; while it holds any, a new call joins it instead of
+  //! starting at once.
+  AdmissionQueue queue;
+  StartInterval start_interval;
+  //! Latency that only 10 % of the answered attempts stay below; the least time
+  //! that an attempt is assumed to need.
+  LatencyQuantile p10_attempt_latency{0.1};
+  //! Time from the start of a call to its whole answer, exceeded by only 5 % of
+  //! the calls.
+  LatencyQuantile p95_call_latency{0.95};
 };
 
 }  // namespace jacinthdeck::internal
--- a/test/jacinthdeck/query/admission_queue_test.cc
+++ b/test/jacinthdeck/query/admission_queue_test.cc
@@ -1,4 +1,4 @@
-// Tests of the fair waiting queue.
+// Tests of the weighted fair admission queue.
 #include "jacinthdeck/query/admission_queue.h"
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 namespace jacinthdeck {
 
 struct AdmissionQueueFixture {
-  AdmissionOptions options{.max_waiting = 10,
+  AdmissionOptions options{.max_waiting_calls = 10,
                            .weights = {{TenantId("heavy"), 3.0}}};
   AdmissionQueue queue{options};
   std::uint64_t next = 1;
@@ -51,7 +51,8 @@
   BOOST_TEST(std::ranges::count(taken, 'h') == 3);
 }
 
-// A call to ten shards takes as much of the targets as ten calls to one.
+// Starts are weighted by cost: a call to ten shards uses as much target
+// capacity as ten calls to one shard.
 BOOST_AUTO_TEST_CASE(TakeNext_CostlyCalls_CountByTheirCost) {
   for (int i = 0; i < 4; ++i) {
     Add("wide", 100, 3);
@@ -61,9 +62,10 @@
   BOOST_TEST(std::ranges::count(taken, 'n') == 3);
 }
 
-// One tenant always has a single call waiting, another a backlog. If the first
-// were new each time, it would go first each time and the backlog never move.
-BOOST_AUTO_TEST_CASE(TakeNext_TenantReturnsAtOnce_DoesNotStarveTheBacklog) {
+// One tenant adds a new call whenever its last one started, and another has a
+// backlog. If the first tenant's virtual time were reset each time, its calls
+// would always go first and the backlog would never start.
+BOOST_AUTO_TEST_CASE(TakeNext_TenantReturnsAtOnce_BacklogIsNotStarved) {
   for (int i = 0; i < 5; ++i) {
     Add("heavy");
   }
@@ -84,8 +86,8 @@
   }
   Add("other", 500);
   BOOST_TEST(queue.full());
-  BOOST_TEST(queue.OverShare(TenantId("flood")));
-  BOOST_TEST(!queue.OverShare(TenantId("other")));
+  BOOST_TEST(queue.ExceedsShare(TenantId("flood")));
+  BOOST_TEST(!queue.ExceedsShare(TenantId("other")));
   const Call excess = queue.TakeExcess();
   BOOST_TEST((excess.tenant == TenantId("flood")));
   BOOST_TEST((excess.id == CallId(9)));
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -1,4 +1,4 @@
-// Random orders of faults; what must hold, holds for every seed.
+// Checks the engine's invariants under random sequences of faults.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <numeric>
@@ -7,9 +7,9 @@
 
 namespace jacinthdeck {
 
-struct SweepFixture : FleetFixture {
-  explicit SweepFixture(std::uint64_t seed)
-      : FleetFixture(seed, FleetOptions{.slots = 2, .queue = 2}),
+struct RandomFaultsFixture : FleetFixture {
+  explicit RandomFaultsFixture(std::uint64_t seed)
+      : FleetFixture(seed, FleetOptions{.slots = 2, .max_waiting = 2}),
         random(seed) {}
 
   Random random;
@@ -26,7 +26,7 @@
     Call call = MakeFleetCall(method, Fingerprint(random.Below(40)));
     call.tenant = TenantId(random.Below(4) == 0 ? "a" : "b");
     calls.emplace(call.id, call);
-    (void)Run(std::move(call));
+    (void)SubmitAndFlush(std::move(call));
   }
 
   void ChangeVersions() {
@@ -55,13 +55,13 @@
     } else if (what < 2) {
       ChangeTargets();
     } else if (what < 4) {
-      fleet.silent.insert(target);
+      fleet.unresponsive.insert(target);
     } else if (what < 7) {
-      fleet.silent.erase(target);
+      fleet.unresponsive.erase(target);
     } else if (what < 9) {
       fleet.fault_rate = random.Unit() * 0.3;
     } else if (what < 10) {
-      engine.SuspectTold(Fingerprint(random.Below(40)), clock.Now());
+      engine.AddPeerSuspect(Fingerprint(random.Below(40)), clock.Now());
     } else if (what < 12 && next_call > 5) {
       const CallId call(next_call - 1 - random.Below(4));
       if (!answers.contains(call)) {
@@ -118,17 +118,17 @@
 
 BOOST_AUTO_TEST_SUITE(EngineSweepTest)
 
-// Versions change, targets leave, fall silent, crash under requests and end
-// them in every way, callers go away, in an order drawn from the seed. Whatever
-// comes together: one answer for each call and in time, true coverage, one
-// version, "not run" only where nothing ran, at most one run of a claim, and
-// nothing left behind.
-BOOST_AUTO_TEST_CASE(Engine_RandomFaults_PromisesHoldForEverySeed) {
+// Versions change, targets leave, stop answering, crash or end requests with
+// any status, and callers go away, in an order drawn from the seed. Each call
+// that is not abandoned gets one answer by its deadline, with correct coverage
+// and hits of one version; kNotRun means that nothing ran; a claim runs at most
+// once; and no call, timer or attempt remains at the end.
+BOOST_AUTO_TEST_CASE(Engine_RandomFaults_InvariantsHoldForEverySeed) {
   std::array<std::size_t, 4> outcomes{};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      SweepFixture sweep(seed);
-      sweep.fleet.deadly.insert(Fingerprint(13));
+      RandomFaultsFixture sweep(seed);
+      sweep.fleet.crashing.insert(Fingerprint(13));
       for (int step = 0; step < 500; ++step) {
         sweep.Step();
       }
--- a/test/jacinthdeck/query/fleet_fixture.h
+++ b/test/jacinthdeck/query/fleet_fixture.h
@@ -1,4 +1,4 @@
-// An engine over simulated targets, run to chosen moments.
+// Fixture with an engine and simulated targets on one manual clock.
 #ifndef JACINTHDECK_TEST_QUERY_FLEET_FIXTURE_H_
 #define JACINTHDECK_TEST_QUERY_FLEET_FIXTURE_H_
 
@@ -14,7 +14,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Drives one engine and its targets on one clock. */
+/*! \brief Runs the events of an engine and of its targets in time order. */
 struct FleetFixture : EngineFixture {
   TargetFleet fleet;
   std::map<CallId, Answer> answers;
@@ -32,7 +32,8 @@
     router.SetTargets(targets, clock.Now());
   }
 
-  //! A call whose body names its fingerprint, so that targets can tell it.
+  //! Makes a call whose body contains its fingerprint, so that the simulated
+  //! targets can identify it.
   [[nodiscard]] Call MakeFleetCall(const Method& method,
                                    Fingerprint fingerprint) {
     Call call = MakeCall(method);
@@ -42,19 +43,19 @@
     return call;
   }
 
-  CallId Run(Call call) {
+  CallId SubmitAndFlush(Call call) {
     const CallId id = Submit(std::move(call));
     Flush();
     return id;
   }
 
-  //! Hands effects to the targets and keeps the answers.
+  //! Passes the engine's effects to the targets and stores the answers.
   void Flush() {
     for (const SendAttempt& send : effects.sends) {
       BOOST_TEST_REQUIRE(
           (router.FindTarget(send.target)->state == TargetState::kLive));
     }
-    fleet.Take(effects, clock.Now());
+    fleet.Apply(effects, clock.Now());
     for (DeliverAnswer& answer : effects.answers) {
       BOOST_TEST_REQUIRE(!answers.contains(answer.call));
       answers.emplace(answer.call, std::move(answer.answer));
@@ -65,18 +66,18 @@
     effects.answers.clear();
   }
 
-  //! Lets time pass with everything that happens in it.
+  //! Advances the clock and processes all timers and target events on the way.
   void RunFor(Duration step) {
     const TimePoint end = clock.Now() + step;
     while (true) {
       const auto timer = engine.NextTimer();
-      const auto event = fleet.Next();
+      const auto event = fleet.NextEventAt();
       if ((!timer || *timer > end) && (!event || *event > end)) {
         break;
       }
       if (event && (!timer || *event <= *timer)) {
         clock.Advance(*event - clock.Now());
-        for (const AttemptReply& reply : fleet.Run()) {
+        for (const AttemptReply& reply : fleet.RunNextEvent()) {
           Reply(reply);
         }
       } else {
--- a/test/jacinthdeck/query/merge_test.cc
+++ b/test/jacinthdeck/query/merge_test.cc
@@ -1,4 +1,4 @@
-// Tests of the merge rules.
+// Tests of the merge rules in Merger.
 #include "jacinthdeck/query/merge.h"
 
 #include <algorithm>
@@ -68,7 +68,7 @@
   }
 }
 
-// Replies arrive in any order. Two callers that ask the same must see the same.
+// Replies arrive in any order, and equal requests must get equal answers.
 BOOST_AUTO_TEST_CASE(EveryRule_AnyOrderOfReplies_SameResult) {
   Random random(5);
   for (int round = 0; round < 200; ++round) {
@@ -82,10 +82,10 @@
     for (const MergeRule rule : {MergeRule::kTopK, MergeRule::kUnion,
                                  MergeRule::kCount, MergeRule::kLookup}) {
       const Merged once = Merge(rule, mixed);
-      std::vector<ShardReply> turned = mixed;
-      std::ranges::reverse(turned);
-      std::swap(turned[0], turned[random.Below(4)]);
-      BOOST_TEST((once.hits == Merge(rule, turned).hits));
+      std::vector<ShardReply> reordered = mixed;
+      std::ranges::reverse(reordered);
+      std::swap(reordered[0], reordered[random.Below(4)]);
+      BOOST_TEST((once.hits == Merge(rule, reordered).hits));
     }
   }
 }
--- a/test/jacinthdeck/query/target_fleet.h
+++ b/test/jacinthdeck/query/target_fleet.h
@@ -1,5 +1,5 @@
-// Simulated targets under an engine: slots, queues, service times, faults and
-// open-loop callers, all on one paused clock.
+// Simulated targets for engine tests: slots, queues, service times and faults
+// on a manual clock.
 #ifndef JACINTHDECK_TEST_QUERY_TARGET_FLEET_H_
 #define JACINTHDECK_TEST_QUERY_TARGET_FLEET_H_
 
@@ -18,52 +18,55 @@
 
 namespace jacinthdeck {
 
-/*! \brief How the simulated targets behave. */
+/*! \brief Behaviour of the simulated targets. */
 struct FleetOptions {
   std::uint32_t slots = 3;
-  //! Requests that wait at one target; beyond them it sheds.
-  std::size_t queue = 8;
-  //! Mean of the exponential service time.
-  Duration service = std::chrono::milliseconds(10);
-  Duration network = std::chrono::microseconds(500);
+  //! Maximum number of requests that wait at a target; it sheds further ones.
+  std::size_t max_waiting = 8;
+  //! Mean of the exponentially distributed service time.
+  Duration mean_service_time = std::chrono::milliseconds(10);
+  //! Time that a message takes in one direction.
+  Duration network_latency = std::chrono::microseconds(500);
 };
 
-/*! \brief Targets that answer whatever the engine sends. */
+/*! \brief Discrete-event simulation of the targets that the engine sends to. */
 class TargetFleet {
  public:
   TargetFleet(std::uint64_t seed, const FleetOptions& options)
       : m_random(seed), m_options(options) {}
 
-  //! Requests that crash the target that runs them.
-  std::set<Fingerprint> deadly;
-  //! Kills so far, by fingerprint.
-  std::map<Fingerprint, std::size_t> kills;
-  //! Share of requests that end in a way drawn from all of them.
+  //! Fingerprints of the requests that crash the target that runs them.
+  std::set<Fingerprint> crashing;
+  //! Number of crashes so far, by fingerprint.
+  std::map<Fingerprint, std::size_t> crashes;
+  //! Share of requests that end at once with a status drawn at random.
   double fault_rate = 0;
-  //! Targets that accept and never answer.
-  std::set<TargetId> silent;
-  //! Requests that began to run, by call.
+  //! Targets that accept requests and never answer them.
+  std::set<TargetId> unresponsive;
+  //! Number of requests that started to run on a target, by call.
   std::map<CallId, std::size_t> runs;
 
-  [[nodiscard]] std::optional<TimePoint> Next() const {
+  [[nodiscard]] std::optional<TimePoint> NextEventAt() const {
     return m_events.empty() ? std::nullopt
                             : std::optional(m_events.begin()->first);
   }
 
-  void Take(const Effects& effects, TimePoint now) {
+  void Apply(const Effects& effects, TimePoint now) {
     for (const SendAttempt& send : effects.sends) {
-      m_events.emplace(now + m_options.network, Event{send, Step::kArrive});
+      m_events.emplace(now + m_options.network_latency,
+                       Event{send, Step::kArrive});
     }
     for (const CancelAttempt& cancel : effects.cancels) {
       SendAttempt ended;
       ended.attempt = cancel.attempt;
       ended.target = cancel.target;
-      m_events.emplace(now + m_options.network, Event{ended, Step::kCancel});
+      m_events.emplace(now + m_options.network_latency,
+                       Event{ended, Step::kCancel});
     }
   }
 
-  //! Runs the earliest event; gives the reply that it led to.
-  [[nodiscard]] std::vector<AttemptReply> Run() {
+  //! Runs the earliest event and returns the replies that it caused.
+  [[nodiscard]] std::vector<AttemptReply> RunNextEvent() {
     const TimePoint now = m_events.begin()->first;
     const Event event = m_events.begin()->second;
     m_events.erase(m_events.begin());
@@ -109,14 +112,14 @@
       return Fault(send);
     }
     Target& target = m_targets[send.target];
-    if (silent.contains(send.target)) {
+    if (unresponsive.contains(send.target)) {
       target.waiting.push_back(send);
       return {};
     }
     if (target.running.size() < m_options.slots) {
       return Begin(target, send, now);
     }
-    if (target.waiting.size() >= m_options.queue) {
+    if (target.waiting.size() >= m_options.max_waiting) {
       return {Ended(send, AttemptStatus::kShed)};
     }
     target.waiting.push_back(send);
@@ -143,20 +146,21 @@
                                   const SendAttempt& send,
                                   TimePoint now) {
     ++runs[send.call];
-    if (deadly.contains(Fingerprint(std::stoull(*send.body)))) {
+    if (crashing.contains(Fingerprint(std::stoull(*send.body)))) {
       return Crash(target, send);
     }
     target.running.emplace(send.attempt, send);
-    const double time = -std::log(1 - m_random.Unit()) *
-                        static_cast<double>(m_options.service.count());
-    m_events.emplace(
-        now + m_options.network + Duration(static_cast<Duration::rep>(time)),
-        Event{send, Step::kEnd});
+    const double time =
+        -std::log(1 - m_random.Unit()) *
+        static_cast<double>(m_options.mean_service_time.count());
+    m_events.emplace(now + m_options.network_latency +
+                         Duration(static_cast<Duration::rep>(time)),
+                     Event{send, Step::kEnd});
     return {};
   }
 
   std::vector<AttemptReply> Crash(Target& target, const SendAttempt& send) {
-    ++kills[Fingerprint(std::stoull(*send.body))];
+    ++crashes[Fingerprint(std::stoull(*send.body))];
     std::vector<AttemptReply> replies{Ended(send, AttemptStatus::kLost)};
     for (const auto& [attempt, running] : target.running) {
       replies.push_back(Ended(running, AttemptStatus::kLost));
@@ -174,13 +178,13 @@
       return {};
     }
     std::vector<AttemptReply> replies{Ended(send, AttemptStatus::kAnswered)};
-    Refill(target, now, replies);
+    FillSlots(target, now, replies);
     return replies;
   }
 
-  void Refill(Target& target,
-              TimePoint now,
-              std::vector<AttemptReply>& replies) {
+  void FillSlots(Target& target,
+                 TimePoint now,
+                 std::vector<AttemptReply>& replies) {
     while (!target.waiting.empty() && target.running.size() < m_options.slots) {
       const SendAttempt next = target.waiting.front();
       target.waiting.pop_front();
@@ -201,8 +205,8 @@
                         }) > 0;
     if (waited || target.running.erase(send.attempt) > 0) {
       replies.push_back(Ended(send, AttemptStatus::kCancelled));
-      if (!silent.contains(send.target)) {
-        Refill(target, now, replies);
+      if (!unresponsive.contains(send.target)) {
+        FillSlots(target, now, replies);
       }
     }
     return replies;
