--- a/src/jacinthdeck/entry/feed_hub.cc
+++ b/src/jacinthdeck/entry/feed_hub.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-//! Between two signs of life to followers; FeedChoice counts on it.
+//! Between two signs of life to followers; FeederSelector counts on it.
 constexpr Duration kBeatEvery = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -45,31 +45,32 @@
 
 void FeedHub::CountReceived() {
   const std::uint64_t counted = m_received.own + m_received.other;
-  m_received.Add(m_link.received() - counted, m_choice.IsNear());
+  m_received.Add(m_link.received_bytes() - counted,
+                 m_choice.IsFeederInOwnDomain());
 }
 
 void FeedHub::Tick() {
   const TimePoint now = m_clock.Now();
   CountReceived();
   if (now >= m_beat_at) {
-    m_server.Beat();
+    m_server.SendHeartbeat();
     m_beat_at = now + kBeatEvery;
   }
-  const FeedStep step = m_choice.Step(now);
-  if (step.close) {
+  const FeederActions actions = m_choice.Step(now);
+  if (actions.close_link) {
     m_link.Close();
     m_observer.OnFeedEnded("given up");
   }
-  if (step.open) {
-    m_observer.OnFeedOpened(*step.open);
+  if (actions.open_link_to) {
+    m_observer.OnFeedOpened(*actions.open_link_to);
     m_told.clear();
-    m_link.Open(*step.open, {m_name, m_store.position(), m_told});
+    m_link.Open(*actions.open_link_to, {m_name, m_store.position(), m_told});
   }
   TellRecord();
   // Whoever feeds, a host that knows nothing must not go on knowing nothing.
   const bool knows_nothing =
       !m_store.loaded() && m_choice.IsLinkSteady(m_clock.Now());
-  m_store.SetWatching(step.watch_store || knows_nothing ||
+  m_store.SetWatching(actions.watch_store || knows_nothing ||
                       m_store.IsLeftBehind());
 }
 
@@ -85,10 +86,10 @@
     return;
   }
   m_told = m_record;
-  m_link.Say({m_name, m_store.position(), m_record});
+  m_link.SendHello({m_name, m_store.position(), m_record});
 }
 
-void FeedHub::OnFollower(const FeedHello& hello) {
+void FeedHub::OnFollowerHello(const FeedHello& hello) {
   if (hello.record.empty()) {
     m_store.DropMember(hello.host);
   } else {
@@ -104,9 +105,9 @@
   return m_store.HandoverSince(position);
 }
 
-FeedBeat FeedHub::Beat() const {
+FeedHeartbeat FeedHub::Heartbeat() const {
   const auto heard = m_store.last_well();
-  FeedBeat beat;
+  FeedHeartbeat beat;
   beat.position = m_store.position();
   beat.store_away = m_store.knowledge().store_away();
   if (heard) {
@@ -120,19 +121,19 @@
   m_store.TakeContent(changes.changes, changes.position, changes.whole);
 }
 
-void FeedHub::OnFeedBeat(const FeedBeat& beat) {
-  FeedBeat taken = beat;
+void FeedHub::OnFeedHeartbeat(const FeedHeartbeat& beat) {
+  FeedHeartbeat taken = beat;
   if (beat.position.era < m_store.position().era) {
     // Whenever it heard the store, it was before the store came back.
     taken.age.reset();
   }
-  m_choice.OnBeat(taken, m_clock.Now());
+  m_choice.OnHeartbeat(taken, m_clock.Now());
   m_store.TakeAge(taken.age, taken.store_away);
   Tick();
 }
 
 void FeedHub::OnFeedLost(const std::string& problem) {
-  m_choice.OnLost(m_clock.Now());
+  m_choice.OnLinkLost(m_clock.Now());
   m_observer.OnFeedEnded(problem);
 }
 
--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -11,10 +11,10 @@
 #include "jacinthdeck/core/result.h"
 #include "jacinthdeck/discovery/host_record.h"
 #include "jacinthdeck/discovery/store_session.h"
-#include "jacinthdeck/peer/feed_choice.h"
 #include "jacinthdeck/peer/feed_link.h"
 #include "jacinthdeck/peer/feed_server.h"
 #include "jacinthdeck/peer/feed_source.h"
+#include "jacinthdeck/peer/feeder_selector.h"
 
 namespace jacinthdeck {
 
@@ -90,11 +90,11 @@
  private:
   [[nodiscard]] FeedChanges ContentSince(
       const StorePosition& position) const override;
-  [[nodiscard]] FeedBeat Beat() const override;
+  [[nodiscard]] FeedHeartbeat Heartbeat() const override;
   void OnFeedChanges(const FeedChanges& changes) override;
-  void OnFeedBeat(const FeedBeat& beat) override;
+  void OnFeedHeartbeat(const FeedHeartbeat& beat) override;
   void OnFeedLost(const std::string& problem) override;
-  void OnFollower(const FeedHello& hello) override;
+  void OnFollowerHello(const FeedHello& hello) override;
   void OnFollowerLeft(const NodeId& host) override;
   void TellRecord();
   //! Counts what the link received since the last time.
@@ -106,7 +106,7 @@
   const NodeId m_name;
   FeedServer m_server;
   FeedLink m_link;
-  FeedChoice m_choice;
+  FeederSelector m_choice;
   TimePoint m_beat_at;
   LinkBytes m_received;
   //! What the feeder is to keep in the store for this host; empty: nothing.
--- a/src/jacinthdeck/peer/feed_link.cc
+++ b/src/jacinthdeck/peer/feed_link.cc
@@ -9,14 +9,14 @@
 
 namespace jacinthdeck {
 
-struct FeedLink::State {
-  explicit State(asio::io_context& loop) : socket(loop) {}
+struct FeedLink::Connection {
+  explicit Connection(asio::io_context& loop) : socket(loop) {}
 
   tcp::socket socket;
-  FeedFrames frames;
-  std::array<char, 16384> bytes{};
+  FeedFrameReader frame_reader;
+  std::array<char, 16384> read_buffer{};
   //! Hellos that are not sent yet; the first may be under way.
-  std::deque<std::string> waiting;
+  std::deque<std::string> unsent;
   bool connected = false;
   bool closed = false;
 };
@@ -30,107 +30,108 @@
 
 void FeedLink::Open(const Endpoint& endpoint, const FeedHello& hello) {
   Close();
-  auto state = std::make_shared<State>(m_loop);
-  m_state = state;
-  state->waiting.push_back(EncodeFeed(hello));
+  auto connection = std::make_shared<Connection>(m_loop);
+  m_connection = connection;
+  connection->unsent.push_back(EncodeFeedMessage(hello));
   SystemError error;
   const auto address = asio::ip::make_address_v4(endpoint.address, error);
-  state->socket.async_connect(tcp::endpoint(address, endpoint.port),
-                              [this, state](const SystemError& ended) {
-                                if (state->closed) {
-                                  return;
-                                }
-                                if (ended) {
-                                  Lose(state,
-                                       "cannot connect: " + ended.message());
-                                  return;
-                                }
-                                SetStreamOptions(state->socket);
-                                state->connected = true;
-                                Write(state);
-                                Read(state);
-                              });
+  connection->socket.async_connect(
+      tcp::endpoint(address, endpoint.port),
+      [this, connection](const SystemError& connect_error) {
+        if (connection->closed) {
+          return;
+        }
+        if (connect_error) {
+          FailLink(connection, "cannot connect: " + connect_error.message());
+          return;
+        }
+        SetStreamOptions(connection->socket);
+        connection->connected = true;
+        Write(connection);
+        Read(connection);
+      });
 }
 
-void FeedLink::Say(const FeedHello& hello) {
-  if (m_state == nullptr) {
+void FeedLink::SendHello(const FeedHello& hello) {
+  if (m_connection == nullptr) {
     return;
   }
-  m_state->waiting.push_back(EncodeFeed(hello));
-  if (m_state->connected && m_state->waiting.size() == 1) {
-    Write(m_state);
+  m_connection->unsent.push_back(EncodeFeedMessage(hello));
+  if (m_connection->connected && m_connection->unsent.size() == 1) {
+    Write(m_connection);
   }
 }
 
-void FeedLink::Write(const std::shared_ptr<State>& state) {
-  asio::async_write(state->socket, asio::buffer(state->waiting.front()),
-                    [this, state](const SystemError& written, std::size_t) {
-                      if (state->closed) {
-                        return;
-                      }
-                      if (written) {
-                        Lose(state, "cannot send: " + written.message());
-                        return;
-                      }
-                      state->waiting.pop_front();
-                      if (!state->waiting.empty()) {
-                        Write(state);
-                      }
-                    });
+void FeedLink::Write(const std::shared_ptr<Connection>& connection) {
+  asio::async_write(
+      connection->socket, asio::buffer(connection->unsent.front()),
+      [this, connection](const SystemError& write_error, std::size_t) {
+        if (connection->closed) {
+          return;
+        }
+        if (write_error) {
+          FailLink(connection, "cannot send: " + write_error.message());
+          return;
+        }
+        connection->unsent.pop_front();
+        if (!connection->unsent.empty()) {
+          Write(connection);
+        }
+      });
 }
 
 void FeedLink::Close() {
-  if (m_state == nullptr) {
+  if (m_connection == nullptr) {
     return;
   }
-  m_state->closed = true;
+  m_connection->closed = true;
   SystemError ignored;
-  m_state->socket.close(ignored);
-  m_state.reset();
+  m_connection->socket.close(ignored);
+  m_connection.reset();
 }
 
-void FeedLink::Read(const std::shared_ptr<State>& state) {
-  state->socket.async_read_some(
-      asio::buffer(state->bytes),
-      [this, state](const SystemError& error, std::size_t count) {
-        if (state->closed) {
+void FeedLink::Read(const std::shared_ptr<Connection>& connection) {
+  connection->socket.async_read_some(
+      asio::buffer(connection->read_buffer),
+      [this, connection](const SystemError& error, std::size_t count) {
+        if (connection->closed) {
           return;
         }
         if (error) {
-          Lose(state, "ended: " + error.message());
+          FailLink(connection, "ended: " + error.message());
           return;
         }
-        m_received += count;
-        state->frames.Add({state->bytes.data(), count});
-        while (const auto frame = state->frames.Next()) {
+        m_received_bytes += count;
+        connection->frame_reader.Add({connection->read_buffer.data(), count});
+        while (const auto frame = connection->frame_reader.Next()) {
           OnFrame(*frame);
-          if (state->closed) {
+          if (connection->closed) {
             return;
           }
         }
-        if (state->frames.broken()) {
-          Lose(state, "sends no frames");
+        if (connection->frame_reader.broken()) {
+          FailLink(connection, "sends no frames");
           return;
         }
-        Read(state);
+        Read(connection);
       });
 }
 
 void FeedLink::OnFrame(const std::string& frame) {
-  const auto message = Capture([&] { return DecodeFeed(frame); });
-  const auto* read = std::get_if<FeedMessage>(&message);
-  if (read == nullptr) {
-    Lose(m_state, "sent a frame that is no message");
-  } else if (const auto* changes = std::get_if<FeedChanges>(read)) {
+  const auto message = Capture([&] { return DecodeFeedMessage(frame); });
+  const auto* decoded = std::get_if<FeedMessage>(&message);
+  if (decoded == nullptr) {
+    FailLink(m_connection, "sent a frame that is no message");
+  } else if (const auto* changes = std::get_if<FeedChanges>(decoded)) {
     m_sink.OnFeedChanges(*changes);
-  } else if (const auto* beat = std::get_if<FeedBeat>(read)) {
-    m_sink.OnFeedBeat(*beat);
+  } else if (const auto* heartbeat = std::get_if<FeedHeartbeat>(decoded)) {
+    m_sink.OnFeedHeartbeat(*heartbeat);
   }
 }
 
-void FeedLink::Lose(const std::shared_ptr<State>& state,
-                    const std::string& problem) {
-  if (state == nullptr || state->closed) {
+void FeedLink::FailLink(const std::shared_ptr<Connection>& connection,
+                        const std::string& problem) {
+  if (connection == nullptr || connection->closed) {
     return;
   }
   Close();
--- a/src/jacinthdeck/peer/feed_link.h
+++ b/src/jacinthdeck/peer/feed_link.h
@@ -9,7 +9,7 @@
 
 #include "jacinthdeck/core/endpoint.h"
 #include "jacinthdeck/http/asio.h"
-#include "jacinthdeck/peer/feed_frames.h"
+#include "jacinthdeck/peer/feed_frame_reader.h"
 #include "jacinthdeck/peer/feed_message.h"
 
 namespace jacinthdeck {
@@ -20,7 +20,7 @@
   virtual ~FeedLinkSink() = default;
 
   virtual void OnFeedChanges(const FeedChanges& changes) = 0;
-  virtual void OnFeedBeat(const FeedBeat& beat) = 0;
+  virtual void OnFeedHeartbeat(const FeedHeartbeat& heartbeat) = 0;
   /*! \brief The link ended, or could not be opened. */
   virtual void OnFeedLost(const std::string& problem) = 0;
 };
@@ -39,27 +39,30 @@
 
   /*! \brief Says something else of this host; nothing while there is no link.
    */
-  void Say(const FeedHello& hello);
+  void SendHello(const FeedHello& hello);
 
   /*! \brief Bytes received over all links since the start. */
-  [[nodiscard]] std::uint64_t received() const noexcept { return m_received; }
+  [[nodiscard]] std::uint64_t received_bytes() const noexcept {
+    return m_received_bytes;
+  }
 
   /*! \brief Ends the link without a word to the sink. */
   void Close();
 
  private:
-  struct State;
+  struct Connection;
 
-  void Write(const std::shared_ptr<State>& state);
-  void Read(const std::shared_ptr<State>& state);
+  void Write(const std::shared_ptr<Connection>& connection);
+  void Read(const std::shared_ptr<Connection>& connection);
   void OnFrame(const std::string& frame);
-  void Lose(const std::shared_ptr<State>& state, const std::string& problem);
+  void FailLink(const std::shared_ptr<Connection>& connection,
+                const std::string& problem);
 
   asio::io_context& m_loop;
   FeedLinkSink& m_sink;
-  std::uint64_t m_received = 0;
+  std::uint64_t m_received_bytes = 0;
   //! Null while there is no link; handlers of an earlier one see another.
-  std::shared_ptr<State> m_state;
+  std::shared_ptr<Connection> m_connection;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/peer/feed_message.cc
+++ b/src/jacinthdeck/peer/feed_message.cc
@@ -9,7 +9,7 @@
 #include <limits>
 #include <utility>
 
-#include "jacinthdeck/peer/feed_frames.h"
+#include "jacinthdeck/peer/feed_frame_reader.h"
 
 namespace jacinthdeck {
 
@@ -18,7 +18,7 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-[[nodiscard]] std::string TextOf(const flatbuffers::String* text) {
+[[nodiscard]] std::string StringOrEmpty(const flatbuffers::String* text) {
   return text == nullptr ? std::string() : text->str();
 }
 
@@ -28,8 +28,8 @@
   return {StoreEra(table.era()), table.revision()};
 }
 
-[[nodiscard]] Offset<void> Build(FlatBufferBuilder& builder,
-                                 const FeedHello& hello) {
+[[nodiscard]] Offset<void> BuildBody(FlatBufferBuilder& builder,
+                                     const FeedHello& hello) {
   const auto host = builder.CreateString(hello.host.raw());
   const auto record = builder.CreateString(hello.record);
   return wire::CreateHello(builder, host, hello.position.revision, record,
@@ -37,8 +37,8 @@
       .Union();
 }
 
-[[nodiscard]] Offset<void> Build(FlatBufferBuilder& builder,
-                                 const FeedChanges& changes) {
+[[nodiscard]] Offset<void> BuildBody(FlatBufferBuilder& builder,
+                                     const FeedChanges& changes) {
   std::vector<Offset<wire::Change>> built;
   built.reserve(changes.changes.size());
   for (const StoreChange& change : changes.changes) {
@@ -60,7 +60,7 @@
 //! What the field of a beat says where the store was never heard.
 constexpr std::uint32_t kNeverHeard = std::numeric_limits<std::uint32_t>::max();
 
-[[nodiscard]] std::uint32_t AgeField(std::optional<Duration> age) {
+[[nodiscard]] std::uint32_t EncodeAge(std::optional<Duration> age) {
   if (!age) {
     return kNeverHeard;
   }
@@ -70,51 +70,53 @@
       std::clamp<std::int64_t>(milliseconds, 0, kNeverHeard - 1));
 }
 
-[[nodiscard]] std::optional<Duration> ReadAge(std::uint32_t field) {
+[[nodiscard]] std::optional<Duration> DecodeAge(std::uint32_t field) {
   if (field == kNeverHeard) {
     return std::nullopt;
   }
   return std::chrono::milliseconds(field);
 }
 
-[[nodiscard]] Offset<void> Build(FlatBufferBuilder& builder,
-                                 const FeedBeat& beat) {
-  return wire::CreateBeat(builder, beat.position.revision, AgeField(beat.age),
-                          beat.store_away, EraNumber(beat.position.era))
+[[nodiscard]] Offset<void> BuildBody(FlatBufferBuilder& builder,
+                                     const FeedHeartbeat& heartbeat) {
+  return wire::CreateBeat(builder, heartbeat.position.revision,
+                          EncodeAge(heartbeat.age), heartbeat.store_away,
+                          EraNumber(heartbeat.position.era))
       .Union();
 }
 
-[[nodiscard]] wire::Body KindOf(const FeedMessage& message) {
-  constexpr wire::Body kKinds[] = {wire::Body::Hello, wire::Body::Changes,
-                                   wire::Body::Beat};
-  return kKinds[message.index()];
+[[nodiscard]] wire::Body BodyTypeOf(const FeedMessage& message) {
+  constexpr wire::Body kBodyTypes[] = {wire::Body::Hello, wire::Body::Changes,
+                                       wire::Body::Beat};
+  return kBodyTypes[message.index()];
 }
 
-[[nodiscard]] FeedChanges Read(const wire::Changes& wired) {
+[[nodiscard]] FeedChanges DecodeChanges(const wire::Changes& wire_changes) {
   FeedChanges changes;
-  changes.position = PositionOf(wired);
-  changes.whole = wired.whole();
-  if (wired.changes() == nullptr) {
+  changes.position = PositionOf(wire_changes);
+  changes.whole = wire_changes.whole();
+  if (wire_changes.changes() == nullptr) {
     return changes;
   }
-  for (const wire::Change* change : *wired.changes()) {
-    StoreChange read;
-    read.key = TextOf(change->key());
-    read.position = PositionOf(*change);
+  for (const wire::Change* change : *wire_changes.changes()) {
+    StoreChange store_change;
+    store_change.key = StringOrEmpty(change->key());
+    store_change.position = PositionOf(*change);
     if (!change->removed()) {
       const auto* value = change->value();
-      read.value = value == nullptr ? std::string()
-                                    : std::string(value->begin(), value->end());
+      store_change.value = value == nullptr
+                               ? std::string()
+                               : std::string(value->begin(), value->end());
     }
-    changes.changes.push_back(std::move(read));
+    changes.changes.push_back(std::move(store_change));
   }
   return changes;
 }
 
 //! Messages below gain nothing by it.
-constexpr std::size_t kLeastPacked = 1024;
+constexpr std::size_t kMinCompressibleBytes = 1024;
 //! The fastest: a feeder packs each change while callers wait.
-constexpr int kPackLevel = 1;
+constexpr int kCompressionLevel = 1;
 
 [[nodiscard]] std::string_view BytesOf(const FlatBufferBuilder& builder) {
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()),
@@ -123,11 +125,11 @@
 
 //! Replaces the message by one that holds it packed; it stays as it is if that
 //! fails.
-void Pack(FlatBufferBuilder& builder) {
+void Compress(FlatBufferBuilder& builder) {
   std::string packed(ZSTD_compressBound(builder.GetSize()), '\0');
   const std::size_t size =
       ZSTD_compress(packed.data(), packed.size(), builder.GetBufferPointer(),
-                    builder.GetSize(), kPackLevel);
+                    builder.GetSize(), kCompressionLevel);
   if (ZSTD_isError(size) != 0) {
     return;
   }
@@ -140,9 +142,10 @@
                           wire::CreatePacked(builder, plain, bytes).Union()));
 }
 
-[[nodiscard]] Result<std::string> Unpack(const wire::Packed& packed) {
+[[nodiscard]] Result<std::string> Decompress(const wire::Packed& packed) {
   // The size is the sender's word, and what it costs to believe it is bounded.
-  if (packed.size() > FeedFrames::kMostBytes || packed.bytes() == nullptr) {
+  if (packed.size() > FeedFrameReader::kMaxFrameBytes ||
+      packed.bytes() == nullptr) {
     return Fail(ErrorCode::kCorrupt, "feed", "is packed from too many bytes");
   }
   std::string plain(packed.size(), '\0');
@@ -164,49 +167,55 @@
   return wire::GetMessage(bytes);
 }
 
-[[nodiscard]] Result<FeedMessage> ReadPlain(const wire::Message& message) {
+[[nodiscard]] Result<FeedMessage> DecodeBody(const wire::Message& message) {
   if (const auto* hello = message.body_as_Hello()) {
-    return FeedMessage(FeedHello{NodeId(TextOf(hello->host())),
-                                 PositionOf(*hello), TextOf(hello->record()),
-                                 hello->reads_packed()});
+    return FeedMessage(
+        FeedHello{NodeId(StringOrEmpty(hello->host())), PositionOf(*hello),
+                  StringOrEmpty(hello->record()), hello->reads_packed()});
   }
   if (const auto* changes = message.body_as_Changes()) {
-    return FeedMessage(Read(*changes));
+    return FeedMessage(DecodeChanges(*changes));
   }
-  if (const auto* beat = message.body_as_Beat()) {
-    return FeedMessage(FeedBeat{PositionOf(*beat), ReadAge(beat->age_ms()),
-                                beat->store_away()});
+  if (const auto* heartbeat = message.body_as_Beat()) {
+    return FeedMessage(FeedHeartbeat{PositionOf(*heartbeat),
+                                     DecodeAge(heartbeat->age_ms()),
+                                     heartbeat->store_away()});
   }
   return Fail(ErrorCode::kCorrupt, "feed", "has a body of no known kind");
 }
 
 }  // namespace
 
-std::string EncodeFeed(const FeedMessage& message, FeedPacking packing) {
+std::string EncodeFeedMessage(const FeedMessage& message,
+                              FeedCompression compression) {
   FlatBufferBuilder builder;
   const Offset<void> body = std::visit(
-      [&](const auto& which) { return Build(builder, which); }, message);
-  builder.Finish(wire::CreateMessage(builder, KindOf(message), body));
-  if (packing == FeedPacking::kPacked && builder.GetSize() >= kLeastPacked) {
-    Pack(builder);
+      [&](const auto& body_message) {
+        return BuildBody(builder, body_message);
+      },
+      message);
+  builder.Finish(wire::CreateMessage(builder, BodyTypeOf(message), body));
+  if (compression == FeedCompression::kZstd &&
+      builder.GetSize() >= kMinCompressibleBytes) {
+    Compress(builder);
   }
   // Not the library's own prefix: it shifts the alignment that the verifier of
   // the frame without its prefix checks.
-  std::string frame = FrameLength(builder.GetSize());
+  std::string frame = EncodeFrameLength(builder.GetSize());
   frame += BytesOf(builder);
   return frame;
 }
 
-Result<FeedMessage> DecodeFeed(std::string_view frame) {
+Result<FeedMessage> DecodeFeedMessage(std::string_view frame) {
   BOOST_LEAF_AUTO(message, Verify(frame));
   const auto* packed = message->body_as_Packed();
   if (packed == nullptr) {
-    return ReadPlain(*message);
+    return DecodeBody(*message);
   }
-  BOOST_LEAF_AUTO(plain, Unpack(*packed));
+  BOOST_LEAF_AUTO(plain, Decompress(*packed));
   // Packed once: a frame that unpacks to another has no known body.
   BOOST_LEAF_AUTO(inner, Verify(plain));
-  return ReadPlain(*inner);
+  return DecodeBody(*inner);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -31,7 +31,7 @@
 using FeedChanges = StoreHandover;
 
 /*! \brief A sign of life. */
-struct FeedBeat {
+struct FeedHeartbeat {
   //! Of the sender's content.
   StorePosition position;
   //! Since the store was last heard, by whoever heard it; nothing: never.
@@ -40,21 +40,22 @@
 };
 
 /*! \brief Any message. */
-using FeedMessage = std::variant<FeedHello, FeedChanges, FeedBeat>;
+using FeedMessage = std::variant<FeedHello, FeedChanges, FeedHeartbeat>;
 
 /*! \brief Whether the bytes of a frame are compressed. */
-enum class FeedPacking { kPlain, kPacked };
+enum class FeedCompression { kNone, kZstd };
 
 /**
  * \brief Encodes a message as one frame, its length first.
- * \param packing Small messages stay plain.
+ * \param compression Small messages stay plain.
  */
-[[nodiscard]] std::string EncodeFeed(const FeedMessage& message,
-                                     FeedPacking packing = FeedPacking::kPlain);
+[[nodiscard]] std::string EncodeFeedMessage(
+    const FeedMessage& message,
+    FeedCompression compression = FeedCompression::kNone);
 
 /*! \brief Decodes a frame without its length; kCorrupt for what is no message.
  */
-[[nodiscard]] Result<FeedMessage> DecodeFeed(std::string_view frame);
+[[nodiscard]] Result<FeedMessage> DecodeFeedMessage(std::string_view frame);
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/peer/feed_server.cc
+++ b/src/jacinthdeck/peer/feed_server.cc
@@ -15,24 +15,24 @@
 namespace {
 
 //! Followers beyond this are turned away: they find another host.
-constexpr std::size_t kMostFollowers = 256;
+constexpr std::size_t kMaxFollowers = 256;
 //! Bytes that wait for one follower.
-constexpr std::size_t kMostWaiting = std::size_t{8} << 20U;
-constexpr std::size_t kFeedReadBytes = 4096;
+constexpr std::size_t kMaxUnsentBytes = std::size_t{8} << 20U;
+constexpr std::size_t kReadBufferBytes = 4096;
 
 }  // namespace
 
 //! A message in the frames that followers read, each encoded once.
-class FeedServer::Encoding {
+class FeedServer::FrameCache {
  public:
-  explicit Encoding(const FeedMessage& message) : m_message(message) {}
+  explicit FrameCache(const FeedMessage& message) : m_message(message) {}
 
-  [[nodiscard]] const std::shared_ptr<const std::string>& For(
-      FeedPacking packing) {
-    auto& frame = m_frames[static_cast<std::size_t>(packing)];
+  [[nodiscard]] const std::shared_ptr<const std::string>& FrameFor(
+      FeedCompression compression) {
+    auto& frame = m_frames[static_cast<std::size_t>(compression)];
     if (frame == nullptr) {
-      frame =
-          std::make_shared<const std::string>(EncodeFeed(m_message, packing));
+      frame = std::make_shared<const std::string>(
+          EncodeFeedMessage(m_message, compression));
     }
     return frame;
   }
@@ -43,16 +43,16 @@
 };
 
 struct FeedServer::Follower {
-  explicit Follower(tcp::socket taken) : socket(std::move(taken)) {}
+  explicit Follower(tcp::socket accepted) : socket(std::move(accepted)) {}
 
   tcp::socket socket;
-  FeedFrames frames;
-  std::array<char, kFeedReadBytes> bytes{};
-  std::deque<std::shared_ptr<const std::string>> waiting;
-  std::size_t waiting_bytes = 0;
+  FeedFrameReader frame_reader;
+  std::array<char, kReadBufferBytes> read_buffer{};
+  std::deque<std::shared_ptr<const std::string>> unsent;
+  std::size_t unsent_bytes = 0;
   //! It has said hello and gets the changes.
-  bool greeted = false;
-  FeedPacking packing = FeedPacking::kPlain;
+  bool subscribed = false;
+  FeedCompression compression = FeedCompression::kNone;
   //! Known once it is greeted.
   NodeId host;
   //! It knows all up to some revision, so that changes are of use to it.
@@ -89,17 +89,17 @@
   if (m_followers.empty()) {
     return;
   }
-  for (const auto& follower : Greeted()) {
+  for (const auto& follower : SubscribedFollowers()) {
     if (!follower->has_content) {
-      SendContent(follower, {});
+      SendContentSince(follower, {});
     }
   }
-  SendAll(changes);
+  SendToAll(changes);
 }
 
-void FeedServer::Beat() {
+void FeedServer::SendHeartbeat() {
   if (!m_followers.empty()) {
-    SendAll(m_source.Beat());
+    SendToAll(m_source.Heartbeat());
   }
 }
 
@@ -108,7 +108,7 @@
     if (error == asio::error::operation_aborted || !m_acceptor.is_open()) {
       return;
     }
-    if (!error && m_followers.size() < kMostFollowers) {
+    if (!error && m_followers.size() < kMaxFollowers) {
       SetStreamOptions(socket);
       auto follower = std::make_shared<Follower>(std::move(socket));
       m_followers.push_back(follower);
@@ -120,7 +120,7 @@
 
 void FeedServer::Read(const std::shared_ptr<Follower>& follower) {
   follower->socket.async_read_some(
-      asio::buffer(follower->bytes),
+      asio::buffer(follower->read_buffer),
       [this, follower](const SystemError& error, std::size_t count) {
         if (follower->closed) {
           return;
@@ -129,11 +129,11 @@
           Drop(follower);
           return;
         }
-        follower->frames.Add({follower->bytes.data(), count});
-        while (const auto frame = follower->frames.Next()) {
+        follower->frame_reader.Add({follower->read_buffer.data(), count});
+        while (const auto frame = follower->frame_reader.Next()) {
           OnFrame(follower, *frame);
         }
-        if (follower->frames.broken()) {
+        if (follower->frame_reader.broken()) {
           Drop(follower);
         }
         if (!follower->closed) {
@@ -144,55 +144,57 @@
 
 void FeedServer::OnFrame(const std::shared_ptr<Follower>& follower,
                          const std::string& frame) {
-  const auto message = Capture([&] { return DecodeFeed(frame); });
-  const auto* read = std::get_if<FeedMessage>(&message);
-  const auto* hello = read == nullptr ? nullptr : std::get_if<FeedHello>(read);
+  const auto message = Capture([&] { return DecodeFeedMessage(frame); });
+  const auto* decoded = std::get_if<FeedMessage>(&message);
+  const auto* hello =
+      decoded == nullptr ? nullptr : std::get_if<FeedHello>(decoded);
   if (hello == nullptr || follower->closed) {
     Drop(follower);
     return;
   }
-  const bool again = follower->greeted;
-  follower->greeted = true;
-  follower->packing =
-      hello->reads_packed ? FeedPacking::kPacked : FeedPacking::kPlain;
+  const bool was_subscribed = follower->subscribed;
+  follower->subscribed = true;
+  follower->compression =
+      hello->reads_packed ? FeedCompression::kZstd : FeedCompression::kNone;
   follower->host = hello->host;
-  m_observer.OnFollower(*hello);
-  if (again) {
+  m_observer.OnFollowerHello(*hello);
+  if (was_subscribed) {
     return;
   }
   // Followers that look for a fresh feeder mostly know nearly all of what this
   // one has. The whole content to each of dozens of followers a second would
   // fill the links of both.
   follower->has_content = hello->position.revision > 0;
-  SendContent(follower, hello->position);
-  Send(follower,
-       std::make_shared<const std::string>(EncodeFeed(m_source.Beat())));
+  SendContentSince(follower, hello->position);
+  Send(follower, std::make_shared<const std::string>(
+                     EncodeFeedMessage(m_source.Heartbeat())));
 }
 
 // A follower may come before this host has read anything. Changes alone would
 // tell it nothing: it would look fresh by the beats, and know no configuration
 // for as long as it lives. So its first changes are the whole content.
-void FeedServer::SendContent(const std::shared_ptr<Follower>& follower,
-                             const StorePosition& position) {
+void FeedServer::SendContentSince(const std::shared_ptr<Follower>& follower,
+                                  const StorePosition& position) {
   const FeedChanges content = m_source.ContentSince(position);
   if (content.position > position) {
     follower->has_content = true;
     Send(follower, std::make_shared<const std::string>(
-                       EncodeFeed(content, follower->packing)));
+                       EncodeFeedMessage(content, follower->compression)));
   }
 }
 
-std::vector<std::shared_ptr<FeedServer::Follower>> FeedServer::Greeted() const {
-  std::vector<std::shared_ptr<Follower>> greeted;
-  std::ranges::copy_if(m_followers, std::back_inserter(greeted),
-                       &Follower::greeted);
-  return greeted;
+std::vector<std::shared_ptr<FeedServer::Follower>>
+FeedServer::SubscribedFollowers() const {
+  std::vector<std::shared_ptr<Follower>> subscribed;
+  std::ranges::copy_if(m_followers, std::back_inserter(subscribed),
+                       &Follower::subscribed);
+  return subscribed;
 }
 
-void FeedServer::SendAll(const FeedMessage& message) {
-  Encoding encoding(message);
-  for (const auto& follower : Greeted()) {
-    Send(follower, encoding.For(follower->packing));
+void FeedServer::SendToAll(const FeedMessage& message) {
+  FrameCache frames(message);
+  for (const auto& follower : SubscribedFollowers()) {
+    Send(follower, frames.FrameFor(follower->compression));
   }
 }
 
@@ -201,19 +203,19 @@
   if (follower->closed) {
     return;
   }
-  if (follower->waiting_bytes + frame->size() > kMostWaiting) {
+  if (follower->unsent_bytes + frame->size() > kMaxUnsentBytes) {
     Drop(follower);
     return;
   }
-  follower->waiting.push_back(frame);
-  follower->waiting_bytes += frame->size();
-  if (follower->waiting.size() == 1) {
+  follower->unsent.push_back(frame);
+  follower->unsent_bytes += frame->size();
+  if (follower->unsent.size() == 1) {
     Write(follower);
   }
 }
 
 void FeedServer::Write(const std::shared_ptr<Follower>& follower) {
-  asio::async_write(follower->socket, asio::buffer(*follower->waiting.front()),
+  asio::async_write(follower->socket, asio::buffer(*follower->unsent.front()),
                     [this, follower](const SystemError& error, std::size_t) {
                       if (follower->closed) {
                         return;
@@ -222,10 +224,10 @@
                         Drop(follower);
                         return;
                       }
-                      follower->waiting_bytes -=
-                          follower->waiting.front()->size();
-                      follower->waiting.pop_front();
-                      if (!follower->waiting.empty()) {
+                      follower->unsent_bytes -=
+                          follower->unsent.front()->size();
+                      follower->unsent.pop_front();
+                      if (!follower->unsent.empty()) {
                         Write(follower);
                       }
                     });
@@ -236,11 +238,12 @@
   SystemError ignored;
   follower->socket.close(ignored);
   std::erase(m_followers, follower);
-  const bool left = follower->greeted &&
-                    std::ranges::none_of(m_followers, [&](const auto& other) {
-                      return other->greeted && other->host == follower->host;
-                    });
-  if (left) {
+  const bool last_link_ended =
+      follower->subscribed &&
+      std::ranges::none_of(m_followers, [&](const auto& other) {
+        return other->subscribed && other->host == follower->host;
+      });
+  if (last_link_ended) {
     m_observer.OnFollowerLeft(follower->host);
   }
 }
--- a/src/jacinthdeck/peer/feed_server.h
+++ b/src/jacinthdeck/peer/feed_server.h
@@ -10,7 +10,7 @@
 
 #include "jacinthdeck/core/result.h"
 #include "jacinthdeck/http/asio.h"
-#include "jacinthdeck/peer/feed_frames.h"
+#include "jacinthdeck/peer/feed_frame_reader.h"
 #include "jacinthdeck/peer/feed_source.h"
 #include "jacinthdeck/peer/follower_observer.h"
 
@@ -50,10 +50,10 @@
 
   /*! \brief Sends a sign of life to all followers; called some times a second.
    */
-  void Beat();
+  void SendHeartbeat();
 
  private:
-  class Encoding;
+  class FrameCache;
   struct Follower;
 
   void Accept();
@@ -64,11 +64,12 @@
             const std::shared_ptr<const std::string>& frame);
   void Write(const std::shared_ptr<Follower>& follower);
   //! Sends what a follower lacks that knows all up to a position.
-  void SendContent(const std::shared_ptr<Follower>& follower,
-                   const StorePosition& position);
+  void SendContentSince(const std::shared_ptr<Follower>& follower,
+                        const StorePosition& position);
   //! Followers that have said hello; sending may drop one.
-  [[nodiscard]] std::vector<std::shared_ptr<Follower>> Greeted() const;
-  void SendAll(const FeedMessage& message);
+  [[nodiscard]] std::vector<std::shared_ptr<Follower>> SubscribedFollowers()
+      const;
+  void SendToAll(const FeedMessage& message);
   void Drop(const std::shared_ptr<Follower>& follower);
 
   const FeedSource& m_source;
--- a/src/jacinthdeck/peer/feed_source.h
+++ b/src/jacinthdeck/peer/feed_source.h
@@ -22,7 +22,7 @@
       const StorePosition& position) const = 0;
 
   /*! \brief Position and age of the content. */
-  [[nodiscard]] virtual FeedBeat Beat() const = 0;
+  [[nodiscard]] virtual FeedHeartbeat Heartbeat() const = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/peer/feed_choice.h
+++ b/src/jacinthdeck/peer/feeder_selector.h
@@ -1,6 +1,6 @@
 // Decides from whom a host learns: from another host, or from the store itself.
-#ifndef JACINTHDECK_PEER_FEED_CHOICE_H_
-#define JACINTHDECK_PEER_FEED_CHOICE_H_
+#ifndef JACINTHDECK_PEER_FEEDER_SELECTOR_H_
+#define JACINTHDECK_PEER_FEEDER_SELECTOR_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -18,13 +18,13 @@
 namespace jacinthdeck {
 
 /*! \brief What is to be done now. */
-struct FeedStep {
+struct FeederActions {
   //! Watch the store.
   bool watch_store = false;
   //! Open a link to this host, in place of the present one.
-  std::optional<Endpoint> open;
+  std::optional<Endpoint> open_link_to;
   //! End the present link.
-  bool close = false;
+  bool close_link = false;
 };
 
 /**
@@ -43,7 +43,7 @@
  * the others a few at a time do, in case the store turns the feeders away and
  * not them.
  */
-class FeedChoice {
+class FeederSelector {
  public:
   /**
    * \brief Makes a choice that knows only the seeds.
@@ -54,11 +54,11 @@
    * once, unless it is too weak for callers to be sent to it: after the loss of
    * hundreds of hosts the few that serve must not wait behind the others.
    */
-  FeedChoice(HostRecord self,
-             std::vector<Endpoint> seeds,
-             bool fleet_starts,
-             std::uint64_t seed,
-             TimePoint now);
+  FeederSelector(HostRecord self,
+                 std::vector<Endpoint> seeds,
+                 bool fleet_starts,
+                 std::uint64_t seed,
+                 TimePoint now);
 
   /*! \brief Tells whether this host watches the store for others. */
   [[nodiscard]] bool is_watcher() const noexcept { return m_is_watcher; }
@@ -67,11 +67,11 @@
 
   /*! \brief Tells whether the feeder is heard, whatever it knows. */
   [[nodiscard]] bool IsLinked(TimePoint now) const {
-    return m_link == Link::kOpen && !IsSilent(now);
+    return m_link_state == LinkState::kOpen && !IsSilent(now);
   }
   /*! \brief Tells whether the feeder, or the last one, is known to be of this
    * host's failure domain. */
-  [[nodiscard]] bool IsNear() const;
+  [[nodiscard]] bool IsFeederInOwnDomain() const;
   /*! \brief Tells whether that was so for some time with the same one. */
   [[nodiscard]] bool IsLinkSteady(TimePoint now) const;
 
@@ -83,67 +83,67 @@
   void OnHosts(std::span<const HostRecord> hosts, TimePoint now);
 
   /*! \brief Takes a sign of life of the link. */
-  void OnBeat(const FeedBeat& beat, TimePoint now);
+  void OnHeartbeat(const FeedHeartbeat& heartbeat, TimePoint now);
 
   /*! \brief Takes changes over the link. */
   void OnChanges(TimePoint now);
 
   /*! \brief Takes the end of the link. */
-  void OnLost(TimePoint now);
+  void OnLinkLost(TimePoint now);
 
   /*! \brief Says what is to be done; called often. */
-  [[nodiscard]] FeedStep Step(TimePoint now);
+  [[nodiscard]] FeederActions Step(TimePoint now);
 
  private:
-  enum class Link { kNone, kOpening, kOpen };
+  enum class LinkState { kNone, kOpening, kOpen };
 
   [[nodiscard]] bool IsSilent(TimePoint now) const;
   [[nodiscard]] bool IsStale(TimePoint now) const;
   //! Tells whether the link is to be ended for another feeder.
-  [[nodiscard]] bool IsUseless(TimePoint now) const;
+  [[nodiscard]] bool ShouldLeaveFeeder(TimePoint now) const;
   //! Feeders that are tried before all are taken for stale alike.
-  [[nodiscard]] std::size_t MostStale() const noexcept;
+  [[nodiscard]] std::size_t StaleFeederLimit() const noexcept;
   //! Tells whether it is time to go back to the own failure domain's feeder.
-  [[nodiscard]] bool IsDueToReturn(TimePoint now);
+  [[nodiscard]] bool ShouldReturnToOwnDomain(TimePoint now);
   void LeaveFeeder(TimePoint now);
   [[nodiscard]] std::optional<Endpoint> NextFeeder();
   //! Position from which the next feeder is looked for.
-  [[nodiscard]] std::size_t PositionAfter(bool following) const;
+  [[nodiscard]] std::size_t NextFeederIndex(bool following) const;
   //! Watches the store from a moment within the spread on, unless that is
   //! settled already.
-  void ScheduleWatch(Duration spread, TimePoint from);
+  void ScheduleWatch(Duration max_jitter, TimePoint from);
   void ScheduleWatchWithoutLink(TimePoint now);
   void ScheduleWatchWhileStale(TimePoint now);
 
   const HostRecord m_self;
   const std::vector<Endpoint> m_seeds;
-  const TimePoint m_started;
+  const TimePoint m_started_at;
   Random m_random;
   bool m_is_watcher = false;
   bool m_serves_callers = true;
   //! Hosts that are known.
-  std::size_t m_hosts = 0;
+  std::size_t m_host_count = 0;
   //! In the order in which they are tried; this host is not among them.
   std::vector<Endpoint> m_feeders;
   //! Feeders of the own failure domain; the first so many.
-  std::size_t m_near = 0;
+  std::size_t m_own_domain_feeders = 0;
   //! Feeders that were left as stale since one was last followed.
-  std::size_t m_stale_in_row = 0;
+  std::size_t m_stale_feeders_in_row = 0;
   //! When it goes back to the own failure domain; nothing while it is there.
   std::optional<TimePoint> m_return_at;
   //! Time to stay elsewhere before that.
-  Duration m_return_pause;
-  std::size_t m_next = 0;
+  Duration m_return_delay;
+  std::size_t m_next_feeder = 0;
   //! Feeder of the present link, or of the last one.
-  std::optional<Endpoint> m_last;
-  Link m_link = Link::kNone;
-  TimePoint m_link_since;
+  std::optional<Endpoint> m_last_feeder;
+  LinkState m_link_state = LinkState::kNone;
+  TimePoint m_link_started_at;
   //! Last message over the link.
-  TimePoint m_heard;
+  TimePoint m_last_message_at;
   //! Last beat and when it came.
-  FeedBeat m_beat;
-  TimePoint m_beat_at;
-  TimePoint m_try_at;
+  FeedHeartbeat m_last_heartbeat;
+  TimePoint m_last_heartbeat_at;
+  TimePoint m_next_open_at;
   //! When the store is watched, unless the link is fresh by then; nothing while
   //! it is.
   std::optional<TimePoint> m_watch_at;
@@ -151,4 +151,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_PEER_FEED_CHOICE_H_
+#endif  // JACINTHDECK_PEER_FEEDER_SELECTOR_H_
--- a/src/jacinthdeck/peer/follower_observer.h
+++ b/src/jacinthdeck/peer/follower_observer.h
@@ -12,7 +12,7 @@
   virtual ~FollowerObserver() = default;
 
   /*! \brief A follower came, or says something else of itself. */
-  virtual void OnFollower(const FeedHello& hello) = 0;
+  virtual void OnFollowerHello(const FeedHello& hello) = 0;
 
   /*! \brief The last link of a follower ended. */
   virtual void OnFollowerLeft(const NodeId& host) = 0;
--- a/src/jacinthdeck/peer/fwd.h
+++ b/src/jacinthdeck/peer/fwd.h
@@ -5,14 +5,14 @@
 
 namespace jacinthdeck {
 
-class FeedChoice;
-class FeedFrames;
+class FeedFrameReader;
 class FeedLink;
 class FeedLinkSink;
 class FeedServer;
 class FeedSource;
+class FeederSelector;
 class FollowerObserver;
-struct FeedBeat;
+struct FeedHeartbeat;
 struct FeedHello;
 
 }  // namespace jacinthdeck
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -28,7 +28,7 @@
       const StorePosition& /*position*/) const override {
     return {position, true, {}};
   }
-  [[nodiscard]] FeedBeat Beat() const override {
+  [[nodiscard]] FeedHeartbeat Heartbeat() const override {
     return {position, milliseconds(1), false};
   }
 };
@@ -60,7 +60,7 @@
   void OnRegistration(StoreStatus /*status*/) override {}
   void OnFeedOpened(const Endpoint& /*feeder*/) override {}
   void OnFeedEnded(const std::string& /*problem*/) override {}
-  void OnFollower(const FeedHello& /*hello*/) override {}
+  void OnFollowerHello(const FeedHello& /*hello*/) override {}
   void OnFollowerLeft(const NodeId& /*host*/) override {}
 
   //! Begins with the feeder as the only host that is known.
@@ -80,7 +80,7 @@
     const TimePoint end = clock.Now() + time;
     while (clock.Now() < end) {
       clock.Advance(kStep);
-      feeder.Beat();
+      feeder.SendHeartbeat();
       loop.restart();
       loop.run_for(milliseconds(10));
       session.CheckTimes();
--- a/test/jacinthdeck/peer/feed_message_test.cc
+++ b/test/jacinthdeck/peer/feed_message_test.cc
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <string>
 
-#include "jacinthdeck/peer/feed_frames.h"
+#include "jacinthdeck/peer/feed_frame_reader.h"
 #include "support/positions.h"
 #include "support/printers.h"
 
@@ -14,13 +14,14 @@
 namespace {
 
 //! Through frames and back, as over a link.
-[[nodiscard]] FeedMessage RoundTrip(const FeedMessage& message,
-                                    FeedPacking packing = FeedPacking::kPlain) {
-  FeedFrames frames;
-  frames.Add(EncodeFeed(message, packing));
-  const auto frame = frames.Next();
+[[nodiscard]] FeedMessage RoundTrip(
+    const FeedMessage& message,
+    FeedCompression compression = FeedCompression::kNone) {
+  FeedFrameReader reader;
+  reader.Add(EncodeFeedMessage(message, compression));
+  const auto frame = reader.Next();
   BOOST_REQUIRE(frame.has_value());
-  auto decoded = Capture([&] { return DecodeFeed(*frame); });
+  auto decoded = Capture([&] { return DecodeFeedMessage(*frame); });
   BOOST_REQUIRE_EQUAL(decoded.index(), 0U);
   return std::get<0>(decoded);
 }
@@ -46,12 +47,12 @@
   BOOST_TEST(got.changes[2].value.value().empty());
 }
 
-BOOST_AUTO_TEST_CASE(Packed_LargeAndSmall_RoundTrip) {
+BOOST_AUTO_TEST_CASE(Compressed_LargeAndSmallChanges_RoundTrip) {
   for (const std::size_t size : {0U, 10U, 1000U, 3000000U}) {
     const std::string value(size, 'v');
     const FeedChanges sent{At(7), true, {{"key", At(7), value}}};
     const auto got =
-        std::get<FeedChanges>(RoundTrip(sent, FeedPacking::kPacked));
+        std::get<FeedChanges>(RoundTrip(sent, FeedCompression::kZstd));
     BOOST_TEST(got.position == At(7));
     BOOST_REQUIRE_EQUAL(got.changes.size(), 1U);
     BOOST_TEST((got.changes[0].value.value() == value));
@@ -59,102 +60,107 @@
 }
 
 // Guards against a host that a damaged or forged frame stops or fills.
-BOOST_AUTO_TEST_CASE(Packed_DamagedFrames_AreRefusedOrDecodeWhole) {
-  FeedFrames frames;
-  frames.Add(EncodeFeed(
+BOOST_AUTO_TEST_CASE(Compressed_DamagedFrame_IsRejectedOrDecoded) {
+  FeedFrameReader reader;
+  reader.Add(EncodeFeedMessage(
       FeedChanges{At(7), true, {{"key", At(1), std::string(5000, 'v')}}},
-      FeedPacking::kPacked));
-  const std::string whole = *frames.Next();
+      FeedCompression::kZstd));
+  const std::string whole = *reader.Next();
   BOOST_TEST(whole.size() < 1000U);
   for (std::size_t length = 0; length < whole.size(); ++length) {
     const std::string cut = whole.substr(0, length);
-    (void)Capture([&] { return DecodeFeed(cut); });
+    (void)Capture([&] { return DecodeFeedMessage(cut); });
   }
   for (std::size_t at = 0; at < whole.size(); ++at) {
     for (const int mask : {0xff, 0x01, 0x80}) {
       std::string flipped = whole;
       flipped[at] = static_cast<char>(flipped[at] ^ mask);
-      (void)Capture([&] { return DecodeFeed(flipped); });
+      (void)Capture([&] { return DecodeFeedMessage(flipped); });
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(Packed_SizeIsAbsurdOrWrong_IsRefused) {
+BOOST_AUTO_TEST_CASE(Compressed_SizeIsTooLargeOrWrong_IsRejected) {
   const FeedChanges sent{At(7), true, {{"key", At(1), std::string(5000, 'v')}}};
-  FeedFrames plain;
-  plain.Add(EncodeFeed(sent));
-  const std::size_t size = plain.Next()->size();
-  FeedFrames packed;
-  packed.Add(EncodeFeed(sent, FeedPacking::kPacked));
-  const std::string whole = *packed.Next();
+  FeedFrameReader plain_reader;
+  plain_reader.Add(EncodeFeedMessage(sent));
+  const std::size_t size = plain_reader.Next()->size();
+  FeedFrameReader compressed_reader;
+  compressed_reader.Add(EncodeFeedMessage(sent, FeedCompression::kZstd));
+  const std::string whole = *compressed_reader.Next();
   // A length stands before each frame as it does in the message.
-  const std::size_t at = whole.find(FrameLength(size));
+  const std::size_t at = whole.find(EncodeFrameLength(size));
   BOOST_REQUIRE(at != std::string::npos);
   for (const std::size_t forged_size :
-       {std::size_t{0}, size - 1, size + 1, FeedFrames::kMostBytes,
+       {std::size_t{0}, size - 1, size + 1, FeedFrameReader::kMaxFrameBytes,
         std::size_t{0xffffffff}}) {
     std::string forged = whole;
-    forged.replace(at, FrameLength(size).size(), FrameLength(forged_size));
-    BOOST_TEST(Capture([&] { return DecodeFeed(forged); }).index() == 1U);
+    forged.replace(at, EncodeFrameLength(size).size(),
+                   EncodeFrameLength(forged_size));
+    BOOST_TEST(Capture([&] { return DecodeFeedMessage(forged); }).index() ==
+               1U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(HelloAndBeat_RoundTrip) {
+BOOST_AUTO_TEST_CASE(HelloAndHeartbeat_AllFields_RoundTrip) {
   const auto hello = std::get<FeedHello>(
       RoundTrip(FeedHello{NodeId("host-1"), At(5, 2), "record"}));
   BOOST_TEST(hello.host == NodeId("host-1"));
   BOOST_TEST(hello.position == At(5, 2));
   BOOST_TEST(hello.record == "record");
-  const auto beat = std::get<FeedBeat>(
-      RoundTrip(FeedBeat{At(9, 4), std::chrono::milliseconds(1234), true}));
-  BOOST_TEST(beat.position == At(9, 4));
-  BOOST_TEST((beat.age == std::chrono::milliseconds(1234)));
-  BOOST_TEST(beat.store_away);
+  const auto heartbeat = std::get<FeedHeartbeat>(RoundTrip(
+      FeedHeartbeat{At(9, 4), std::chrono::milliseconds(1234), true}));
+  BOOST_TEST(heartbeat.position == At(9, 4));
+  BOOST_TEST((heartbeat.age == std::chrono::milliseconds(1234)));
+  BOOST_TEST(heartbeat.store_away);
 }
 
 // A damaged frame must not be read as knowledge: a host would serve by it.
-BOOST_AUTO_TEST_CASE(Decode_DamagedFrames_AreRefusedOrDecodeWhole) {
-  FeedFrames frames;
-  frames.Add(EncodeFeed(FeedChanges{At(7), true, {{"key", At(1), "value"}}}));
-  const std::string whole = *frames.Next();
+BOOST_AUTO_TEST_CASE(Decode_DamagedFrame_IsRejectedOrDecoded) {
+  FeedFrameReader reader;
+  reader.Add(
+      EncodeFeedMessage(FeedChanges{At(7), true, {{"key", At(1), "value"}}}));
+  const std::string whole = *reader.Next();
   for (std::size_t length = 0; length < whole.size(); ++length) {
     const std::string cut = whole.substr(0, length);
-    (void)Capture([&] { return DecodeFeed(cut); });
+    (void)Capture([&] { return DecodeFeedMessage(cut); });
   }
   for (std::size_t at = 0; at < whole.size(); ++at) {
     std::string flipped = whole;
     flipped[at] = static_cast<char>(~flipped[at]);
-    (void)Capture([&] { return DecodeFeed(flipped); });
+    (void)Capture([&] { return DecodeFeedMessage(flipped); });
   }
-  BOOST_TEST(Capture([] { return DecodeFeed(""); }).index() == 1U);
-  BOOST_TEST(Capture([] { return DecodeFeed("nonsense"); }).index() == 1U);
+  BOOST_TEST(Capture([] { return DecodeFeedMessage(""); }).index() == 1U);
+  BOOST_TEST(Capture([] { return DecodeFeedMessage("nonsense"); }).index() ==
+             1U);
 }
 
-BOOST_AUTO_TEST_CASE(Frames_ComeInPieces_AreCutWhereTheyEnd) {
-  const std::string two = EncodeFeed(FeedHello{NodeId("a"), At(1), ""}) +
-                          EncodeFeed(FeedHello{NodeId("b"), At(2), ""});
-  FeedFrames frames;
+BOOST_AUTO_TEST_CASE(Frames_ArriveByteByByte_AreSplitCorrectly) {
+  const std::string two = EncodeFeedMessage(FeedHello{NodeId("a"), At(1), ""}) +
+                          EncodeFeedMessage(FeedHello{NodeId("b"), At(2), ""});
+  FeedFrameReader reader;
   int whole = 0;
   for (const char byte : two) {
-    frames.Add({&byte, 1});
-    whole += frames.Next() ? 1 : 0;
+    reader.Add({&byte, 1});
+    whole += reader.Next() ? 1 : 0;
   }
   BOOST_TEST(whole == 2);
 }
 
-BOOST_AUTO_TEST_CASE(Frames_LengthIsAbsurd_StreamIsBroken) {
-  FeedFrames frames;
-  frames.Add("\xff\xff\xff\xff");
-  BOOST_TEST(!frames.Next().has_value());
-  BOOST_TEST(frames.broken());
+BOOST_AUTO_TEST_CASE(Frames_LengthExceedsLimit_StreamIsBroken) {
+  FeedFrameReader reader;
+  reader.Add("\xff\xff\xff\xff");
+  BOOST_TEST(!reader.Next().has_value());
+  BOOST_TEST(reader.broken());
 }
 
 // The log of a follower says that its knowledge is an hour old.
 // Its feeder had never heard the store and told an hour in place of that, so
 // whoever read the log looked for an outage that was none.
-BOOST_AUTO_TEST_CASE(Beat_StoreWasNeverHeard_HasNoAge) {
-  const auto beat = std::get<FeedBeat>(RoundTrip(FeedBeat{At(9), {}, false}));
-  BOOST_TEST(!beat.age.has_value());
+BOOST_AUTO_TEST_CASE(Heartbeat_StoreWasNeverHeard_HasNoAge) {
+  const auto heartbeat =
+      std::get<FeedHeartbeat>(RoundTrip(FeedHeartbeat{At(9), {}, false}));
+  BOOST_TEST(!heartbeat.age.has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/peer/feed_server_test.cc
+++ b/test/jacinthdeck/peer/feed_server_test.cc
@@ -19,15 +19,17 @@
 
 struct FixedSource final : FeedSource {
   //! 0: nothing was read yet.
-  std::uint64_t known = 7;
+  std::uint64_t content_revision = 7;
 
   std::string value = "{}";
 
   [[nodiscard]] FeedChanges ContentSince(
       const StorePosition& /*position*/) const override {
-    return {At(known), true, {{"servers/a", At(known), value}}};
+    return {At(content_revision),
+            true,
+            {{"servers/a", At(content_revision), value}}};
   }
-  [[nodiscard]] FeedBeat Beat() const override {
+  [[nodiscard]] FeedHeartbeat Heartbeat() const override {
     return {At(7), milliseconds(10), false};
   }
 };
@@ -47,40 +49,40 @@
   return text + "}";
 }
 
-struct ServerFixture : FeedLinkSink, FollowerObserver {
+struct FeedServerFixture : FeedLinkSink, FollowerObserver {
   asio::io_context loop;
   FixedSource source;
   FeedServer server{loop, source, *this};
   FeedLink link{loop, *this};
   //! Whether the follower is of the present version.
   bool reads_packed = true;
-  int contents = 0;
+  int change_messages = 0;
   //! Of the last change.
   std::string value;
   //! Those of them that were the whole content.
-  int wholes = 0;
-  int beats = 0;
+  int full_change_messages = 0;
+  int heartbeats = 0;
   bool link_may_end = false;
   //! Links that ended by the other side.
-  int lost = 0;
+  int links_lost = 0;
   //! Records of the hosts that follow.
   std::map<NodeId, std::string> followers;
 
-  void OnFollower(const FeedHello& hello) override {
+  void OnFollowerHello(const FeedHello& hello) override {
     followers[hello.host] = hello.record;
   }
   void OnFollowerLeft(const NodeId& host) override { followers.erase(host); }
   void OnFeedChanges(const FeedChanges& changes) override {
-    ++contents;
+    ++change_messages;
     value = changes.changes.back().value.value_or("");
-    wholes += changes.whole ? 1 : 0;
+    full_change_messages += changes.whole ? 1 : 0;
   }
-  void OnFeedBeat(const FeedBeat& /*beat*/) override { ++beats; }
+  void OnFeedHeartbeat(const FeedHeartbeat& /*beat*/) override { ++heartbeats; }
   void OnFeedLost(const std::string& problem) override {
     if (!link_may_end) {
       BOOST_FAIL("link lost: " + problem);
     }
-    ++lost;
+    ++links_lost;
   }
 
   //! Follows until the first beat, which comes after the content.
@@ -88,7 +90,7 @@
     BOOST_REQUIRE(static_cast<bool>(server.Listen("127.0.0.1", 0)));
     link.Open({"127.0.0.1", server.port()},
               {NodeId("h1"), At(known_revision), "first", reads_packed});
-    while (beats == 0) {
+    while (heartbeats == 0) {
       loop.run_one();
     }
   }
@@ -96,77 +98,77 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(FeedServerTest, ServerFixture)
+BOOST_FIXTURE_TEST_SUITE(FeedServerTest, FeedServerFixture)
 
-BOOST_AUTO_TEST_CASE(Follower_KnowsLess_GetsTheContent) {
+BOOST_AUTO_TEST_CASE(Follower_IsBehind_GetsTheContent) {
   Follow(6);
-  BOOST_TEST(contents == 1);
+  BOOST_TEST(change_messages == 1);
 }
 
 // Guards against a configuration that is late: a hundred followers of one host
 // hear of it through its link.
-BOOST_AUTO_TEST_CASE(Content_IsALargeConfiguration_TakesAFifthOfItsBytes) {
+BOOST_AUTO_TEST_CASE(Content_LargeConfiguration_IsCompressedToAFifth) {
   source.value = LargeConfig(900);
   Follow(6);
-  BOOST_TEST(contents == 1);
+  BOOST_TEST(change_messages == 1);
   BOOST_TEST(value == source.value);
-  BOOST_TEST(link.received() * 5 < source.value.size());
+  BOOST_TEST(link.received_bytes() * 5 < source.value.size());
 }
 
 // Guards against hosts of the version before that learn nothing while the fleet
 // is updated one by one.
-BOOST_AUTO_TEST_CASE(Content_FollowerReadsNoPackedOnes_IsPlain) {
+BOOST_AUTO_TEST_CASE(Content_FollowerCannotReadCompressed_IsSentPlain) {
   source.value = LargeConfig(900);
   reads_packed = false;
   Follow(6);
   BOOST_TEST(value == source.value);
-  BOOST_TEST(link.received() > source.value.size());
+  BOOST_TEST(link.received_bytes() > source.value.size());
 }
 
 // While the store is away, dozens of followers ask one feeder after the other
 // for something newer. The content is not sent each time: it would fill the
 // feeder's link and hold up its callers.
-BOOST_AUTO_TEST_CASE(Follower_KnowsAsMuch_GetsOnlyTheAge) {
+BOOST_AUTO_TEST_CASE(Follower_UpToDate_GetsOnlyAHeartbeat) {
   Follow(7);
-  BOOST_TEST(contents == 0);
-  BOOST_TEST(beats == 1);
+  BOOST_TEST(change_messages == 0);
+  BOOST_TEST(heartbeats == 1);
 }
 
 // All hosts start at once. A follower comes before its feeder has read
 // anything, and what the feeder reads first is empty. With changes alone the
 // follower would refuse all callers, as it knows no configuration, and look
 // fresh.
-BOOST_AUTO_TEST_CASE(Follower_ComesBeforeTheFirstReading_GetsTheContentLater) {
-  source.known = 0;
+BOOST_AUTO_TEST_CASE(Follower_ConnectsBeforeFeederHasRead_GetsContentLater) {
+  source.content_revision = 0;
   Follow(0);
-  BOOST_TEST(contents == 0);
-  source.known = 8;
+  BOOST_TEST(change_messages == 0);
+  source.content_revision = 8;
   server.Publish({At(8), false, {{"op/config", At(8), "{}"}}});
-  while (contents < 2) {
+  while (change_messages < 2) {
     loop.run_one();
   }
-  BOOST_TEST(wholes == 1);
+  BOOST_TEST(full_change_messages == 1);
 }
 
 // A follower says what its feeder is to keep in the store, and says so again
 // when it changes; the content is not sent anew for that.
-BOOST_AUTO_TEST_CASE(Follower_SaysAnotherRecord_IsTakenWithoutTheContent) {
+BOOST_AUTO_TEST_CASE(Follower_SendsNewRecord_ContentIsNotResent) {
   Follow(6);
   BOOST_TEST(followers.at(NodeId("h1")) == "first");
-  link.Say({NodeId("h1"), At(7), "second"});
+  link.SendHello({NodeId("h1"), At(7), "second"});
   while (followers.at(NodeId("h1")) != "second") {
     loop.run_one();
   }
-  BOOST_TEST(contents == 1);
+  BOOST_TEST(change_messages == 1);
 }
 
 // A follower opens a second link before its first one is known to have ended,
 // as after a power loss. It left only when the last one ends.
-BOOST_AUTO_TEST_CASE(Follower_HasTwoLinks_LeavesWithTheLast) {
+BOOST_AUTO_TEST_CASE(Follower_HasTwoLinks_LeavesWithTheLastLink) {
   Follow(6);
   FeedLink second(loop, *this);
   second.Open({"127.0.0.1", server.port()}, {NodeId("h1"), At(7), "second"});
-  while (server.followers() < 2 || beats < 2) {
+  while (server.followers() < 2 || heartbeats < 2) {
     loop.run_one();
   }
   link.Close();
@@ -184,18 +186,18 @@
 // A feeder stops and no longer renews the lease that its followers' records
 // hang on. They must look for another feeder now, not when its process ends
 // seconds later: their records would be gone in between.
-BOOST_AUTO_TEST_CASE(Drain_AHostFollows_LinkEndsAndNoneIsTaken) {
+BOOST_AUTO_TEST_CASE(Drain_WithFollower_LinkClosesAndNoNewOneIsAccepted) {
   Follow(6);
   const Endpoint address{"127.0.0.1", server.port()};
   link_may_end = true;
   server.Drain();
-  while (lost == 0) {
+  while (links_lost == 0) {
     loop.run_one();
   }
   BOOST_TEST(followers.empty());
   loop.restart();
   link.Open(address, {NodeId("h1"), At(7), "first"});
-  while (lost == 1) {
+  while (links_lost == 1) {
     loop.run_one();
   }
   BOOST_TEST(server.followers() == 0U);
--- /dev/null
+++ b/test/jacinthdeck/peer/feeder_selector_test.cc
@@ -0,0 +1,291 @@
+// Tests of whom a host learns from.
+#include "jacinthdeck/peer/feeder_selector.h"
+
+#include <boost/test/unit_test.hpp>
+#include <chrono>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "support/positions.h"
+#include "support/printers.h"
+
+namespace jacinthdeck {
+
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+[[nodiscard]] HostRecord MakeHost(int number, int domain, int strength = 250) {
+  HostRecord host;
+  host.name = NodeId("h" + std::to_string(number));
+  host.domain = FailureDomain("d" + std::to_string(domain));
+  host.peers = "10.0.0." + std::to_string(number) + ":1";
+  host.strength = static_cast<std::uint32_t>(strength);
+  return host;
+}
+
+struct FeederSelectorFixture {
+  TimePoint now{seconds(100)};
+  //! h1, h2 and h3 watch, one in each failure domain; h9 follows.
+  std::vector<HostRecord> hosts{MakeHost(1, 1, 500), MakeHost(2, 2, 500),
+                                MakeHost(3, 3, 500), MakeHost(9, 2)};
+  FeederSelector selector;
+
+  explicit FeederSelectorFixture(std::uint64_t seed = 1)
+      : selector(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, true, seed, now) {}
+
+  FeederActions StepAfter(Duration time) {
+    now += time;
+    return selector.Step(now);
+  }
+
+  //! Opens a link and makes it fresh.
+  void Follow() {
+    selector.OnHosts(hosts, now);
+    const FeederActions actions = selector.Step(now);
+    BOOST_REQUIRE(actions.open_link_to.has_value());
+    ReceiveHeartbeat();
+  }
+
+  void ReceiveHeartbeat(Duration age = milliseconds(100), bool away = false) {
+    selector.OnHeartbeat({At(5), age, away}, now);
+  }
+};
+
+}  // namespace
+
+BOOST_FIXTURE_TEST_SUITE(FeederSelectorTest, FeederSelectorFixture)
+
+BOOST_AUTO_TEST_CASE(Start_SeedAnswers_StoreIsNotRead) {
+  BOOST_TEST(StepAfter(milliseconds(0)).open_link_to->address == "10.0.0.1");
+  ReceiveHeartbeat();
+  BOOST_TEST(!StepAfter(milliseconds(1500)).watch_store);
+}
+
+// All hosts start at once, and the seeds are down. The host must not wait for
+// them: it asks the store itself within about a second.
+BOOST_AUTO_TEST_CASE(Start_NoSeedAnswers_StoreIsReadSoon) {
+  (void)StepAfter(milliseconds(0));
+  BOOST_TEST(!StepAfter(milliseconds(300)).watch_store);
+  BOOST_TEST(StepAfter(milliseconds(1000)).watch_store);
+}
+
+// Hundreds of hosts lost power and start again. One that is too weak for
+// callers to be sent to it waits for a seed, which starts a moment later: the
+// few that serve must not wait behind the reads of all.
+BOOST_AUTO_TEST_CASE(Start_WeakHostInRunningFleet_SeedIsAskedFirst) {
+  FeederSelector weak_host(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}},
+                           false, 1, now);
+  BOOST_TEST(weak_host.Step(now).open_link_to.has_value());
+  weak_host.OnLinkLost(now);
+  now += milliseconds(200);
+  BOOST_TEST(weak_host.Step(now).open_link_to.has_value());
+  weak_host.OnHeartbeat({At(5), milliseconds(100), false}, now);
+  BOOST_TEST(!weak_host.Step(now + milliseconds(1200)).watch_store);
+}
+
+// The same with all seeds down: the store is read after about a second.
+BOOST_AUTO_TEST_CASE(Start_WeakHostAndSeedsDown_StoreIsReadSoon) {
+  FeederSelector weak_host(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}},
+                           false, 1, now);
+  BOOST_TEST(!weak_host.Step(now + milliseconds(500)).watch_store);
+  BOOST_TEST(weak_host.Step(now + milliseconds(1200)).watch_store);
+}
+
+// A follower that is on its way to its own domain's feeder is not written by
+// the one that it passes: each write is told to all hosts.
+BOOST_AUTO_TEST_CASE(Link_JustOpened_IsNotSteady) {
+  Follow();
+  BOOST_TEST(selector.IsLinked(now));
+  BOOST_TEST(!selector.IsLinkSteady(now));
+  BOOST_TEST(selector.IsLinkSteady(now + milliseconds(1100)));
+}
+
+// All hosts lost power and start again while callers wait. Each of them reads
+// the store at once: following would cost the time in which a seed starts.
+BOOST_AUTO_TEST_CASE(Start_StrongHostInRunningFleet_StoreIsReadAtOnce) {
+  FeederSelector weak_host(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, false, 1,
+                           now);
+  BOOST_TEST(weak_host.Step(now + milliseconds(40)).watch_store);
+}
+
+BOOST_AUTO_TEST_CASE(Hosts_WatcherInOwnDomain_IsFollowed) {
+  selector.OnHosts(hosts, now);
+  BOOST_TEST(selector.Step(now).open_link_to->address == "10.0.0.2");
+}
+
+// The store turns away one watcher alone, silently, while targets leave. It
+// hears of them from another watcher at once, and its own watch goes on.
+BOOST_AUTO_TEST_CASE(Hosts_SelfIsStrongest_WatchesAndFollowsAnother) {
+  hosts[3].strength = 900;
+  selector.OnHosts(hosts, now);
+  BOOST_TEST(selector.is_watcher());
+  const FeederActions actions = selector.Step(now);
+  BOOST_TEST(actions.watch_store);
+  BOOST_REQUIRE(actions.open_link_to.has_value());
+  BOOST_TEST(actions.open_link_to->address != "10.0.0.9");
+  ReceiveHeartbeat();
+  const FeederActions later = StepAfter(milliseconds(10));
+  BOOST_TEST(later.watch_store);
+  BOOST_TEST(!later.close_link);
+}
+
+// The watcher freezes and its connection stays open. The host sees silence,
+// reads the store itself, and follows another watcher as soon as one answers.
+BOOST_AUTO_TEST_CASE(Feeder_FallsSilent_StoreIsReadAndAnotherIsFollowed) {
+  Follow();
+  const FeederActions actions = StepAfter(milliseconds(1700));
+  BOOST_TEST(actions.close_link);
+  BOOST_REQUIRE(actions.open_link_to.has_value());
+  BOOST_TEST(actions.open_link_to->address != "10.0.0.2");
+  BOOST_TEST(StepAfter(milliseconds(200)).watch_store);
+  ReceiveHeartbeat();
+  BOOST_TEST(!StepAfter(milliseconds(10)).watch_store);
+}
+
+// The watcher is cut off from the store, but not from this host. Its beats go
+// on and say how old its knowledge is; a change would never come this way.
+BOOST_AUTO_TEST_CASE(Feeder_LosesTheStore_FollowerReadsTheStore) {
+  Follow();
+  for (int i = 0; i < 4; ++i) {
+    (void)StepAfter(milliseconds(500));
+    ReceiveHeartbeat(milliseconds(1000 * (i + 1)), true);
+  }
+  BOOST_TEST(StepAfter(milliseconds(500)).watch_store);
+}
+
+BOOST_AUTO_TEST_CASE(Feeder_LinkEnds_StoreIsReadSoon) {
+  Follow();
+  selector.OnLinkLost(now);
+  BOOST_TEST(StepAfter(milliseconds(200)).watch_store);
+}
+
+// The host is cut from the store, and so is the watcher of its failure domain,
+// whose content arrives with the list of hosts. The next feeder must be another
+// one each time, until one is fresh.
+BOOST_AUTO_TEST_CASE(Feeder_StaleButSendsHosts_AllFeedersAreTriedInTurn) {
+  Follow();
+  std::vector<std::string> tried;
+  for (int second = 0; second < 6 && tried.size() < 3; ++second) {
+    ReceiveHeartbeat(seconds(4), true);
+    selector.OnHosts(hosts, now);
+    const FeederActions actions = StepAfter(milliseconds(1100));
+    if (actions.open_link_to) {
+      tried.push_back(actions.open_link_to->address);
+    }
+  }
+  const std::vector<std::string> expected{"10.0.0.1", "10.0.0.3", "10.0.0.2"};
+  BOOST_TEST(tried == expected, boost::test_tools::per_element());
+}
+
+// Hosts that follow each other in a circle hand on what nobody heard from the
+// store. The age that they tell grows until each of them reads the store.
+BOOST_AUTO_TEST_CASE(Feeder_ContentAgeGrows_StoreIsRead) {
+  Follow();
+  bool watched = false;
+  for (int i = 1; i <= 10; ++i) {
+    watched = watched || StepAfter(milliseconds(500)).watch_store;
+    ReceiveHeartbeat(milliseconds(500 * i));
+  }
+  BOOST_TEST(watched);
+}
+
+// The store turns everyone away. Hundreds of hosts that take no callers would
+// each ask it, and every feeder in turn, for as long as that lasts. They try
+// each feeder once, stay with the nearest, and hear from it when the store is
+// back.
+BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_HostStaysWithTheNearest) {
+  selector.SetServesCallers(false);
+  Follow();
+  std::vector<std::string> tried;
+  for (int i = 0; i < 30; ++i) {
+    ReceiveHeartbeat(seconds(4), true);
+    const FeederActions actions = StepAfter(milliseconds(100));
+    if (actions.open_link_to) {
+      tried.push_back(actions.open_link_to->address);
+    }
+  }
+  const std::vector<std::string> expected{"10.0.0.1", "10.0.0.3", "10.0.0.2"};
+  BOOST_TEST(tried == expected, boost::test_tools::per_element());
+  ReceiveHeartbeat();
+  BOOST_TEST(!StepAfter(milliseconds(100)).close_link);
+}
+
+// The same with 300 hosts. The store is asked by a few of them a second, not by
+// all; those that take callers ask at once.
+BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_FewHostsReadTheStore) {
+  for (int number = 10; number < 306; ++number) {
+    hosts.push_back(MakeHost(number, number % 3));
+  }
+  int store_readers = 0;
+  for (std::uint64_t seed = 1; seed <= 300; ++seed) {
+    FeederSelectorFixture fixture(seed);
+    fixture.hosts = hosts;
+    fixture.selector.SetServesCallers(seed <= 9);
+    fixture.Follow();
+    for (int i = 0; i < 40; ++i) {
+      fixture.ReceiveHeartbeat(seconds(4), true);
+      const bool watches = fixture.StepAfter(milliseconds(100)).watch_store;
+      store_readers += watches ? 1 : 0;
+      if (watches) {
+        break;
+      }
+    }
+  }
+  BOOST_TEST(store_readers >= 9);
+  BOOST_TEST(store_readers <= 100);
+}
+
+// A feeder dies. Its followers find another one within milliseconds; none of
+// those that take no callers asks the store meanwhile.
+BOOST_AUTO_TEST_CASE(Feeder_LinkEnds_HostWithoutCallersTriesAnotherFeeder) {
+  selector.SetServesCallers(false);
+  Follow();
+  selector.OnLinkLost(now);
+  BOOST_TEST(StepAfter(milliseconds(10)).open_link_to.has_value());
+  BOOST_TEST(!StepAfter(milliseconds(300)).watch_store);
+  BOOST_TEST(StepAfter(milliseconds(1300)).watch_store);
+}
+
+// At the start of the fleet all hosts follow the seeds. Each goes over to the
+// feeder of its own failure domain: what is fed stays within the domain.
+BOOST_AUTO_TEST_CASE(Feeder_InAnotherDomain_HostSwitchesToOwnDomain) {
+  (void)selector.Step(now);
+  ReceiveHeartbeat();
+  selector.OnHosts(hosts, now);
+  std::optional<Endpoint> opened;
+  for (int i = 0; i < 25 && !opened; ++i) {
+    ReceiveHeartbeat();
+    opened = StepAfter(milliseconds(100)).open_link_to;
+  }
+  BOOST_REQUIRE(opened.has_value());
+  BOOST_TEST(opened->address == "10.0.0.2");
+}
+
+// The own domain's feeder does not answer. The host goes on with another one
+// and tries to return ever more rarely.
+BOOST_AUTO_TEST_CASE(Feeder_OfOwnDomainFails_IsRetriedWithBackoff) {
+  selector.OnHosts(hosts, now);
+  int returns = 0;
+  bool linked = false;
+  for (int i = 0; i < 600; ++i) {
+    const FeederActions actions = StepAfter(milliseconds(100));
+    if (actions.open_link_to) {
+      linked = actions.open_link_to->address != "10.0.0.2";
+      returns += linked ? 0 : 1;
+    }
+    if (linked) {
+      ReceiveHeartbeat();
+    } else if (actions.open_link_to) {
+      selector.OnLinkLost(now);
+    }
+  }
+  BOOST_TEST(returns >= 3);
+  BOOST_TEST(returns <= 8);
+}
+
+BOOST_AUTO_TEST_SUITE_END()
+
+}  // namespace jacinthdeck
