--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -182,7 +182,7 @@
   if (m_settings.queries.address.empty()) {
     return;
   }
-  TypedCalls& calls = m_typed.calls();
+  TypedCallRunner& calls = m_typed.calls();
   const Knowledge& knowledge = m_store.knowledge();
   const auto tell = [&](const std::string& subject, const auto& taken) {
     const auto* error = std::get_if<Error>(&taken);
--- a/src/jacinthdeck/entry/typed_service.cc
+++ b/src/jacinthdeck/entry/typed_service.cc
@@ -7,7 +7,7 @@
 
 #include "jacinthdeck/typed/answer_json.h"
 #include "jacinthdeck/typed/target_codec.h"
-#include "jacinthdeck/typed/typed_call.h"
+#include "jacinthdeck/typed/typed_request.h"
 
 namespace jacinthdeck {
 
--- a/src/jacinthdeck/entry/typed_service.h
+++ b/src/jacinthdeck/entry/typed_service.h
@@ -18,7 +18,7 @@
 #include "jacinthdeck/http/edge_connection.h"
 #include "jacinthdeck/http/edge_handler.h"
 #include "jacinthdeck/http/target_pool.h"
-#include "jacinthdeck/typed/typed_calls.h"
+#include "jacinthdeck/typed/typed_call_runner.h"
 
 namespace jacinthdeck {
 
@@ -43,7 +43,7 @@
   [[nodiscard]] std::size_t waiting() const noexcept {
     return m_waiting.size();
   }
-  [[nodiscard]] TypedCalls& calls() noexcept { return m_calls; }
+  [[nodiscard]] TypedCallRunner& calls() noexcept { return m_calls; }
 
   void OnRequest(const std::shared_ptr<EdgeConnection>& connection,
                  EdgeRequest request,
@@ -52,7 +52,7 @@
 
   /*! \brief Tells whether an attempt belongs to a typed call. */
   [[nodiscard]] static bool Owns(AttemptId attempt) noexcept {
-    return attempt.raw() >= TypedCalls::kFirstAttempt;
+    return attempt.raw() >= TypedCallRunner::kFirstAttemptId;
   }
 
   /*! \brief Takes the end of an attempt. */
@@ -80,7 +80,7 @@
   TargetPool& m_pool;
   Metrics& m_metrics;
   HostList m_hosts;
-  TypedCalls m_calls;
+  TypedCallRunner m_calls;
   std::uint64_t m_next_call = 1;
   std::unordered_map<CallId, Waiting> m_waiting;
   std::unordered_map<const EdgeConnection*, CallId> m_by_connection;
--- a/src/jacinthdeck/schema/method_reader.cc
+++ b/src/jacinthdeck/schema/method_reader.cc
@@ -23,8 +23,8 @@
 constexpr std::uint64_t kMaxLimit = 10'000;
 
 struct NumberRange {
-  std::uint64_t low;
-  std::uint64_t high;
+  std::uint64_t min;
+  std::uint64_t max;
 };
 
 class MethodReader {
@@ -49,7 +49,7 @@
         limit, ReadNumber("limit", NumberRange{1, kMaxLimit}, method.limit));
     method.limit = static_cast<std::uint32_t>(limit);
     method.key_field = Attribute("key").value_or("");
-    BOOST_LEAF_CHECK(CheckTogether(method));
+    BOOST_LEAF_CHECK(CheckAttributeCombination(method));
     return method;
   }
 
@@ -98,16 +98,17 @@
     const auto [end, error] =
         std::from_chars(text->data(), text->data() + text->size(), value);
     if (error != std::errc() || end != text->data() + text->size() ||
-        value < range.low || value > range.high) {
+        value < range.min || value > range.max) {
       return Fail(
           ErrorCode::kInvalidArgument, Name(),
           attribute + " is \"" + *text + "\", expected a whole number from " +
-              std::to_string(range.low) + " to " + std::to_string(range.high));
+              std::to_string(range.min) + " to " + std::to_string(range.max));
     }
     return value;
   }
 
-  [[nodiscard]] Result<void> CheckTogether(const Method& method) const {
+  [[nodiscard]] Result<void> CheckAttributeCombination(
+      const Method& method) const {
     const bool keyed = method.fan_out == FanOut::kKey;
     if (keyed != !method.key_field.empty()) {
       return Fail(ErrorCode::kInvalidArgument, Name(),
--- a/src/jacinthdeck/schema/request_parser.cc
+++ b/src/jacinthdeck/schema/request_parser.cc
@@ -26,18 +26,19 @@
 
 [[nodiscard]] ParserMessage SplitMessage(const std::string& message) {
   // Forms seen: ":3: 12: error: text" and "(3): error: text".
-  const std::size_t digit = message.find_first_of("0123456789");
-  const std::size_t after = message.find_first_not_of("0123456789", digit);
-  const std::size_t marker = message.find("error: ");
-  if (digit == message.npos || after == message.npos ||
-      marker == message.npos || digit > marker) {
+  const std::size_t digits_start = message.find_first_of("0123456789");
+  const std::size_t digits_end =
+      message.find_first_not_of("0123456789", digits_start);
+  const std::size_t marker_start = message.find("error: ");
+  if (digits_start == message.npos || digits_end == message.npos ||
+      marker_start == message.npos || digits_start > marker_start) {
     return ParserMessage{"?", message};
   }
   std::string text =
-      message.substr(marker + std::string_view("error: ").size());
-  const std::size_t tail = text.find(", originally at:");
-  return ParserMessage{message.substr(digit, after - digit),
-                       text.substr(0, tail)};
+      message.substr(marker_start + std::string_view("error: ").size());
+  const std::size_t details_start = text.find(", originally at:");
+  return ParserMessage{message.substr(digits_start, digits_end - digits_start),
+                       text.substr(0, details_start)};
 }
 
 [[nodiscard]] flatbuffers::IDLOptions ParserOptions() {
@@ -49,8 +50,8 @@
   return options;
 }
 
-[[nodiscard]] std::optional<std::string> KeyText(const std::string& body,
-                                                 const std::string& field) {
+[[nodiscard]] std::optional<std::string> ReadKeyText(const std::string& body,
+                                                     const std::string& field) {
   const JsonPtr root(json_loadb(body.data(), body.size(), 0, nullptr));
   const json_t* value = json_object_get(root.get(), field.c_str());
   if (json_is_string(value)) {
@@ -75,8 +76,8 @@
   return nullptr;
 }
 
-[[nodiscard]] Fingerprint FingerprintOf(const Method& method,
-                                        const std::string& body) {
+[[nodiscard]] Fingerprint ComputeFingerprint(const Method& method,
+                                             const std::string& body) {
   const std::string text =
       method.service.raw() + "/" + method.name + "/" + body;
   return Fingerprint(XXH3_64bits(text.data(), text.size()));
@@ -102,8 +103,8 @@
   return {};
 }
 
-Result<std::string> RequestParser::Canonical(const Method& method,
-                                             const std::string& json) {
+Result<std::string> RequestParser::Canonicalize(const Method& method,
+                                                const std::string& json) {
   const flatbuffers::RPCCall* call = FindCall(m_parser, method);
   if (call == nullptr) {
     return Fail(ErrorCode::kNotFound, method.service.raw() + "." + method.name,
@@ -129,11 +130,11 @@
   if (json.find('\0') != json.npos) {
     return Fail(ErrorCode::kInvalidArgument, "body", "holds a NUL byte");
   }
-  BOOST_LEAF_AUTO(body, Canonical(method, json));
+  BOOST_LEAF_AUTO(body, Canonicalize(method, json));
   CheckedRequest request;
-  request.fingerprint = FingerprintOf(method, body);
+  request.fingerprint = ComputeFingerprint(method, body);
   if (method.fan_out == FanOut::kKey) {
-    const auto key = KeyText(body, method.key_field);
+    const auto key = ReadKeyText(body, method.key_field);
     if (!key) {
       return Fail(ErrorCode::kInvalidArgument, method.key_field,
                   "is missing; it chooses the shard");
--- a/src/jacinthdeck/schema/request_parser.h
+++ b/src/jacinthdeck/schema/request_parser.h
@@ -42,8 +42,8 @@
                                              const std::string& json);
 
  private:
-  [[nodiscard]] Result<std::string> Canonical(const Method& method,
-                                              const std::string& json);
+  [[nodiscard]] Result<std::string> Canonicalize(const Method& method,
+                                                 const std::string& json);
 
   std::mutex m_mutex;
   flatbuffers::Parser m_parser;
--- a/src/jacinthdeck/typed/answer_json.cc
+++ b/src/jacinthdeck/typed/answer_json.cc
@@ -17,9 +17,10 @@
 namespace {
 
 //! What the caller may believe of its request, by outcome.
-constexpr std::array<Ran, 4> kRan{Ran::kYes, Ran::kYes, Ran::kNo,
-                                  Ran::kUnknown};
-constexpr std::array<std::uint16_t, 4> kStatus{200, 200, 503, 504};
+constexpr std::array<ExecutionStatus, 4> kExecutionStatusByOutcome{
+    ExecutionStatus::kExecuted, ExecutionStatus::kExecuted,
+    ExecutionStatus::kNotExecuted, ExecutionStatus::kUnknown};
+constexpr std::array<std::uint16_t, 4> kHttpStatusByOutcome{200, 200, 503, 504};
 
 [[nodiscard]] std::string EncodeNumber(double value) {
   if (!std::isfinite(value)) {
@@ -87,7 +88,10 @@
   out += R"(,"attempts":)" + std::to_string(answer.attempts);
   out += R"(,"hedges":)" + std::to_string(answer.hedges);
   out += R"(,"retries":)" + std::to_string(answer.retries);
-  out += R"(,"ran":")" + std::string(kRanNames.Name(kRan[outcome])) + '"';
+  out += R"(,"ran":")" +
+         std::string(
+             kExecutionStatusNames.Name(kExecutionStatusByOutcome[outcome])) +
+         '"';
   if (answer.retry_after) {
     out += R"(,"retry_after_ms":)" +
            std::to_string(
@@ -95,15 +99,15 @@
                    .count());
   }
   out += '}';
-  return EncodedAnswer{kStatus[outcome], std::move(out)};
+  return EncodedAnswer{kHttpStatusByOutcome[outcome], std::move(out)};
 }
 
-std::string EncodeError(const Error& error, Ran ran) {
+std::string EncodeError(const Error& error, ExecutionStatus status) {
   return R"({"error":{"code":")" +
          std::string(kErrorCodeNames.Name(error.code)) + R"(","field":)" +
          QuoteJson(error.subject) + R"(,"message":)" +
          QuoteJson(error.message) + R"(},"ran":")" +
-         std::string(kRanNames.Name(ran)) + R"("})";
+         std::string(kExecutionStatusNames.Name(status)) + R"("})";
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/typed/answer_json.h
+++ b/src/jacinthdeck/typed/answer_json.h
@@ -21,17 +21,21 @@
                                          const Answer& answer);
 
 /*! \brief What is known of whether a request has run. */
-enum class Ran { kYes, kNo, kUnknown };
+enum class ExecutionStatus { kExecuted, kNotExecuted, kUnknown };
 
 //! Names as they stand in answers.
-inline constexpr NameTable<Ran, 3> kRanNames{{"yes", "no", "unknown"}};
+inline constexpr NameTable<ExecutionStatus, 3> kExecutionStatusNames{
+    {"yes", "no", "unknown"}};
 
 /**
  * \brief Encodes a typed error.
  * \param error Error.
- * \param ran Whether the request has run; kNo only where this is proved.
+ * \param status Whether the request has run; kNotExecuted only where this is
+ * proved.
  */
-[[nodiscard]] std::string EncodeError(const Error& error, Ran ran = Ran::kNo);
+[[nodiscard]] std::string EncodeError(
+    const Error& error,
+    ExecutionStatus status = ExecutionStatus::kNotExecuted);
 
 /*! \brief Puts text between quotes, with what JSON wants escaped. */
 [[nodiscard]] std::string QuoteJson(const std::string& text);
--- a/src/jacinthdeck/typed/fwd.h
+++ b/src/jacinthdeck/typed/fwd.h
@@ -5,12 +5,12 @@
 
 namespace jacinthdeck {
 
-class TypedCalls;
+class TypedCallRunner;
 class TypedPort;
 struct EncodedAnswer;
 struct TypedCall;
 struct TypedOptions;
-enum class Ran;
+enum class ExecutionStatus;
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/typed/refusal.h
+++ b/src/jacinthdeck/typed/local_answer.h
@@ -1,6 +1,6 @@
 // The answers that are made without a target: not run, and unknown.
-#ifndef JACINTHDECK_TYPED_REFUSAL_H_
-#define JACINTHDECK_TYPED_REFUSAL_H_
+#ifndef JACINTHDECK_TYPED_LOCAL_ANSWER_H_
+#define JACINTHDECK_TYPED_LOCAL_ANSWER_H_
 
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/query/answer.h"
@@ -10,19 +10,19 @@
 /**
  * \brief Makes the answer to a call that no target can have run.
  * \param reason Why it was refused.
- * \param come_back When asking again makes sense.
+ * \param retry_after When asking again makes sense.
  */
-[[nodiscard]] inline Answer MakeNotRun(AnswerReason reason,
-                                       Duration come_back) {
+[[nodiscard]] inline Answer MakeNotRunAnswer(AnswerReason reason,
+                                             Duration retry_after) {
   Answer answer;
   answer.outcome = Outcome::kNotRun;
   answer.reason = reason;
-  answer.retry_after = come_back;
+  answer.retry_after = retry_after;
   return answer;
 }
 
 /*! \brief Makes the answer to a call that may or may not have run. */
-[[nodiscard]] inline Answer MakeUnknown(AnswerReason reason) {
+[[nodiscard]] inline Answer MakeUnknownAnswer(AnswerReason reason) {
   Answer answer;
   answer.outcome = Outcome::kUnknown;
   answer.reason = reason;
@@ -31,4 +31,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_TYPED_REFUSAL_H_
+#endif  // JACINTHDECK_TYPED_LOCAL_ANSWER_H_
--- a/src/jacinthdeck/typed/partition_map_reader.cc
+++ b/src/jacinthdeck/typed/partition_map_reader.cc
@@ -37,10 +37,10 @@
   shard.id = ShardId(static_cast<std::uint32_t>(id));
   BOOST_LEAF_ASSIGN(shard.range, ReadRange(json));
   BOOST_LEAF_AUTO(replicas, json.Array("replicas"));
-  std::set<std::string> seen;
+  std::set<std::string> distinct_names;
   for (const JsonReader& replica : replicas) {
     BOOST_LEAF_AUTO(name, replica.AsString());
-    if (name.empty() || !seen.insert(name).second) {
+    if (name.empty() || !distinct_names.insert(name).second) {
       return Fail(ErrorCode::kCorrupt, replica.path(),
                   "is empty or stands twice, expected distinct targets");
     }
@@ -54,9 +54,9 @@
 }
 
 /*! \brief Checks that a shard begins where the one before it ended. */
-[[nodiscard]] Result<std::uint64_t> CheckNext(const JsonReader& json,
-                                              const Shard& shard,
-                                              std::uint64_t expected) {
+[[nodiscard]] Result<std::uint64_t> CheckContiguous(const JsonReader& json,
+                                                    const Shard& shard,
+                                                    std::uint64_t expected) {
   if (shard.range.begin != expected) {
     return Fail(ErrorCode::kCorrupt, json.path() + ".range",
                 "begins at " + std::to_string(shard.range.begin) +
@@ -77,7 +77,7 @@
   std::set<ShardId> ids;
   for (const JsonReader& shard_json : shards) {
     BOOST_LEAF_AUTO(shard, ReadShard(shard_json));
-    BOOST_LEAF_ASSIGN(end, CheckNext(shard_json, shard, end));
+    BOOST_LEAF_ASSIGN(end, CheckContiguous(shard_json, shard, end));
     if (!ids.insert(shard.id).second) {
       return Fail(ErrorCode::kCorrupt, shard_json.path() + ".id",
                   "stands twice, expected distinct shards");
--- a/src/jacinthdeck/typed/target_codec.cc
+++ b/src/jacinthdeck/typed/target_codec.cc
@@ -29,7 +29,7 @@
 }
 
 // Not DumpJson(): it orders the members, and this runs for every hit.
-[[nodiscard]] std::string Dump(const json_t* value) {
+[[nodiscard]] std::string DumpUnsorted(const json_t* value) {
   const std::unique_ptr<char, decltype(&std::free)> text(
       json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY), &std::free);
   return text == nullptr ? "null" : text.get();
@@ -45,7 +45,7 @@
       return false;
     }
     out.push_back(Hit{json_string_value(id), json_number_value(score),
-                      Dump(json_object_get(item, "data"))});
+                      DumpUnsorted(json_object_get(item, "data"))});
   }
   return hits == nullptr || json_is_array(hits);
 }
@@ -64,7 +64,7 @@
   return ReadHits(json_object_get(root, "hits"), reply.hits);
 }
 
-[[nodiscard]] AttemptStatus StatusOf(long status) noexcept {
+[[nodiscard]] AttemptStatus ToAttemptStatus(long status) noexcept {
   switch (status) {
     case kStatusOk:
       return AttemptStatus::kAnswered;
@@ -96,7 +96,7 @@
                                const std::string& body) {
   AttemptReply reply;
   reply.attempt = attempt;
-  reply.status = StatusOf(status);
+  reply.status = ToAttemptStatus(status);
   const JsonPtr root(json_loadb(body.data(), body.size(), 0, nullptr));
   const json_t* load = json_object_get(root.get(), "load");
   if (json_is_number(load)) {
--- a/src/jacinthdeck/typed/typed_calls.cc
+++ b/src/jacinthdeck/typed/typed_call_runner.cc
@@ -1,5 +1,5 @@
 // Turns the engine's effects into calls of the port.
-#include "jacinthdeck/typed/typed_calls.h"
+#include "jacinthdeck/typed/typed_call_runner.h"
 
 #include <utility>
 
@@ -7,56 +7,56 @@
 
 namespace jacinthdeck {
 
-TypedCalls::TypedCalls(std::uint64_t seed, TypedPort& port)
-    : m_port(port), m_router(seed), m_engine(m_router, kFirstAttempt) {}
+TypedCallRunner::TypedCallRunner(std::uint64_t seed, TypedPort& port)
+    : m_port(port), m_router(seed), m_engine(m_router, kFirstAttemptId) {}
 
-Result<void> TypedCalls::SetSchema(const std::string& text) {
+Result<void> TypedCallRunner::SetSchema(const std::string& text) {
   BOOST_LEAF_AUTO(schema, Schema::Parse(text));
   m_schema = std::make_shared<const Schema>(std::move(schema));
   return {};
 }
 
-Result<void> TypedCalls::SetIndex(const ServiceId& service,
-                                  const std::string& text) {
+Result<void> TypedCallRunner::SetIndex(const ServiceId& service,
+                                       const std::string& text) {
   BOOST_LEAF_AUTO(maps, ReadPartitionMaps(text, service.raw()));
   m_engine.SetVersions(service, std::move(maps));
   return {};
 }
 
-void TypedCalls::SetTargets(const std::vector<TargetInfo>& targets,
-                            TimePoint now) {
+void TypedCallRunner::SetTargets(const std::vector<TargetInfo>& targets,
+                                 TimePoint now) {
   m_router.SetTargets(targets, now);
 }
 
-void TypedCalls::SetHosts(std::uint32_t hosts, TimePoint now) {
+void TypedCallRunner::SetHosts(std::uint32_t hosts, TimePoint now) {
   m_router.SetEntryCount(hosts, now);
 }
 
-void TypedCalls::Submit(Call call, TimePoint now) {
+void TypedCallRunner::Submit(Call call, TimePoint now) {
   Effects effects;
   m_engine.Submit(std::move(call), now, effects);
-  Act(effects, now);
+  ApplyEffects(effects, now);
 }
 
-void TypedCalls::Abandon(CallId call, TimePoint now) {
+void TypedCallRunner::Abandon(CallId call, TimePoint now) {
   Effects effects;
   m_engine.Abandon(call, now, effects);
-  Act(effects, now);
+  ApplyEffects(effects, now);
 }
 
-void TypedCalls::OnReply(const AttemptReply& reply, TimePoint now) {
+void TypedCallRunner::OnReply(const AttemptReply& reply, TimePoint now) {
   Effects effects;
   m_engine.OnReply(reply, now, effects);
-  Act(effects, now);
+  ApplyEffects(effects, now);
 }
 
-void TypedCalls::OnTimer(TimePoint now) {
+void TypedCallRunner::OnTimer(TimePoint now) {
   Effects effects;
   m_engine.OnTimer(now, effects);
-  Act(effects, now);
+  ApplyEffects(effects, now);
 }
 
-void TypedCalls::Act(Effects& effects, TimePoint now) {
+void TypedCallRunner::ApplyEffects(Effects& effects, TimePoint now) {
   for (const SendAttempt& send : effects.sends) {
     const TargetInfo* target = m_router.FindTarget(send.target);
     if (target != nullptr) {
--- a/src/jacinthdeck/typed/typed_calls.h
+++ b/src/jacinthdeck/typed/typed_call_runner.h
@@ -1,6 +1,6 @@
 // The product's own calls: engine, router and schema joined.
-#ifndef JACINTHDECK_TYPED_TYPED_CALLS_H_
-#define JACINTHDECK_TYPED_TYPED_CALLS_H_
+#ifndef JACINTHDECK_TYPED_TYPED_CALL_RUNNER_H_
+#define JACINTHDECK_TYPED_TYPED_CALL_RUNNER_H_
 
 #include <cstdint>
 #include <memory>
@@ -21,16 +21,16 @@
 /**
  * \brief Runs typed calls on one host; holds no socket, thread or clock.
  */
-class TypedCalls {
+class TypedCallRunner {
  public:
   /*! \brief Attempts of typed calls have ids from here on, so that one
    * transport can carry these and opaque ones. */
-  static constexpr std::uint64_t kFirstAttempt = std::uint64_t{1} << 48U;
+  static constexpr std::uint64_t kFirstAttemptId = std::uint64_t{1} << 48U;
 
   /*! \brief Makes it without schema or targets; the port outlives it. */
-  TypedCalls(std::uint64_t seed, TypedPort& port);
-  TypedCalls(const TypedCalls&) = delete;
-  TypedCalls& operator=(const TypedCalls&) = delete;
+  TypedCallRunner(std::uint64_t seed, TypedPort& port);
+  TypedCallRunner(const TypedCallRunner&) = delete;
+  TypedCallRunner& operator=(const TypedCallRunner&) = delete;
 
   [[nodiscard]] const std::shared_ptr<const Schema>& schema() const noexcept {
     return m_schema;
@@ -71,7 +71,7 @@
   void Drain() noexcept { m_engine.Drain(); }
 
  private:
-  void Act(Effects& effects, TimePoint now);
+  void ApplyEffects(Effects& effects, TimePoint now);
 
   TypedPort& m_port;
   Router m_router;
@@ -82,4 +82,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_TYPED_TYPED_CALLS_H_
+#endif  // JACINTHDECK_TYPED_TYPED_CALL_RUNNER_H_
--- a/src/jacinthdeck/typed/typed_call.cc
+++ b/src/jacinthdeck/typed/typed_request.cc
@@ -1,5 +1,5 @@
 // Checks of tenant, deadline and body.
-#include "jacinthdeck/typed/typed_call.h"
+#include "jacinthdeck/typed/typed_request.h"
 
 #include <charconv>
 #include <utility>
--- a/src/jacinthdeck/typed/typed_call.h
+++ b/src/jacinthdeck/typed/typed_request.h
@@ -1,6 +1,6 @@
 // A caller's typed request after its checks.
-#ifndef JACINTHDECK_TYPED_TYPED_CALL_H_
-#define JACINTHDECK_TYPED_TYPED_CALL_H_
+#ifndef JACINTHDECK_TYPED_TYPED_REQUEST_H_
+#define JACINTHDECK_TYPED_TYPED_REQUEST_H_
 
 #include <memory>
 #include <optional>
@@ -38,4 +38,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_TYPED_TYPED_CALL_H_
+#endif  // JACINTHDECK_TYPED_TYPED_REQUEST_H_
--- a/test/jacinthdeck/schema/schema_test.cc
+++ b/test/jacinthdeck/schema/schema_test.cc
@@ -24,24 +24,24 @@
     return std::get<Error>(parsed);
   }
 
-  static Schema Parsed() {
+  static Schema ParseFixtureSchema() {
     auto parsed = Capture([] { return Schema::Parse(kText); });
     BOOST_REQUIRE(std::holds_alternative<Schema>(parsed));
     return std::move(std::get<Schema>(parsed));
   }
 
-  std::variant<CheckedRequest, Error> Check(const char* name,
+  std::variant<CheckedRequest, Error> Check(const char* method,
                                             const std::string& json) const {
     return Capture(
-        [&] { return schema.Check(*schema.Find("Counter", name), json); });
+        [&] { return schema.Check(*schema.Find("Counter", method), json); });
   }
 
-  Schema schema = Parsed();
+  Schema schema = ParseFixtureSchema();
 };
 
 BOOST_FIXTURE_TEST_SUITE(SchemaTest, SchemaFixture)
 
-BOOST_AUTO_TEST_CASE(Schema_WithAttributes_GivesDeclaredMethods) {
+BOOST_AUTO_TEST_CASE(Parse_WithAttributes_GivesDeclaredMethods) {
   const auto search = schema.Find("Counter", "Search");
   BOOST_REQUIRE(search != nullptr);
   BOOST_TEST((search->fan_out == FanOut::kAll));
@@ -53,14 +53,14 @@
   BOOST_TEST(schema.Find("Counter", "Nothing") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(Schema_SyntaxError_NamesTheLine) {
+BOOST_AUTO_TEST_CASE(Parse_SyntaxError_NamesTheLine) {
   const Error error =
       ErrorOf("table A { x:int; }\ntable B { y:nothing_such }\n");
   BOOST_TEST((error.code == ErrorCode::kInvalidArgument));
   BOOST_TEST(error.subject == "line 2");
 }
 
-BOOST_AUTO_TEST_CASE(Schema_BadAttribute_NamesTheCallAndWhatIsExpected) {
+BOOST_AUTO_TEST_CASE(Parse_InvalidAttribute_NamesTheCallAndTheExpectedValues) {
   const std::string head =
       "table A { x:int; f:float; }\nrpc_service S { M(A):A (";
   BOOST_TEST(ErrorOf(head + "merge: \"best\"); }").message ==
@@ -76,20 +76,21 @@
              "the schema declares no rpc_service");
 }
 
-BOOST_AUTO_TEST_CASE(Check_SameMeaningInOtherOrder_GivesTheSameFingerprint) {
-  const auto one = Check("Claim", R"({"ticket": "T1", "by": "ann"})");
-  const auto two = Check("Claim", R"({ "by":"ann", "ticket":"T1" })");
-  BOOST_REQUIRE(one.index() == 0);
-  BOOST_REQUIRE(two.index() == 0);
-  BOOST_TEST((std::get<0>(one).fingerprint == std::get<0>(two).fingerprint));
-  BOOST_TEST(std::get<0>(one).body == std::get<0>(two).body);
-  BOOST_TEST((std::get<0>(one).key == std::get<0>(two).key));
+BOOST_AUTO_TEST_CASE(Check_FieldsInOtherOrder_GivesTheSameFingerprint) {
+  const auto first = Check("Claim", R"({"ticket": "T1", "by": "ann"})");
+  const auto second = Check("Claim", R"({ "by":"ann", "ticket":"T1" })");
+  BOOST_REQUIRE(first.index() == 0);
+  BOOST_REQUIRE(second.index() == 0);
+  BOOST_TEST(
+      (std::get<0>(first).fingerprint == std::get<0>(second).fingerprint));
+  BOOST_TEST(std::get<0>(first).body == std::get<0>(second).body);
+  BOOST_TEST((std::get<0>(first).key == std::get<0>(second).key));
 }
 
 // A caller's malformed body must get a typed error and reach no target: an
 // unknown field that was dropped in silence would search for something else
 // than the caller asked.
-BOOST_AUTO_TEST_CASE(Check_BadBody_IsRejected) {
+BOOST_AUTO_TEST_CASE(Check_InvalidBody_IsRejected) {
   for (const char* json :
        {"", "{", "[]", R"({"text": 5})", R"({"texxt": "a"})", R"({"limit": 3})",
         R"({"text": "a", "limit": "x"})", R"({"text": "a"} trailing)"}) {
@@ -102,7 +103,7 @@
   BOOST_TEST(std::get<Error>(missing).subject == "ticket");
 }
 
-BOOST_AUTO_TEST_CASE(Check_AfterABadBody_StillAcceptsAGoodOne) {
+BOOST_AUTO_TEST_CASE(Check_ValidBodyAfterInvalidOne_IsAccepted) {
   BOOST_TEST(Check("Search", "{").index() == 1U);
   BOOST_TEST(Check("Search", R"({"text": "a"})").index() == 0U);
 }
--- a/test/jacinthdeck/typed/partition_map_reader_test.cc
+++ b/test/jacinthdeck/typed/partition_map_reader_test.cc
@@ -8,7 +8,7 @@
 namespace jacinthdeck {
 
 struct PartitionMapFixture {
-  [[nodiscard]] static std::string Index(const std::string& shards) {
+  [[nodiscard]] static std::string MakeIndex(const std::string& shards) {
     return R"({"versions":[{"version":7,"shards":[)" + shards + "]}]}";
   }
 
@@ -21,7 +21,7 @@
 BOOST_FIXTURE_TEST_SUITE(PartitionMapReaderTest, PartitionMapFixture)
 
 BOOST_AUTO_TEST_CASE(ReadPartitionMaps_TwoShards_GivesThemInOrder) {
-  const auto read = Read(Index(
+  const auto read = Read(MakeIndex(
       R"({"id":0,"range":[0,10],"replicas":["a","b"]},
          {"id":1,"range":[10,4294967296],"replicas":["c"]})"));
   BOOST_REQUIRE(read.index() == 0U);
@@ -35,7 +35,7 @@
 // The caller would see an answer that claims to be whole. The builder publishes
 // a map with a hole or an overlap; keys in a hole are asked for nowhere, keys
 // in an overlap are answered twice.
-BOOST_AUTO_TEST_CASE(ReadPartitionMaps_BrokenPartition_IsRefused) {
+BOOST_AUTO_TEST_CASE(ReadPartitionMaps_InvalidPartition_IsRejected) {
   for (const std::string shards :
        {R"({"id":0,"range":[0,10],"replicas":["a"]})",
         R"({"id":0,"range":[1,4294967296],"replicas":["a"]})",
@@ -53,7 +53,7 @@
         R"({"id":0,"range":[0],"replicas":["a"]})",
         R"({"id":-1,"range":[0,4294967296],"replicas":["a"]})", ""}) {
     BOOST_TEST_CONTEXT(shards) {
-      const auto read = Read(Index(shards));
+      const auto read = Read(MakeIndex(shards));
       BOOST_REQUIRE(read.index() == 1U);
       BOOST_TEST((std::get<Error>(read).code == ErrorCode::kCorrupt));
     }
@@ -66,7 +66,7 @@
   BOOST_TEST(std::get<Error>(read).subject == "index/S.versions[0].version");
 }
 
-BOOST_AUTO_TEST_CASE(ReadPartitionMaps_VersionsOutOfOrder_AreRefused) {
+BOOST_AUTO_TEST_CASE(ReadPartitionMaps_VersionsOutOfOrder_AreRejected) {
   const std::string shards =
       R"("shards":[{"id":0,"range":[0,4294967296],"replicas":["a"]}])";
   const auto versions = [&](const std::string& first,
