--- a/src/jacinthdeck/peer/feed_frame_reader.cc
+++ b/src/jacinthdeck/peer/feed_frames.cc
@@ -1,5 +1,5 @@
 // A length of four bytes, lowest first, stands before each frame.
-#include "jacinthdeck/peer/feed_frame_reader.h"
+#include "jacinthdeck/peer/feed_frames.h"
 
 namespace jacinthdeck {
 
--- a/src/jacinthdeck/peer/feed_frame_reader.h
+++ b/src/jacinthdeck/peer/feed_frames.h
@@ -1,6 +1,6 @@
 // Cuts a stream into frames.
-#ifndef JACINTHDECK_PEER_FEED_FRAME_READER_H_
-#define JACINTHDECK_PEER_FEED_FRAME_READER_H_
+#ifndef JACINTHDECK_PEER_FEED_FRAMES_H_
+#define JACINTHDECK_PEER_FEED_FRAMES_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -35,4 +35,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_PEER_FEED_FRAME_READER_H_
+#endif  // JACINTHDECK_PEER_FEED_FRAMES_H_
--- a/src/jacinthdeck/peer/feed_link.h
+++ b/src/jacinthdeck/peer/feed_link.h
@@ -9,7 +9,7 @@
 
 #include "jacinthdeck/core/endpoint.h"
 #include "jacinthdeck/http/asio.h"
-#include "jacinthdeck/peer/feed_frame_reader.h"
+#include "jacinthdeck/peer/feed_frames.h"
 #include "jacinthdeck/peer/feed_message.h"
 
 namespace jacinthdeck {
--- a/src/jacinthdeck/peer/feed_message.cc
+++ b/src/jacinthdeck/peer/feed_message.cc
@@ -9,7 +9,7 @@
 #include <limits>
 #include <utility>
 
-#include "jacinthdeck/peer/feed_frame_reader.h"
+#include "jacinthdeck/peer/feed_frames.h"
 
 namespace jacinthdeck {
 
--- a/src/jacinthdeck/peer/feed_server.h
+++ b/src/jacinthdeck/peer/feed_server.h
@@ -10,7 +10,7 @@
 
 #include "jacinthdeck/core/result.h"
 #include "jacinthdeck/http/asio.h"
-#include "jacinthdeck/peer/feed_frame_reader.h"
+#include "jacinthdeck/peer/feed_frames.h"
 #include "jacinthdeck/peer/feed_source.h"
 #include "jacinthdeck/peer/follower_observer.h"
 
--- a/test/jacinthdeck/peer/feed_message_test.cc
+++ b/test/jacinthdeck/peer/feed_message_test.cc
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <string>
 
-#include "jacinthdeck/peer/feed_frame_reader.h"
+#include "jacinthdeck/peer/feed_frames.h"
 #include "support/positions.h"
 #include "support/printers.h"
 
