--- a/src/jacinthdeck/peer/feeder_selector.cc
+++ b/src/jacinthdeck/peer/feeder_selector.cc
@@ -1,4 +1,4 @@
-// Freshness of the link, and the order of feeders.
+// Tracks the freshness of the link and the order in which feeders are tried.
 #include "jacinthdeck/peer/feeder_selector.h"
 
 #include <algorithm>
@@ -13,51 +13,62 @@
 
 using std::chrono::milliseconds;
 
-//! Feeders beat twice a second; two lost beats and some delay are silence.
+//! A feeder that sends nothing for longer is silent. Feeders send two
+//! heartbeats a second, so two lost ones and some delay are tolerated.
 constexpr Duration kSilenceTimeout = milliseconds(1600);
-//! A feeder that watches has heard the store within its own watch's length.
+//! Content that was confirmed by the store longer ago is stale. A feeder that
+//! watches hears from the store at least once per timeout of its watch.
 constexpr Duration kMaxContentAge = milliseconds(2700);
+//! Time to connect and receive the first heartbeat.
 constexpr Duration kOpenTimeout = milliseconds(600);
+//! Delay after a link could not be opened.
 constexpr Duration kReopenDelay = milliseconds(700);
-//! The same after the start, as the seeds may start a moment later.
+//! The same delay during kStartupPeriod; shorter, as the seeds may start a
+//! moment later than this host.
 constexpr Duration kReopenDelayAtStart = milliseconds(150);
 constexpr Duration kStartupPeriod = milliseconds(1500);
-//! A feeder that stays stale is given up for another one after this time. It
-//! beats as soon as it is asked, so its age is known at once; three feeders are
-//! tried within the bound in which a leaving target must be known.
+//! A feeder that stays stale is left for another one after this time. Feeders
+//! answer a hello with a heartbeat, so the age of their content is known at
+//! once; at this value three feeders are tried within the time limit for
+//! learning that a target is leaving.
 constexpr Duration kStaleFeederTimeout = milliseconds(1000);
-//! The same for one that has lost the store, which it knows for certain.
+//! The same for a feeder that reports the store as away: it knows for certain
+//! that its content is not updated.
 constexpr Duration kStoreAwayTimeout = milliseconds(300);
-//! The same once all feeders that were tried are stale.
+//! The same once all feeders that were tried proved stale.
 constexpr Duration kAllStaleTimeout = milliseconds(4000);
-//! So many feeders of different failure domains are not turned away together
-//! while the store serves others.
+//! Number of stale feeders in a row after which the store is taken to be away
+//! for all hosts: it is not expected to reject so many hosts of different
+//! failure domains while it serves others.
 constexpr std::size_t kMaxStaleFeeders = 5;
-//! Time for which a feeder of another failure domain is followed before the
-//! own one's is tried again, and the longest such time where it fails.
+//! Time for which a feeder of another failure domain is followed before one of
+//! the own domain is tried again. It doubles with each try, up to the maximum.
 constexpr Duration kMinReturnDelay = milliseconds(300);
 constexpr Duration kMaxReturnDelay = milliseconds(16000);
-//! Time for a seed to answer before the store is asked, where callers do not
-//! wait for this host.
+//! Time for a seed to answer before this host reads the store, used where no
+//! callers wait for this host.
 constexpr Duration kSeedAnswerTimeout = milliseconds(1100);
-//! Hosts with less processor than this, in thousandths of a core, are hardly
-//! ever among those that callers are sent to.
+//! Hosts with less processor than this, in thousandths of a core, are rarely
+//! among those that callers are sent to.
 constexpr std::uint32_t kMinServingStrength = 200;
-//! Hosts that are assumed while none is known.
+//! Number of hosts that is assumed while none is known.
 constexpr std::size_t kAssumedHostCount = 100;
-//! Hosts that start at one moment.
+//! Spreads the first store reads of hosts that start at the same moment.
 constexpr Duration kStartJitter = milliseconds(30);
-//! Followers of one lost feeder must not all ask the store at one moment.
+//! Spreads the store reads of hosts that lose the same feeder.
 constexpr Duration kLinkLostJitter = milliseconds(150);
-//! Time in which a host without callers looks for another feeder first.
+//! Time for which a host that takes no callers looks for another feeder before
+//! it reads the store.
 constexpr Duration kRelinkTimeout = milliseconds(1300);
-//! A follower on its way to the feeder of its own domain stays for less.
+//! A link counts as steady from this age on. A follower that is about to switch
+//! to the feeder of its own domain keeps a link for less.
 constexpr Duration kSteadyLinkAge = milliseconds(1000);
-//! If the feeder lost the store, it is likely away for all, and calls to it are
-//! in vain.
+//! Spreads the store reads of hosts whose feeder is stale. If the feeder lost
+//! the store, the store is likely away for all hosts and calls to it fail, so
+//! this is longer than kLinkLostJitter.
 constexpr Duration kStaleFeederJitter = milliseconds(1200);
-//! Hosts without callers ask the store one after the other while the feeders
-//! are stale, one in this time.
+//! While the feeders are stale, the hosts that take no callers read the store
+//! in random order, on average one host per interval.
 constexpr Duration kStoreReadInterval = milliseconds(50);
 
 }  // namespace
@@ -75,7 +86,7 @@
   const auto own = [&](const Endpoint& endpoint) {
     return endpoint.ToString() == m_self.peers;
   };
-  // Before any host is known the seeds watch for the others.
+  // Until the hosts are known, the seeds watch the store for the others.
   m_is_watcher = m_seeds.empty() || std::ranges::any_of(m_seeds, own);
   std::ranges::remove_copy_if(m_seeds, std::back_inserter(m_feeders), own);
   if (!m_feeders.empty()) {
@@ -111,7 +122,8 @@
       feeders.push_back(&host);
     }
   }
-  // The own failure domain first: that way is short and costs least.
+  // Feeders of the own failure domain come first: the path to them is the
+  // shortest and traffic within a domain is the cheapest.
   std::stable_partition(
       feeders.begin(), feeders.end(),
       [&](const HostRecord* host) { return host->domain == m_self.domain; });
@@ -138,9 +150,10 @@
   if (unknown || (following && !nearest)) {
     return 0;
   }
-  // Content from a stale feeder names the hosts too. Starting over with each
-  // such list, a host that is cut from the store would ask one stale feeder
-  // again and again, with fresh ones in the next failure domain.
+  // Go on with the feeder after the last one. A stale feeder also sends the
+  // list of hosts: if each list restarted the order, a host cut off from the
+  // store would try the same stale feeder again and again while the next
+  // failure domain has fresh ones.
   return static_cast<std::size_t>(std::distance(m_feeders.begin(), last)) + 1;
 }
 
@@ -186,9 +199,9 @@
     }
     m_next_open_at = now + kReopenDelay;
   }
-  // A watcher follows another one beside its own watch. One that the store
-  // turned away alone would notice only after its watch's timeout, and send to
-  // targets that have left for as long as it stays cut off.
+  // A watcher also follows another watcher beside its own watch. Otherwise, a
+  // watcher that the store rejects alone would notice only after the timeout of
+  // its watch, and send to targets that have left for as long as it is cut off.
   if (m_is_watcher) {
     actions.watch_store = true;
     m_watch_at = now;
@@ -244,7 +257,8 @@
     return false;
   }
   if (!m_return_at) {
-    // All followers of a domain whose feeder was away would come back at once.
+    // The random part keeps the followers of one domain from all returning at
+    // the same moment after their feeder was away.
     const auto bound = static_cast<std::uint64_t>(m_return_delay.count());
     m_return_at = now + m_return_delay +
                   Duration(static_cast<Duration::rep>(m_random.Below(bound)));
@@ -294,7 +308,8 @@
 }
 
 void FeederSelector::ScheduleWatchWithoutLink(TimePoint now) {
-  // Another feeder mostly answers within milliseconds.
+  // Another feeder usually answers within milliseconds, so a host that takes no
+  // callers can wait for one.
   const Duration timeout = m_serves_callers ? Duration::zero() : kRelinkTimeout;
   ScheduleWatch(kLinkLostJitter, now + timeout);
 }
--- a/src/jacinthdeck/peer/feeder_selector.h
+++ b/src/jacinthdeck/peer/feeder_selector.h
@@ -1,4 +1,5 @@
-// Decides from whom a host learns: from another host, or from the store itself.
+// Decides whether a host gets the store's content from another host or reads
+// the store itself.
 #ifndef JACINTHDECK_PEER_FEEDER_SELECTOR_H_
 #define JACINTHDECK_PEER_FEEDER_SELECTOR_H_
 
@@ -17,42 +18,49 @@
 
 namespace jacinthdeck {
 
-/*! \brief What is to be done now. */
+/*! \brief Actions that a FeederSelector asks its owner to take. */
 struct FeederActions {
-  //! Watch the store.
+  //! Whether this host watches the store itself.
   bool watch_store = false;
-  //! Open a link to this host, in place of the present one.
+  //! Feeder to open a link to, in place of the present link; nothing to keep
+  //! it.
   std::optional<Endpoint> open_link_to;
-  //! End the present link.
+  //! Whether to close the present link.
   bool close_link = false;
 };
 
 /**
- * \brief Follows a watcher as long as that one is fresh.
+ * \brief Selects the watcher to follow as feeder, and decides when this host
+ * watches the store itself.
  *
- * A host whose feeder falls silent, loses the store, or lags looks for another
- * feeder and reads the store itself meanwhile; so a change is never later than
- * by the time in which silence shows. Watchers follow one another beside their
- * own watch. A feeder's word is as old as the feeder says: hosts that follow
- * each other in a circle see the age grow.
+ * Watchers are the hosts that watch the store for the others. When a feeder
+ * falls silent, loses the store or lags, its follower looks for another feeder
+ * and reads the store itself meanwhile, so the delay of a change is bounded by
+ * the time until silence is detected. Watchers also follow one another beside
+ * their own watch. Each feeder reports the age of its content: hosts that
+ * follow each other in a cycle see that age grow and so detect that none of
+ * them hears the store.
  *
- * If feeder after feeder has lost the store, it is away for all, and hundreds
- * of hosts that ask for it and go from one feeder to the next only keep it and
- * them busy. Then a host stays with the nearest feeder, whose next beat tells
- * of the store's return. Only those that callers are sent to go on asking; of
- * the others a few at a time do, in case the store turns the feeders away and
- * not them.
+ * If one feeder after the other has lost the store, the store is taken to be
+ * away for all hosts. Hundreds of hosts that go on asking the store and
+ * switching feeders would only load both, so a host then stays with the nearest
+ * feeder, whose next heartbeat reports that the store is back. Only hosts that
+ * callers are sent to keep asking the store. The others ask it a few at a time,
+ * in case the store rejects the feeders only.
  */
 class FeederSelector {
  public:
   /**
-   * \brief Makes a choice that knows only the seeds.
-   * \param self This host; its own link address is never followed.
-   * \param seeds Links to try before any host is known.
-   * \param fleet_starts All hosts start now, and nobody is served yet: the
-   * seeds have time to answer. A host that starts again reads the store at
-   * once, unless it is too weak for callers to be sent to it: after the loss of
-   * hundreds of hosts the few that serve must not wait behind the others.
+   * \brief Creates a selector that knows no hosts but the seeds.
+   * \param self Record of this host, which never follows its own peers address.
+   * \param seeds Feeders to try until the hosts are known.
+   * \param fleet_starts Whether all hosts start now and serve no callers yet,
+   * which leaves the seeds time to answer. A host that starts in a running
+   * fleet reads the store at once, unless it is too weak for callers to be sent
+   * to it: after the loss of hundreds of hosts, the reads of the few that serve
+   * callers must not wait behind those of all others.
+   * \param seed Seed of the random delays.
+   * \param now Time of the start.
    */
   FeederSelector(HostRecord self,
                  std::vector<Endpoint> seeds,
@@ -62,55 +70,66 @@
 
   /*! \brief Tells whether this host watches the store for others. */
   [[nodiscard]] bool is_watcher() const noexcept { return m_is_watcher; }
-  /*! \brief Tells whether the link is fresh enough to be relied on. */
+  /*! \brief Tells whether the link is open, not silent, and its content fresh.
+   */
   [[nodiscard]] bool IsFollowing(TimePoint now) const;
 
-  /*! \brief Tells whether the feeder is heard, whatever it knows. */
+  /*! \brief Tells whether the link is open and not silent, even if the feeder's
+   * content is stale. */
   [[nodiscard]] bool IsLinked(TimePoint now) const {
     return m_link_state == LinkState::kOpen && !IsSilent(now);
   }
-  /*! \brief Tells whether the feeder, or the last one, is known to be of this
-   * host's failure domain. */
+  /*! \brief Tells whether the feeder of the present or last link is known to be
+   * in this host's failure domain. */
   [[nodiscard]] bool IsFeederInOwnDomain() const;
-  /*! \brief Tells whether that was so for some time with the same one. */
+  /*! \brief Tells whether IsLinked() holds and the link is old enough that it
+   * is likely to be kept. */
   [[nodiscard]] bool IsLinkSteady(TimePoint now) const;
 
-  /*! \brief Says whether callers are sent to this host, which then reads the
-   * store itself as soon as its feeder is stale. */
+  /*! \brief Sets whether callers are sent to this host. If so, it reads the
+   * store soon after it loses its feeder or the feeder becomes stale. */
   void SetServesCallers(bool serves) noexcept { m_serves_callers = serves; }
 
-  /*! \brief Takes the hosts that are known. */
+  /*! \brief Recomputes the watchers and the order of feeders from the known
+   * hosts. */
   void OnHosts(std::span<const HostRecord> hosts, TimePoint now);
 
-  /*! \brief Takes a sign of life of the link. */
+  /*! \brief Records a heartbeat of the feeder; the first one opens the link. */
   void OnHeartbeat(const FeedHeartbeat& heartbeat, TimePoint now);
 
-  /*! \brief Takes changes over the link. */
+  /*! \brief Records that the feeder sent changes. */
   void OnChanges(TimePoint now);
 
-  /*! \brief Takes the end of the link. */
+  /*! \brief Records that the link ended or could not be opened. */
   void OnLinkLost(TimePoint now);
 
-  /*! \brief Says what is to be done; called often. */
+  /*! \brief Returns the actions that are due; must be called several times a
+   * second. */
   [[nodiscard]] FeederActions Step(TimePoint now);
 
  private:
   enum class LinkState { kNone, kOpening, kOpen };
 
+  //! Tells whether the feeder has sent no message for too long.
   [[nodiscard]] bool IsSilent(TimePoint now) const;
+  //! Tells whether the feeder's content is missing or too old, or the feeder
+  //! has lost the store.
   [[nodiscard]] bool IsStale(TimePoint now) const;
-  //! Tells whether the link is to be ended for another feeder.
+  //! Tells whether to close the open link and try another feeder.
   [[nodiscard]] bool ShouldLeaveFeeder(TimePoint now) const;
-  //! Feeders that are tried before all are taken for stale alike.
+  //! Number of stale feeders in a row after which all count as stale.
   [[nodiscard]] std::size_t StaleFeederLimit() const noexcept;
-  //! Tells whether it is time to go back to the own failure domain's feeder.
+  //! Tells whether to switch back to a feeder in the own failure domain now.
+  //! Schedules the next such switch.
   [[nodiscard]] bool ShouldReturnToOwnDomain(TimePoint now);
+  //! Records that this host itself closes the link.
   void LeaveFeeder(TimePoint now);
+  //! Takes the next feeder in turn; nothing if there is none.
   [[nodiscard]] std::optional<Endpoint> NextFeeder();
-  //! Position from which the next feeder is looked for.
+  //! Index in m_feeders of the feeder to try next.
   [[nodiscard]] std::size_t NextFeederIndex(bool following) const;
-  //! Watches the store from a moment within the spread on, unless that is
-  //! settled already.
+  //! Schedules the start of the watch at a random time within max_jitter after
+  //! from, unless it is scheduled already.
   void ScheduleWatch(Duration max_jitter, TimePoint from);
   void ScheduleWatchWithoutLink(TimePoint now);
   void ScheduleWatchWhileStale(TimePoint now);
@@ -121,31 +140,35 @@
   Random m_random;
   bool m_is_watcher = false;
   bool m_serves_callers = true;
-  //! Hosts that are known.
+  //! Number of known hosts; 0 until they are known.
   std::size_t m_host_count = 0;
-  //! In the order in which they are tried; this host is not among them.
+  //! Feeders in the order in which they are tried, without this host.
   std::vector<Endpoint> m_feeders;
-  //! Feeders of the own failure domain; the first so many.
+  //! Number of feeders in the own failure domain; they come first in m_feeders.
   std::size_t m_own_domain_feeders = 0;
-  //! Feeders that were left as stale since one was last followed.
+  //! Feeders left as stale since a fresh one was last followed.
   std::size_t m_stale_feeders_in_row = 0;
-  //! When it goes back to the own failure domain; nothing while it is there.
+  //! When to switch back to the own failure domain; nothing while the feeder is
+  //! in it, no feeder in it is known, or the link is not fresh.
   std::optional<TimePoint> m_return_at;
-  //! Time to stay elsewhere before that.
+  //! Least time with a feeder of another failure domain before that.
   Duration m_return_delay;
+  //! Index of the next feeder to try; taken modulo the number of feeders.
   std::size_t m_next_feeder = 0;
   //! Feeder of the present link, or of the last one.
   std::optional<Endpoint> m_last_feeder;
   LinkState m_link_state = LinkState::kNone;
+  //! When the link began to open.
   TimePoint m_link_started_at;
-  //! Last message over the link.
+  //! When the last message came over the link.
   TimePoint m_last_message_at;
-  //! Last beat and when it came.
+  //! Last heartbeat over a link.
   FeedHeartbeat m_last_heartbeat;
   TimePoint m_last_heartbeat_at;
+  //! Earliest time to open the next link.
   TimePoint m_next_open_at;
-  //! When the store is watched, unless the link is fresh by then; nothing while
-  //! it is.
+  //! When this host starts to watch the store, unless the link is fresh by
+  //! then; nothing while the link is fresh.
   std::optional<TimePoint> m_watch_at;
 };
 
--- a/test/jacinthdeck/peer/feeder_selector_test.cc
+++ b/test/jacinthdeck/peer/feeder_selector_test.cc
@@ -1,4 +1,4 @@
-// Tests of whom a host learns from.
+// Tests of the selection of a feeder and of when a host reads the store itself.
 #include "jacinthdeck/peer/feeder_selector.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,8 @@
 
 struct FeederSelectorFixture {
   TimePoint now{seconds(100)};
-  //! h1, h2 and h3 watch, one in each failure domain; h9 follows.
+  //! h1, h2 and h3 are watchers, one in each failure domain; h9, the host under
+  //! test, is a follower in the domain of h2.
   std::vector<HostRecord> hosts{MakeHost(1, 1, 500), MakeHost(2, 2, 500),
                                 MakeHost(3, 3, 500), MakeHost(9, 2)};
   FeederSelector selector;
@@ -41,7 +42,7 @@
     return selector.Step(now);
   }
 
-  //! Opens a link and makes it fresh.
+  //! Opens a link and makes it fresh by a heartbeat.
   void Follow() {
     selector.OnHosts(hosts, now);
     const FeederActions actions = selector.Step(now);
@@ -64,17 +65,17 @@
   BOOST_TEST(!StepAfter(milliseconds(1500)).watch_store);
 }
 
-// All hosts start at once, and the seeds are down. The host must not wait for
-// them: it asks the store itself within about a second.
+// Guards against a host that waits for seeds that are down when all hosts start
+// at once: it must read the store itself within about a second.
 BOOST_AUTO_TEST_CASE(Start_NoSeedAnswers_StoreIsReadSoon) {
   (void)StepAfter(milliseconds(0));
   BOOST_TEST(!StepAfter(milliseconds(300)).watch_store);
   BOOST_TEST(StepAfter(milliseconds(1000)).watch_store);
 }
 
-// Hundreds of hosts lost power and start again. One that is too weak for
-// callers to be sent to it waits for a seed, which starts a moment later: the
-// few that serve must not wait behind the reads of all.
+// Guards against hosts that serve callers waiting behind the store reads of all
+// others when hundreds of hosts start again after a power loss. A host too weak
+// for callers to be sent to it waits for a seed, which starts a moment later.
 BOOST_AUTO_TEST_CASE(Start_WeakHostInRunningFleet_SeedIsAskedFirst) {
   FeederSelector weak_host(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}},
                            false, 1, now);
@@ -86,7 +87,8 @@
   BOOST_TEST(!weak_host.Step(now + milliseconds(1200)).watch_store);
 }
 
-// The same with all seeds down: the store is read after about a second.
+// Guards against a weak host that waits for seeds that stay down: it must read
+// the store after about a second.
 BOOST_AUTO_TEST_CASE(Start_WeakHostAndSeedsDown_StoreIsReadSoon) {
   FeederSelector weak_host(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}},
                            false, 1, now);
@@ -94,8 +96,9 @@
   BOOST_TEST(weak_host.Step(now + milliseconds(1200)).watch_store);
 }
 
-// A follower that is on its way to its own domain's feeder is not written by
-// the one that it passes: each write is told to all hosts.
+// Guards against needless store writes, each of which is sent to all hosts: a
+// feeder that a follower soon leaves for one in its own domain must not write
+// the follower's record, so a new link does not count as steady.
 BOOST_AUTO_TEST_CASE(Link_JustOpened_IsNotSteady) {
   Follow();
   BOOST_TEST(selector.IsLinked(now));
@@ -103,8 +106,9 @@
   BOOST_TEST(selector.IsLinkSteady(now + milliseconds(1100)));
 }
 
-// All hosts lost power and start again while callers wait. Each of them reads
-// the store at once: following would cost the time in which a seed starts.
+// All hosts start again after a power loss while callers wait. A host that
+// serves callers reads the store at once: waiting for a seed would cost the
+// time in which the seed starts.
 BOOST_AUTO_TEST_CASE(Start_StrongHostInRunningFleet_StoreIsReadAtOnce) {
   FeederSelector weak_host(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, false, 1,
                            now);
@@ -116,8 +120,8 @@
   BOOST_TEST(selector.Step(now).open_link_to->address == "10.0.0.2");
 }
 
-// The store turns away one watcher alone, silently, while targets leave. It
-// hears of them from another watcher at once, and its own watch goes on.
+// The store stops answering one watcher alone while targets leave. That watcher
+// must learn of them from another watcher at once, and keep its own watch.
 BOOST_AUTO_TEST_CASE(Hosts_SelfIsStrongest_WatchesAndFollowsAnother) {
   hosts[3].strength = 900;
   selector.OnHosts(hosts, now);
@@ -132,8 +136,8 @@
   BOOST_TEST(!later.close_link);
 }
 
-// The watcher freezes and its connection stays open. The host sees silence,
-// reads the store itself, and follows another watcher as soon as one answers.
+// The feeder freezes and its connection stays open. The host must detect the
+// silence, read the store itself, and follow another watcher once one answers.
 BOOST_AUTO_TEST_CASE(Feeder_FallsSilent_StoreIsReadAndAnotherIsFollowed) {
   Follow();
   const FeederActions actions = StepAfter(milliseconds(1700));
@@ -145,8 +149,8 @@
   BOOST_TEST(!StepAfter(milliseconds(10)).watch_store);
 }
 
-// The watcher is cut off from the store, but not from this host. Its beats go
-// on and say how old its knowledge is; a change would never come this way.
+// The feeder is cut off from the store, but not from this host. Its heartbeats
+// go on and report the growing age of its content, but it sends no changes.
 BOOST_AUTO_TEST_CASE(Feeder_LosesTheStore_FollowerReadsTheStore) {
   Follow();
   for (int i = 0; i < 4; ++i) {
@@ -162,9 +166,10 @@
   BOOST_TEST(StepAfter(milliseconds(200)).watch_store);
 }
 
-// The host is cut from the store, and so is the watcher of its failure domain,
-// whose content arrives with the list of hosts. The next feeder must be another
-// one each time, until one is fresh.
+// The host and the watcher of its failure domain are cut off from the store,
+// and that watcher's content includes the list of hosts. Guards against a list
+// that restarts the order of feeders: each try must go to another feeder until
+// one is fresh.
 BOOST_AUTO_TEST_CASE(Feeder_StaleButSendsHosts_AllFeedersAreTriedInTurn) {
   Follow();
   std::vector<std::string> tried;
@@ -180,8 +185,8 @@
   BOOST_TEST(tried == expected, boost::test_tools::per_element());
 }
 
-// Hosts that follow each other in a circle hand on what nobody heard from the
-// store. The age that they tell grows until each of them reads the store.
+// Guards against hosts that follow each other in a cycle, none of which hears
+// the store: the age that they report grows until each of them reads the store.
 BOOST_AUTO_TEST_CASE(Feeder_ContentAgeGrows_StoreIsRead) {
   Follow();
   bool watched = false;
@@ -192,9 +197,9 @@
   BOOST_TEST(watched);
 }
 
-// The store turns everyone away. Hundreds of hosts that take no callers would
-// each ask it, and every feeder in turn, for as long as that lasts. They try
-// each feeder once, stay with the nearest, and hear from it when the store is
+// The store rejects all hosts. Guards against hundreds of hosts without callers
+// that ask it and every feeder in turn for as long as that lasts. They must try
+// each feeder once and stay with the nearest, which reports when the store is
 // back.
 BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_HostStaysWithTheNearest) {
   selector.SetServesCallers(false);
@@ -213,8 +218,8 @@
   BOOST_TEST(!StepAfter(milliseconds(100)).close_link);
 }
 
-// The same with 300 hosts. The store is asked by a few of them a second, not by
-// all; those that take callers ask at once.
+// The store rejects all of 300 hosts. The 9 that take callers must read it at
+// once; of the others only a few a second may do so.
 BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_FewHostsReadTheStore) {
   for (int number = 10; number < 306; ++number) {
     hosts.push_back(MakeHost(number, number % 3));
@@ -238,8 +243,8 @@
   BOOST_TEST(store_readers <= 100);
 }
 
-// A feeder dies. Its followers find another one within milliseconds; none of
-// those that take no callers asks the store meanwhile.
+// A feeder dies. A follower without callers must try another feeder within
+// milliseconds and not read the store meanwhile.
 BOOST_AUTO_TEST_CASE(Feeder_LinkEnds_HostWithoutCallersTriesAnotherFeeder) {
   selector.SetServesCallers(false);
   Follow();
@@ -249,8 +254,9 @@
   BOOST_TEST(StepAfter(milliseconds(1300)).watch_store);
 }
 
-// At the start of the fleet all hosts follow the seeds. Each goes over to the
-// feeder of its own failure domain: what is fed stays within the domain.
+// When the fleet starts, all hosts follow the seeds. Each must then switch to
+// the feeder of its own failure domain, so that the content is not sent across
+// domains.
 BOOST_AUTO_TEST_CASE(Feeder_InAnotherDomain_HostSwitchesToOwnDomain) {
   (void)selector.Step(now);
   ReceiveHeartbeat();
@@ -264,8 +270,8 @@
   BOOST_TEST(opened->address == "10.0.0.2");
 }
 
-// The own domain's feeder does not answer. The host goes on with another one
-// and tries to return ever more rarely.
+// The feeder of the own domain does not answer. The host must go on with
+// another one and retry the own domain at growing intervals.
 BOOST_AUTO_TEST_CASE(Feeder_OfOwnDomainFails_IsRetriedWithBackoff) {
   selector.OnHosts(hosts, now);
   int returns = 0;
