--- a/src/jacinthdeck/peer/feed_frames.cc
+++ b/src/jacinthdeck/peer/feed_frames.cc
@@ -1,4 +1,4 @@
-// A length of four bytes, lowest first, stands before each frame.
+// The length prefix is a four-byte unsigned integer in little-endian order.
 #include "jacinthdeck/peer/feed_frames.h"
 
 namespace jacinthdeck {
--- a/src/jacinthdeck/peer/feed_frames.h
+++ b/src/jacinthdeck/peer/feed_frames.h
@@ -1,4 +1,4 @@
-// Cuts a stream into frames.
+// Framing of the byte stream between hosts: a length prefix before each frame.
 #ifndef JACINTHDECK_PEER_FEED_FRAMES_H_
 #define JACINTHDECK_PEER_FEED_FRAMES_H_
 
@@ -10,22 +10,25 @@
 
 namespace jacinthdeck {
 
-/*! \brief Gives the prefix of a frame of so many bytes. */
+/*! \brief Encodes the length prefix of a frame of the given size. */
 [[nodiscard]] std::string EncodeFrameLength(std::size_t bytes);
 
-/*! \brief Collects bytes and gives whole frames, without their length. */
+/*! \brief Splits a byte stream into frames and strips their length prefix. */
 class FeedFrameReader {
  public:
-  //! A frame holds the store's content at most, whose parts are bounded.
+  //! Largest frame that is accepted. The largest message holds the store's
+  //! whole content, whose parts are bounded.
   static constexpr std::size_t kMaxFrameBytes = std::size_t{64} << 20U;
 
-  /*! \brief Tells whether the stream is none of frames; it cannot go on. */
+  /*! \brief Tells whether a length prefix exceeded kMaxFrameBytes; no further
+   * frame can be read then. */
   [[nodiscard]] bool broken() const noexcept { return m_is_broken; }
 
-  /*! \brief Takes bytes of the stream. */
+  /*! \brief Appends received bytes. */
   void Add(std::string_view bytes) { m_buffer += bytes; }
 
-  /*! \brief Takes the next whole frame, or nothing until more bytes are in. */
+  /*! \brief Removes and returns the next complete frame; nothing if there is
+   * none yet, or the stream is broken. */
   [[nodiscard]] std::optional<std::string> Next();
 
  private:
--- a/src/jacinthdeck/peer/feed_link.cc
+++ b/src/jacinthdeck/peer/feed_link.cc
@@ -1,4 +1,4 @@
-// Reads frames until the link ends.
+// Asynchronous reads and writes of frames over the follower's connection.
 #include "jacinthdeck/peer/feed_link.h"
 
 #include <boost/asio/write.hpp>
@@ -15,7 +15,7 @@
   tcp::socket socket;
   FeedFrameReader frame_reader;
   std::array<char, 16384> read_buffer{};
-  //! Hellos that are not sent yet; the first may be under way.
+  //! Encoded hellos not sent yet; the first one may be partly written.
   std::deque<std::string> unsent;
   bool connected = false;
   bool closed = false;
@@ -110,7 +110,7 @@
           }
         }
         if (connection->frame_reader.broken()) {
-          FailLink(connection, "sends no frames");
+          FailLink(connection, "sent a frame length above the limit");
           return;
         }
         Read(connection);
@@ -121,7 +121,7 @@
   const auto message = Capture([&] { return DecodeFeedMessage(frame); });
   const auto* decoded = std::get_if<FeedMessage>(&message);
   if (decoded == nullptr) {
-    FailLink(m_connection, "sent a frame that is no message");
+    FailLink(m_connection, "sent a frame that holds no valid message");
   } else if (const auto* changes = std::get_if<FeedChanges>(decoded)) {
     m_sink.OnFeedChanges(*changes);
   } else if (const auto* heartbeat = std::get_if<FeedHeartbeat>(decoded)) {
--- a/src/jacinthdeck/peer/feed_link.h
+++ b/src/jacinthdeck/peer/feed_link.h
@@ -1,4 +1,5 @@
-// A connection to the host that this one learns from.
+// Connection of a follower to its feeder, the host that sends it the store's
+// content.
 #ifndef JACINTHDECK_PEER_FEED_LINK_H_
 #define JACINTHDECK_PEER_FEED_LINK_H_
 
@@ -14,39 +15,43 @@
 
 namespace jacinthdeck {
 
-/*! \brief Takes what a link brings. */
+/*! \brief Receives the messages and the end of a FeedLink. */
 class FeedLinkSink {
  public:
   virtual ~FeedLinkSink() = default;
 
+  /*! \brief Called for each message with changes of the store's content. */
   virtual void OnFeedChanges(const FeedChanges& changes) = 0;
+  /*! \brief Called for each heartbeat. */
   virtual void OnFeedHeartbeat(const FeedHeartbeat& heartbeat) = 0;
-  /*! \brief The link ended, or could not be opened. */
+  /*! \brief Called when the link ended or could not be opened.
+   * \param problem Reason, for the log. */
   virtual void OnFeedLost(const std::string& problem) = 0;
 };
 
-/*! \brief One link at a time; opening another ends the one before. */
+/*! \brief Holds at most one connection to a feeder; opening another one closes
+ * it. */
 class FeedLink {
  public:
-  /*! \brief Makes a link that is not open; the sink outlives it. */
+  /*! \brief Creates a closed link; the sink must outlive it. */
   FeedLink(asio::io_context& loop, FeedLinkSink& sink);
   ~FeedLink();
   FeedLink(const FeedLink&) = delete;
   FeedLink& operator=(const FeedLink&) = delete;
 
-  /*! \brief Connects and says hello. */
+  /*! \brief Connects to a feeder and sends the hello as the first message. */
   void Open(const Endpoint& endpoint, const FeedHello& hello);
 
-  /*! \brief Says something else of this host; nothing while there is no link.
-   */
+  /*! \brief Sends another hello, as after a change of this host's record; does
+   * nothing while no link is open. */
   void SendHello(const FeedHello& hello);
 
-  /*! \brief Bytes received over all links since the start. */
+  /*! \brief Returns the bytes received over all links since the start. */
   [[nodiscard]] std::uint64_t received_bytes() const noexcept {
     return m_received_bytes;
   }
 
-  /*! \brief Ends the link without a word to the sink. */
+  /*! \brief Closes the link without calling the sink. */
   void Close();
 
  private:
@@ -55,13 +60,16 @@
   void Write(const std::shared_ptr<Connection>& connection);
   void Read(const std::shared_ptr<Connection>& connection);
   void OnFrame(const std::string& frame);
+  //! Closes the link and reports the problem to the sink, once per connection.
   void FailLink(const std::shared_ptr<Connection>& connection,
                 const std::string& problem);
 
   asio::io_context& m_loop;
   FeedLinkSink& m_sink;
   std::uint64_t m_received_bytes = 0;
-  //! Null while there is no link; handlers of an earlier one see another.
+  //! Null while there is no link. Handlers keep a pointer to the connection
+  //! they were started for, so those of an earlier one do not act on the
+  //! present one.
   std::shared_ptr<Connection> m_connection;
 };
 
--- a/src/jacinthdeck/peer/feed_message.cc
+++ b/src/jacinthdeck/peer/feed_message.cc
@@ -1,4 +1,5 @@
-// FlatBuffers do the layout; the verifier keeps damaged frames out.
+// Messages are FlatBuffers (feed.fbs); the FlatBuffers verifier rejects damaged
+// frames before they are read.
 #include "jacinthdeck/peer/feed_message.h"
 
 #include <feed_generated.h>
@@ -22,7 +23,7 @@
   return text == nullptr ? std::string() : text->str();
 }
 
-//! The position that a table's two fields give.
+//! Reads the position from a table's fields era and revision.
 template <typename Table>
 [[nodiscard]] StorePosition PositionOf(const Table& table) {
   return {StoreEra(table.era()), table.revision()};
@@ -57,7 +58,7 @@
       .Union();
 }
 
-//! What the field of a beat says where the store was never heard.
+//! Value of a heartbeat's age field if the store was never heard.
 constexpr std::uint32_t kNeverHeard = std::numeric_limits<std::uint32_t>::max();
 
 [[nodiscard]] std::uint32_t EncodeAge(std::optional<Duration> age) {
@@ -113,9 +114,9 @@
   return changes;
 }
 
-//! Messages below gain nothing by it.
+//! Smaller messages gain nothing by compression.
 constexpr std::size_t kMinCompressibleBytes = 1024;
-//! The fastest: a feeder packs each change while callers wait.
+//! The fastest level: a feeder compresses each change while callers wait.
 constexpr int kCompressionLevel = 1;
 
 [[nodiscard]] std::string_view BytesOf(const FlatBufferBuilder& builder) {
@@ -123,8 +124,8 @@
           builder.GetSize()};
 }
 
-//! Replaces the message by one that holds it packed; it stays as it is if that
-//! fails.
+//! Replaces the message by a Packed message that holds it compressed. Leaves it
+//! unchanged if the compression fails.
 void Compress(FlatBufferBuilder& builder) {
   std::string packed(ZSTD_compressBound(builder.GetSize()), '\0');
   const std::size_t size =
@@ -143,17 +144,19 @@
 }
 
 [[nodiscard]] Result<std::string> Decompress(const wire::Packed& packed) {
-  // The size is the sender's word, and what it costs to believe it is bounded.
+  // The size is allocated as the sender states it. The bound keeps a forged
+  // size from exhausting the memory.
   if (packed.size() > FeedFrameReader::kMaxFrameBytes ||
       packed.bytes() == nullptr) {
-    return Fail(ErrorCode::kCorrupt, "feed", "is packed from too many bytes");
+    return Fail(ErrorCode::kCorrupt, "feed",
+                "has no compressed bytes, or declares too large a size");
   }
   std::string plain(packed.size(), '\0');
   const std::size_t size =
       ZSTD_decompress(plain.data(), plain.size(), packed.bytes()->data(),
                       packed.bytes()->size());
   if (ZSTD_isError(size) != 0 || size != plain.size()) {
-    return Fail(ErrorCode::kCorrupt, "feed", "cannot be unpacked");
+    return Fail(ErrorCode::kCorrupt, "feed", "cannot be decompressed");
   }
   return plain;
 }
@@ -162,7 +165,7 @@
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(frame.data());
   flatbuffers::Verifier verifier(bytes, frame.size());
   if (!wire::VerifyMessageBuffer(verifier)) {
-    return Fail(ErrorCode::kCorrupt, "feed", "is no message");
+    return Fail(ErrorCode::kCorrupt, "feed", "holds no valid message");
   }
   return wire::GetMessage(bytes);
 }
@@ -181,7 +184,7 @@
                                      DecodeAge(heartbeat->age_ms()),
                                      heartbeat->store_away()});
   }
-  return Fail(ErrorCode::kCorrupt, "feed", "has a body of no known kind");
+  return Fail(ErrorCode::kCorrupt, "feed", "has a body of an unknown type");
 }
 
 }  // namespace
@@ -199,8 +202,8 @@
       builder.GetSize() >= kMinCompressibleBytes) {
     Compress(builder);
   }
-  // Not the library's own prefix: it shifts the alignment that the verifier of
-  // the frame without its prefix checks.
+  // The size prefix of FlatBuffers is not used: it shifts the alignment, which
+  // the verifier checks on the frame without its prefix.
   std::string frame = EncodeFrameLength(builder.GetSize());
   frame += BytesOf(builder);
   return frame;
@@ -213,7 +216,8 @@
     return DecodeBody(*message);
   }
   BOOST_LEAF_AUTO(plain, Decompress(*packed));
-  // Packed once: a frame that unpacks to another has no known body.
+  // Only one level of compression is accepted: DecodeBody() rejects a Packed
+  // message inside another one.
   BOOST_LEAF_AUTO(inner, Verify(plain));
   return DecodeBody(*inner);
 }
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -1,4 +1,4 @@
-// Messages between hosts, decoded.
+// Messages between a follower and its feeder, and their encoding.
 #ifndef JACINTHDECK_PEER_FEED_MESSAGE_H_
 #define JACINTHDECK_PEER_FEED_MESSAGE_H_
 
@@ -15,46 +15,53 @@
 
 namespace jacinthdeck {
 
-/*! \brief A follower presents itself. */
+/*! \brief First message of a follower, sent again when its record changes. */
 struct FeedHello {
+  //! Name of the follower.
   NodeId host;
-  //! Up to which it knows all; revision 0 if it knows nothing.
+  //! Position up to which the follower knows all changes; revision 0 if it
+  //! knows nothing.
   StorePosition position;
-  //! Its record in the store's format, which the feeder is to keep there; empty
-  //! if the feeder is not to.
+  //! The follower's host record in the store's format, which the feeder keeps
+  //! in the store; empty if the feeder must not keep one.
   std::string record;
-  //! It reads packed frames; hosts of an earlier version do not.
+  //! Whether the follower can read compressed messages; hosts of an earlier
+  //! version cannot.
   bool reads_packed = true;
 };
 
-/*! \brief Changes of the store's content. */
+/*! \brief Changes of the store's content, or the whole content. */
 using FeedChanges = StoreHandover;
 
-/*! \brief A sign of life. */
+/*! \brief Periodic message of a feeder that shows that it is alive and how old
+ * its content is. */
 struct FeedHeartbeat {
-  //! Of the sender's content.
+  //! Position of the sender's content.
   StorePosition position;
-  //! Since the store was last heard, by whoever heard it; nothing: never.
+  //! Time since the store was last heard, by the sender or the host that it got
+  //! its content from; nothing if it never was.
   std::optional<Duration> age;
+  //! Whether the store has given that host no answer since.
   bool store_away = false;
 };
 
-/*! \brief Any message. */
+/*! \brief Any message between a follower and its feeder. */
 using FeedMessage = std::variant<FeedHello, FeedChanges, FeedHeartbeat>;
 
-/*! \brief Whether the bytes of a frame are compressed. */
+/*! \brief Compression of a message. */
 enum class FeedCompression { kNone, kZstd };
 
 /**
- * \brief Encodes a message as one frame, its length first.
- * \param compression Small messages stay plain.
+ * \brief Encodes a message as one frame with its length prefix.
+ * \param message Message to encode.
+ * \param compression Compression to use; small messages are never compressed.
  */
 [[nodiscard]] std::string EncodeFeedMessage(
     const FeedMessage& message,
     FeedCompression compression = FeedCompression::kNone);
 
-/*! \brief Decodes a frame without its length; kCorrupt for what is no message.
- */
+/*! \brief Decodes a frame without its length prefix; returns kCorrupt if it
+ * holds no valid message. */
 [[nodiscard]] Result<FeedMessage> DecodeFeedMessage(std::string_view frame);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/peer/feed_server.cc
+++ b/src/jacinthdeck/peer/feed_server.cc
@@ -1,4 +1,5 @@
-// Frames to followers, shared between them.
+// Reads hellos and writes frames, which are encoded once and shared between the
+// followers.
 #include "jacinthdeck/peer/feed_server.h"
 
 #include <algorithm>
@@ -14,15 +15,15 @@
 
 namespace {
 
-//! Followers beyond this are turned away: they find another host.
+//! Further followers are disconnected at once and find another feeder.
 constexpr std::size_t kMaxFollowers = 256;
-//! Bytes that wait for one follower.
+//! Bytes that may be queued for one follower; beyond that it is dropped.
 constexpr std::size_t kMaxUnsentBytes = std::size_t{8} << 20U;
 constexpr std::size_t kReadBufferBytes = 4096;
 
 }  // namespace
 
-//! A message in the frames that followers read, each encoded once.
+//! Encodes a message at most once for each compression.
 class FeedServer::FrameCache {
  public:
   explicit FrameCache(const FeedMessage& message) : m_message(message) {}
@@ -50,12 +51,13 @@
   std::array<char, kReadBufferBytes> read_buffer{};
   std::deque<std::shared_ptr<const std::string>> unsent;
   std::size_t unsent_bytes = 0;
-  //! It has said hello and gets the changes.
+  //! Whether it has sent its hello and so gets all changes.
   bool subscribed = false;
   FeedCompression compression = FeedCompression::kNone;
-  //! Known once it is greeted.
+  //! Name from its hello; empty before that.
   NodeId host;
-  //! It knows all up to some revision, so that changes are of use to it.
+  //! Whether it knows the whole content up to some revision, so that changes
+  //! alone keep it complete.
   bool has_content = false;
   bool closed = false;
 };
@@ -161,18 +163,20 @@
   if (was_subscribed) {
     return;
   }
-  // Followers that look for a fresh feeder mostly know nearly all of what this
-  // one has. The whole content to each of dozens of followers a second would
-  // fill the links of both.
+  // Send only what the follower lacks. Followers that look for a fresh feeder
+  // mostly know nearly all of this host's content, and the whole content for
+  // each of dozens of followers a second would saturate the links of both
+  // sides.
   follower->has_content = hello->position.revision > 0;
   SendContentSince(follower, hello->position);
   Send(follower, std::make_shared<const std::string>(
                      EncodeFeedMessage(m_source.Heartbeat())));
 }
 
-// A follower may come before this host has read anything. Changes alone would
-// tell it nothing: it would look fresh by the beats, and know no configuration
-// for as long as it lives. So its first changes are the whole content.
+// A follower may connect before this host has read anything. If it then got
+// changes only, the heartbeats would make it look fresh while it never learned
+// the configuration. So the first changes that such a follower is sent are the
+// whole content.
 void FeedServer::SendContentSince(const std::shared_ptr<Follower>& follower,
                                   const StorePosition& position) {
   const FeedChanges content = m_source.ContentSince(position);
--- a/src/jacinthdeck/peer/feed_server.h
+++ b/src/jacinthdeck/peer/feed_server.h
@@ -1,4 +1,4 @@
-// Hands the store's content on to the hosts that ask for it.
+// Sends the store's content to the hosts that follow this one.
 #ifndef JACINTHDECK_PEER_FEED_SERVER_H_
 #define JACINTHDECK_PEER_FEED_SERVER_H_
 
@@ -17,39 +17,42 @@
 namespace jacinthdeck {
 
 /**
- * \brief Accepts followers; sends each the content, then what changes.
+ * \brief Accepts followers and sends each the content that it lacks, then every
+ * change.
  *
- * A follower that does not take what it is sent is dropped: it asks again, and
- * gets the content anew.
+ * A follower that reads too slowly is disconnected. It connects again and gets
+ * the content that it then lacks.
  */
 class FeedServer {
  public:
-  /*! \brief Makes a server that does not listen; source and observer outlive
-   * it. */
+  /*! \brief Creates a server that does not listen yet; source and observer must
+   * outlive it. */
   FeedServer(asio::io_context& loop,
              const FeedSource& source,
              FollowerObserver& observer);
   FeedServer(const FeedServer&) = delete;
   FeedServer& operator=(const FeedServer&) = delete;
 
+  /*! \brief Returns the number of open links, with or without a hello. */
   [[nodiscard]] std::size_t followers() const noexcept {
     return m_followers.size();
   }
+  /*! \brief Returns the port that it listens on. */
   [[nodiscard]] std::uint16_t port() const;
 
-  /*! \brief Opens the port and begins to accept. */
+  /*! \brief Opens the port and starts to accept followers. */
   [[nodiscard]] Result<void> Listen(const std::string& address,
                                     std::uint16_t port);
 
-  /*! \brief Ends all links and takes no further ones: this host stops, and its
-   * followers have time to find another feeder before its lease ends. */
+  /*! \brief Closes all links and the port. Called when this host stops, so that
+   * its followers find another feeder before its lease ends. */
   void Drain();
 
-  /*! \brief Hands changes on to all followers. */
+  /*! \brief Sends changes to all followers. */
   void Publish(const FeedChanges& changes);
 
-  /*! \brief Sends a sign of life to all followers; called some times a second.
-   */
+  /*! \brief Sends a heartbeat to all followers; must be called several times a
+   * second. */
   void SendHeartbeat();
 
  private:
@@ -60,16 +63,21 @@
   void Read(const std::shared_ptr<Follower>& follower);
   void OnFrame(const std::shared_ptr<Follower>& follower,
                const std::string& frame);
+  //! Queues a frame; drops the follower if too much is queued for it.
   void Send(const std::shared_ptr<Follower>& follower,
             const std::shared_ptr<const std::string>& frame);
   void Write(const std::shared_ptr<Follower>& follower);
-  //! Sends what a follower lacks that knows all up to a position.
+  //! Sends the content that a follower lacks which knows all changes up to the
+  //! position; nothing if it lacks none.
   void SendContentSince(const std::shared_ptr<Follower>& follower,
                         const StorePosition& position);
-  //! Followers that have said hello; sending may drop one.
+  //! Copies the list of followers that have sent their hello; a copy, as
+  //! sending may drop a follower.
   [[nodiscard]] std::vector<std::shared_ptr<Follower>> SubscribedFollowers()
       const;
   void SendToAll(const FeedMessage& message);
+  //! Closes a follower's link; tells the observer if it was the host's last
+  //! one.
   void Drop(const std::shared_ptr<Follower>& follower);
 
   const FeedSource& m_source;
--- a/src/jacinthdeck/peer/follower_observer.h
+++ b/src/jacinthdeck/peer/follower_observer.h
@@ -1,4 +1,4 @@
-// Told of the hosts that learn from this one.
+// Interface that is told of the hosts that follow this one.
 #ifndef JACINTHDECK_PEER_FOLLOWER_OBSERVER_H_
 #define JACINTHDECK_PEER_FOLLOWER_OBSERVER_H_
 
@@ -6,15 +6,15 @@
 
 namespace jacinthdeck {
 
-/*! \brief Receives what followers say of themselves. */
+/*! \brief Receives the hellos of followers and the end of their links. */
 class FollowerObserver {
  public:
   virtual ~FollowerObserver() = default;
 
-  /*! \brief A follower came, or says something else of itself. */
+  /*! \brief Called when a follower sends its first or a further hello. */
   virtual void OnFollowerHello(const FeedHello& hello) = 0;
 
-  /*! \brief The last link of a follower ended. */
+  /*! \brief Called when the last link of a follower has ended. */
   virtual void OnFollowerLeft(const NodeId& host) = 0;
 };
 
--- a/src/jacinthdeck/peer/fwd.h
+++ b/src/jacinthdeck/peer/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the peer module: hosts hand the store's content on to
-// each other.
+// Forward declarations of the peer module: hosts pass the store's content on to
+// one another, so that only a few of them have to watch the store.
 #ifndef JACINTHDECK_PEER_FWD_H_
 #define JACINTHDECK_PEER_FWD_H_
 
--- a/test/jacinthdeck/peer/feed_message_test.cc
+++ b/test/jacinthdeck/peer/feed_message_test.cc
@@ -1,4 +1,4 @@
-// Tests of the messages between hosts.
+// Tests of the encoding of messages between hosts and of their frames.
 #include "jacinthdeck/peer/feed_message.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-//! Through frames and back, as over a link.
+//! Encodes a message, reads it as a frame, and decodes it, as over a link.
 [[nodiscard]] FeedMessage RoundTrip(
     const FeedMessage& message,
     FeedCompression compression = FeedCompression::kNone) {
@@ -59,7 +59,8 @@
   }
 }
 
-// Guards against a host that a damaged or forged frame stops or fills.
+// Guards against a damaged or forged frame that crashes a host or exhausts its
+// memory. The frame is cut at every length and changed in every byte.
 BOOST_AUTO_TEST_CASE(Compressed_DamagedFrame_IsRejectedOrDecoded) {
   FeedFrameReader reader;
   reader.Add(EncodeFeedMessage(
@@ -88,7 +89,7 @@
   FeedFrameReader compressed_reader;
   compressed_reader.Add(EncodeFeedMessage(sent, FeedCompression::kZstd));
   const std::string whole = *compressed_reader.Next();
-  // A length stands before each frame as it does in the message.
+  // The size in a Packed message is encoded like the length prefix of a frame.
   const std::size_t at = whole.find(EncodeFrameLength(size));
   BOOST_REQUIRE(at != std::string::npos);
   for (const std::size_t forged_size :
@@ -115,7 +116,8 @@
   BOOST_TEST(heartbeat.store_away);
 }
 
-// A damaged frame must not be read as knowledge: a host would serve by it.
+// Guards against a damaged frame that is read as content, by which a host would
+// then serve. The frame is cut at every length and changed in every byte.
 BOOST_AUTO_TEST_CASE(Decode_DamagedFrame_IsRejectedOrDecoded) {
   FeedFrameReader reader;
   reader.Add(
@@ -154,9 +156,9 @@
   BOOST_TEST(reader.broken());
 }
 
-// The log of a follower says that its knowledge is an hour old.
-// Its feeder had never heard the store and told an hour in place of that, so
-// whoever read the log looked for an outage that was none.
+// Guards against a made-up age. A feeder that had never heard the store
+// reported an age of one hour instead, which its follower logged, so that
+// readers of the log looked for an outage that had not happened.
 BOOST_AUTO_TEST_CASE(Heartbeat_StoreWasNeverHeard_HasNoAge) {
   const auto heartbeat =
       std::get<FeedHeartbeat>(RoundTrip(FeedHeartbeat{At(9), {}, false}));
--- a/test/jacinthdeck/peer/feed_server_test.cc
+++ b/test/jacinthdeck/peer/feed_server_test.cc
@@ -1,4 +1,4 @@
-// Tests of what a follower is sent, over loopback sockets.
+// Tests of what a feeder sends to its followers, over loopback sockets.
 #include "jacinthdeck/peer/feed_server.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 
 struct FixedSource final : FeedSource {
-  //! 0: nothing was read yet.
+  //! Revision of the content; 0 if this host has read nothing yet.
   std::uint64_t content_revision = 7;
 
   std::string value = "{}";
@@ -34,7 +34,8 @@
   }
 };
 
-//! A configuration of many routes, whose names differ.
+//! Makes a configuration with the given number of routes, all named
+//! differently.
 [[nodiscard]] std::string LargeConfig(std::size_t routes) {
   Random random(1);
   std::string text = R"({"version":7,"routes":[)";
@@ -54,18 +55,20 @@
   FixedSource source;
   FeedServer server{loop, source, *this};
   FeedLink link{loop, *this};
-  //! Whether the follower is of the present version.
+  //! Whether the follower can read compressed messages, as hosts of the present
+  //! version can.
   bool reads_packed = true;
+  //! Number of messages with changes.
   int change_messages = 0;
-  //! Of the last change.
+  //! Value of the last change.
   std::string value;
-  //! Those of them that were the whole content.
+  //! Number of messages with the whole content.
   int full_change_messages = 0;
   int heartbeats = 0;
   bool link_may_end = false;
-  //! Links that ended by the other side.
+  //! Number of links that the other side ended or refused.
   int links_lost = 0;
-  //! Records of the hosts that follow.
+  //! Records of the present followers, by name.
   std::map<NodeId, std::string> followers;
 
   void OnFollowerHello(const FeedHello& hello) override {
@@ -85,7 +88,8 @@
     ++links_lost;
   }
 
-  //! Follows until the first beat, which comes after the content.
+  //! Opens the link and waits for the first heartbeat, which is sent after the
+  //! content.
   void Follow(std::uint64_t known_revision) {
     BOOST_REQUIRE(static_cast<bool>(server.Listen("127.0.0.1", 0)));
     link.Open({"127.0.0.1", server.port()},
@@ -105,8 +109,8 @@
   BOOST_TEST(change_messages == 1);
 }
 
-// Guards against a configuration that is late: a hundred followers of one host
-// hear of it through its link.
+// Guards against a large configuration that arrives late, because one feeder
+// sends it to a hundred followers over its network link.
 BOOST_AUTO_TEST_CASE(Content_LargeConfiguration_IsCompressedToAFifth) {
   source.value = LargeConfig(900);
   Follow(6);
@@ -115,8 +119,8 @@
   BOOST_TEST(link.received_bytes() * 5 < source.value.size());
 }
 
-// Guards against hosts of the version before that learn nothing while the fleet
-// is updated one by one.
+// Guards against hosts of the previous version that cannot read the content
+// while the fleet is updated host by host.
 BOOST_AUTO_TEST_CASE(Content_FollowerCannotReadCompressed_IsSentPlain) {
   source.value = LargeConfig(900);
   reads_packed = false;
@@ -125,19 +129,19 @@
   BOOST_TEST(link.received_bytes() > source.value.size());
 }
 
-// While the store is away, dozens of followers ask one feeder after the other
-// for something newer. The content is not sent each time: it would fill the
-// feeder's link and hold up its callers.
+// While the store is away, dozens of followers connect to one feeder after the
+// other to look for newer content. Guards against sending the content each
+// time, which would saturate the feeder's network link and delay its callers.
 BOOST_AUTO_TEST_CASE(Follower_UpToDate_GetsOnlyAHeartbeat) {
   Follow(7);
   BOOST_TEST(change_messages == 0);
   BOOST_TEST(heartbeats == 1);
 }
 
-// All hosts start at once. A follower comes before its feeder has read
-// anything, and what the feeder reads first is empty. With changes alone the
-// follower would refuse all callers, as it knows no configuration, and look
-// fresh.
+// All hosts start at once: a follower connects before its feeder has read
+// anything, and the feeder's first read is empty. Guards against a follower
+// that then gets changes only: it would look fresh, but know no configuration
+// and so refuse all callers.
 BOOST_AUTO_TEST_CASE(Follower_ConnectsBeforeFeederHasRead_GetsContentLater) {
   source.content_revision = 0;
   Follow(0);
@@ -150,8 +154,8 @@
   BOOST_TEST(full_change_messages == 1);
 }
 
-// A follower says what its feeder is to keep in the store, and says so again
-// when it changes; the content is not sent anew for that.
+// A follower sends the record that its feeder keeps in the store, and sends it
+// again when it changes. The feeder must not send the content again for that.
 BOOST_AUTO_TEST_CASE(Follower_SendsNewRecord_ContentIsNotResent) {
   Follow(6);
   BOOST_TEST(followers.at(NodeId("h1")) == "first");
@@ -163,7 +167,7 @@
 }
 
 // A follower opens a second link before its first one is known to have ended,
-// as after a power loss. It left only when the last one ends.
+// as after a power loss. The follower has left only when the last link ends.
 BOOST_AUTO_TEST_CASE(Follower_HasTwoLinks_LeavesWithTheLastLink) {
   Follow(6);
   FeedLink second(loop, *this);
@@ -183,9 +187,9 @@
   BOOST_TEST(followers.empty());
 }
 
-// A feeder stops and no longer renews the lease that its followers' records
-// hang on. They must look for another feeder now, not when its process ends
-// seconds later: their records would be gone in between.
+// A feeder that stops no longer renews the lease that its followers' records
+// depend on. The followers must look for another feeder at once: until the
+// feeder's process ends seconds later, their records would expire.
 BOOST_AUTO_TEST_CASE(Drain_WithFollower_LinkClosesAndNoNewOneIsAccepted) {
   Follow(6);
   const Endpoint address{"127.0.0.1", server.port()};
