--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -11,10 +11,10 @@
 #include "jacinthdeck/core/result.h"
 #include "jacinthdeck/discovery/host_record.h"
 #include "jacinthdeck/discovery/store_session.h"
+#include "jacinthdeck/peer/feed_choice.h"
 #include "jacinthdeck/peer/feed_link.h"
 #include "jacinthdeck/peer/feed_server.h"
 #include "jacinthdeck/peer/feed_source.h"
-#include "jacinthdeck/peer/feeder_selector.h"
 
 namespace jacinthdeck {
 
--- a/src/jacinthdeck/peer/feeder_selector.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -1,5 +1,5 @@
 // Tracks the freshness of the link and the order in which feeders are tried.
-#include "jacinthdeck/peer/feeder_selector.h"
+#include "jacinthdeck/peer/feed_choice.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/jacinthdeck/peer/feeder_selector.h
+++ b/src/jacinthdeck/peer/feed_choice.h
@@ -1,7 +1,7 @@
 // Decides whether a host gets the store's content from another host or reads
 // the store itself.
-#ifndef JACINTHDECK_PEER_FEEDER_SELECTOR_H_
-#define JACINTHDECK_PEER_FEEDER_SELECTOR_H_
+#ifndef JACINTHDECK_PEER_FEED_CHOICE_H_
+#define JACINTHDECK_PEER_FEED_CHOICE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -174,4 +174,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_PEER_FEEDER_SELECTOR_H_
+#endif  // JACINTHDECK_PEER_FEED_CHOICE_H_
--- a/test/jacinthdeck/peer/feeder_selector_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -1,5 +1,5 @@
 // Tests of the selection of a feeder and of when a host reads the store itself.
-#include "jacinthdeck/peer/feeder_selector.h"
+#include "jacinthdeck/peer/feed_choice.h"
 
 #include <boost/test/unit_test.hpp>
 #include <chrono>
