--- a/src/jacinthdeck/typed/answer_json.cc
+++ b/src/jacinthdeck/typed/answer_json.cc
@@ -1,4 +1,4 @@
-// JSON of answers to callers.
+// Writes answers and errors as JSON text.
 #include "jacinthdeck/typed/answer_json.h"
 
 #include <jansson.h>
@@ -16,10 +16,11 @@
 
 namespace {
 
-//! What the caller may believe of its request, by outcome.
+//! Whether the request has run, as told to the caller, indexed by Outcome.
 constexpr std::array<ExecutionStatus, 4> kExecutionStatusByOutcome{
     ExecutionStatus::kExecuted, ExecutionStatus::kExecuted,
     ExecutionStatus::kNotExecuted, ExecutionStatus::kUnknown};
+//! HTTP status of the answer, indexed by Outcome.
 constexpr std::array<std::uint16_t, 4> kHttpStatusByOutcome{200, 200, 503, 504};
 
 [[nodiscard]] std::string EncodeNumber(double value) {
--- a/src/jacinthdeck/typed/answer_json.h
+++ b/src/jacinthdeck/typed/answer_json.h
@@ -1,4 +1,4 @@
-// JSON of answers to callers (docs/design/protocols.md).
+// JSON encoding of answers and errors to callers (docs/design/protocols.md).
 #ifndef JACINTHDECK_TYPED_ANSWER_JSON_H_
 #define JACINTHDECK_TYPED_ANSWER_JSON_H_
 
@@ -12,32 +12,33 @@
 namespace jacinthdeck {
 
 /**
- * \brief Encodes an answer.
- * \param request_id Id to repeat to the caller; may be empty.
- * \param answer Answer.
- * \return HTTP status and body.
+ * \brief Encodes the answer to a typed call as an HTTP response.
+ * \param request_id Id that is repeated to the caller; may be empty.
+ * \param answer Answer to encode.
+ * \return HTTP status and JSON body.
  */
 [[nodiscard]] EncodedAnswer EncodeAnswer(const std::string& request_id,
                                          const Answer& answer);
 
-/*! \brief What is known of whether a request has run. */
+/*! \brief Whether a target has run a request, as far as this host knows. */
 enum class ExecutionStatus { kExecuted, kNotExecuted, kUnknown };
 
-//! Names as they stand in answers.
+//! Values of the field `ran` of an answer.
 inline constexpr NameTable<ExecutionStatus, 3> kExecutionStatusNames{
     {"yes", "no", "unknown"}};
 
 /**
- * \brief Encodes a typed error.
- * \param error Error.
- * \param status Whether the request has run; kNotExecuted only where this is
- * proved.
+ * \brief Encodes an error as the JSON body of an answer.
+ * \param error Error to encode.
+ * \param status Whether the request has run; kNotExecuted only if it certainly
+ * has not.
  */
 [[nodiscard]] std::string EncodeError(
     const Error& error,
     ExecutionStatus status = ExecutionStatus::kNotExecuted);
 
-/*! \brief Puts text between quotes, with what JSON wants escaped. */
+/*! \brief Returns text as a quoted and escaped JSON string; an empty string if
+ * the text is not valid UTF-8. */
 [[nodiscard]] std::string QuoteJson(const std::string& text);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/typed/encoded_answer.h
+++ b/src/jacinthdeck/typed/encoded_answer.h
@@ -1,4 +1,4 @@
-// An answer as it goes over HTTP.
+// An answer encoded for the HTTP response to a caller.
 #ifndef JACINTHDECK_TYPED_ENCODED_ANSWER_H_
 #define JACINTHDECK_TYPED_ENCODED_ANSWER_H_
 
@@ -7,7 +7,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Status and JSON. */
+/*! \brief HTTP status and JSON body of an answer. */
 struct EncodedAnswer {
   std::uint16_t status = 0;
   std::string body;
--- a/src/jacinthdeck/typed/fwd.h
+++ b/src/jacinthdeck/typed/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the typed module: the product's own interface, calls
-// that a schema declares.
+// Forward declarations of the typed module: the product's own call interface,
+// for the calls that a schema declares.
 #ifndef JACINTHDECK_TYPED_FWD_H_
 #define JACINTHDECK_TYPED_FWD_H_
 
--- a/src/jacinthdeck/typed/local_answer.h
+++ b/src/jacinthdeck/typed/local_answer.h
@@ -1,4 +1,4 @@
-// The answers that are made without a target: not run, and unknown.
+// Answers that this host makes itself, without a reply of a target.
 #ifndef JACINTHDECK_TYPED_LOCAL_ANSWER_H_
 #define JACINTHDECK_TYPED_LOCAL_ANSWER_H_
 
@@ -9,8 +9,8 @@
 
 /**
  * \brief Makes the answer to a call that no target can have run.
- * \param reason Why it was refused.
- * \param retry_after When asking again makes sense.
+ * \param reason Why the call was refused.
+ * \param retry_after Time after which the caller may try again.
  */
 [[nodiscard]] inline Answer MakeNotRunAnswer(AnswerReason reason,
                                              Duration retry_after) {
@@ -21,7 +21,7 @@
   return answer;
 }
 
-/*! \brief Makes the answer to a call that may or may not have run. */
+/*! \brief Makes the answer to a call that a target may or may not have run. */
 [[nodiscard]] inline Answer MakeUnknownAnswer(AnswerReason reason) {
   Answer answer;
   answer.outcome = Outcome::kUnknown;
--- a/src/jacinthdeck/typed/partition_map_reader.cc
+++ b/src/jacinthdeck/typed/partition_map_reader.cc
@@ -1,4 +1,4 @@
-// Shape and invariants of published partition maps.
+// Checks the shape and the invariants of published partition maps.
 #include "jacinthdeck/typed/partition_map_reader.h"
 
 #include <cstdint>
@@ -53,7 +53,8 @@
   return shard;
 }
 
-/*! \brief Checks that a shard begins where the one before it ended. */
+/*! \brief Checks that a shard begins at the expected key, the end of the shard
+ * before it, and returns the end of its own range. */
 [[nodiscard]] Result<std::uint64_t> CheckContiguous(const JsonReader& json,
                                                     const Shard& shard,
                                                     std::uint64_t expected) {
--- a/src/jacinthdeck/typed/partition_map_reader.h
+++ b/src/jacinthdeck/typed/partition_map_reader.h
@@ -1,4 +1,4 @@
-// Reads the partition maps that the index builders publish.
+// Reads the partition maps that index builders publish in the store.
 #ifndef JACINTHDECK_TYPED_PARTITION_MAP_READER_H_
 #define JACINTHDECK_TYPED_PARTITION_MAP_READER_H_
 
@@ -15,17 +15,18 @@
 /**
  * \brief Reads the value of a store key `index/SERVICE`.
  * \param text JSON text of the value.
- * \param subject Name of the key, for errors.
- * \return The maps, newest last. kCorrupt for a wrong shape, for versions out
- * of order, and for shards that leave a gap, overlap, share an id or have no
- * replica: with such a map coverage could be claimed for keys that nobody
- * holds.
+ * \param subject Name of the key, for error messages.
+ * \return The maps, newest version last. kCorrupt if the JSON has a wrong
+ * shape, if versions are out of order, or if shards leave a gap, overlap, share
+ * an id or have no replica: with such a map an answer could claim to cover keys
+ * that no target holds.
  */
 [[nodiscard]] Result<std::vector<PartitionMap>> ReadPartitionMaps(
     std::string_view text,
     std::string_view subject);
 
-/*! \brief Reads the same from JSON that is parsed already. */
+/*! \brief Reads the partition maps from JSON that is already parsed; has the
+ * same checks and results. */
 [[nodiscard]] Result<std::vector<PartitionMap>> ReadPartitionMaps(
     const JsonReader& index);
 
--- a/src/jacinthdeck/typed/target_codec.cc
+++ b/src/jacinthdeck/typed/target_codec.cc
@@ -1,4 +1,4 @@
-// JSON of the target protocol.
+// Writes requests to targets as JSON text and reads their replies with jansson.
 #include "jacinthdeck/typed/target_codec.h"
 
 #include <jansson.h>
@@ -28,7 +28,7 @@
   return static_cast<std::uint64_t>(json_integer_value(value));
 }
 
-// Not DumpJson(): it orders the members, and this runs for every hit.
+// Used instead of DumpJson(), which sorts the members: this runs for every hit.
 [[nodiscard]] std::string DumpUnsorted(const json_t* value) {
   const std::unique_ptr<char, decltype(&std::free)> text(
       json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY), &std::free);
@@ -82,8 +82,8 @@
 }  // namespace
 
 std::string EncodeTargetRequest(const SendAttempt& attempt) {
-  // The request is canonical JSON already; names of methods hold no character
-  // to escape.
+  // Nothing needs escaping: the request is already canonical JSON, and names of
+  // methods are identifiers.
   return R"({"method":")" + attempt.method->name + R"(","version":)" +
          std::to_string(attempt.version.raw()) + R"(,"range":[)" +
          std::to_string(attempt.range.begin) + "," +
--- a/src/jacinthdeck/typed/target_codec.h
+++ b/src/jacinthdeck/typed/target_codec.h
@@ -1,4 +1,5 @@
-// JSON of the target protocol (docs/design/protocols.md).
+// JSON encoding of requests to targets and decoding of their replies
+// (docs/design/protocols.md).
 #ifndef JACINTHDECK_TYPED_TARGET_CODEC_H_
 #define JACINTHDECK_TYPED_TARGET_CODEC_H_
 
@@ -8,15 +9,16 @@
 
 namespace jacinthdeck {
 
-/*! \brief Writes the body of a request to a target. */
+/*! \brief Encodes the body of a request to a target. */
 [[nodiscard]] std::string EncodeTargetRequest(const SendAttempt& attempt);
 
 /**
- * \brief Reads a target's reply.
- * \param attempt Attempt that it answers.
- * \param status HTTP status.
+ * \brief Decodes a target's reply.
+ * \param attempt Attempt that the reply answers.
+ * \param status HTTP status of the reply.
  * \param body Body of the reply.
- * \return The end of the attempt; kFailed if the reply is not of the protocol.
+ * \return The end of the attempt; its status is kFailed if the reply does not
+ * follow the protocol.
  */
 [[nodiscard]] AttemptReply DecodeTargetReply(AttemptId attempt,
                                              long status,
--- a/src/jacinthdeck/typed/typed_call_runner.cc
+++ b/src/jacinthdeck/typed/typed_call_runner.cc
@@ -1,4 +1,4 @@
-// Turns the engine's effects into calls of the port.
+// Passes events to the engine and its effects to the port.
 #include "jacinthdeck/typed/typed_call_runner.h"
 
 #include <utility>
--- a/src/jacinthdeck/typed/typed_call_runner.h
+++ b/src/jacinthdeck/typed/typed_call_runner.h
@@ -1,4 +1,4 @@
-// The product's own calls: engine, router and schema joined.
+// Runs typed calls: connects the query engine, the router and the schema.
 #ifndef JACINTHDECK_TYPED_TYPED_CALL_RUNNER_H_
 #define JACINTHDECK_TYPED_TYPED_CALL_RUNNER_H_
 
@@ -19,64 +19,71 @@
 namespace jacinthdeck {
 
 /**
- * \brief Runs typed calls on one host; holds no socket, thread or clock.
+ * \brief Runs the typed calls of one host.
+ *
+ * It holds no socket, thread or clock: the caller passes in replies and the
+ * time, and the port sends requests and delivers answers.
  */
 class TypedCallRunner {
  public:
-  /*! \brief Attempts of typed calls have ids from here on, so that one
-   * transport can carry these and opaque ones. */
+  /*! \brief Lowest attempt id of a typed call. Forwarded calls use lower ids,
+   * so that one transport can carry the attempts of both. */
   static constexpr std::uint64_t kFirstAttemptId = std::uint64_t{1} << 48U;
 
-  /*! \brief Makes it without schema or targets; the port outlives it. */
+  /*! \brief Creates a runner without schema or targets; the port must outlive
+   * it. */
   TypedCallRunner(std::uint64_t seed, TypedPort& port);
   TypedCallRunner(const TypedCallRunner&) = delete;
   TypedCallRunner& operator=(const TypedCallRunner&) = delete;
 
+  /*! \brief Returns the schema in force; null while none could be read. */
   [[nodiscard]] const std::shared_ptr<const Schema>& schema() const noexcept {
     return m_schema;
   }
   [[nodiscard]] const Engine& engine() const noexcept { return m_engine; }
-  /*! \brief Moment at which OnTimer() is due; nothing while nothing is. */
+  /*! \brief Returns the time at which OnTimer() is due; nothing if no timer is
+   * set. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const {
     return m_engine.NextTimer();
   }
 
-  /*! \brief Takes a schema text; the former one stays where it is refused. */
+  /*! \brief Replaces the schema; on an error the former one stays in force. */
   [[nodiscard]] Result<void> SetSchema(const std::string& text);
 
-  /*! \brief Takes a service's partition maps; the former ones stay where the
-   * text is refused. */
+  /*! \brief Replaces a service's partition maps; on an error the former ones
+   * stay in force. */
   [[nodiscard]] Result<void> SetIndex(const ServiceId& service,
                                       const std::string& text);
 
   /*! \brief Replaces the known targets. */
   void SetTargets(const std::vector<TargetInfo>& targets, TimePoint now);
 
-  /*! \brief Says among how many hosts the targets' limits are shared. */
+  /*! \brief Sets the number of hosts that share the limits of the targets. */
   void SetHosts(std::uint32_t hosts, TimePoint now);
 
-  /*! \brief Starts a call, or refuses it at once. */
+  /*! \brief Starts a call, or refuses it at once through the port. */
   void Submit(Call call, TimePoint now);
 
-  /*! \brief Drops a call whose caller left. */
+  /*! \brief Ends a call whose caller has disconnected; it gets no answer. */
   void Abandon(CallId call, TimePoint now);
 
-  /*! \brief Takes the end of an attempt. */
+  /*! \brief Processes the end of an attempt. */
   void OnReply(const AttemptReply& reply, TimePoint now);
 
-  /*! \brief Acts on whatever is due. */
+  /*! \brief Processes all timers that are due. */
   void OnTimer(TimePoint now);
 
-  /*! \brief Refuses calls from now on. */
+  /*! \brief Refuses new calls from now on; running ones go on. */
   void Drain() noexcept { m_engine.Drain(); }
 
  private:
+  //! Passes what the engine decided to the port.
   void ApplyEffects(Effects& effects, TimePoint now);
 
   TypedPort& m_port;
   Router m_router;
   Engine m_engine;
-  //! Null while no schema could be read.
+  //! Schema in force; null while none could be read.
   std::shared_ptr<const Schema> m_schema;
 };
 
--- a/src/jacinthdeck/typed/typed_port.h
+++ b/src/jacinthdeck/typed/typed_port.h
@@ -1,4 +1,4 @@
-// What the typed calls want done.
+// Interface through which a TypedCallRunner reaches targets and callers.
 #ifndef JACINTHDECK_TYPED_TYPED_PORT_H_
 #define JACINTHDECK_TYPED_TYPED_PORT_H_
 
@@ -9,22 +9,23 @@
 
 namespace jacinthdeck {
 
-/*! \brief Receiver of the decisions; none of these may call back before it
- * returns. */
+/*! \brief Receives the decisions of a TypedCallRunner; no method may call back
+ * into the runner before it returns. */
 class TypedPort {
  public:
   virtual ~TypedPort() = default;
 
-  /*! \brief Sends an attempt; its end must be reported exactly once, unless it
-   * is cancelled. */
+  /*! \brief Sends an attempt to its target. Its end must be reported exactly
+   * once with TypedCallRunner::OnReply(), unless it is cancelled. \param
+   * connection_limit Connections that this host may hold to the target. */
   virtual void SendTyped(const SendAttempt& attempt,
                          const TargetInfo& target,
                          std::uint32_t connection_limit) = 0;
 
-  /*! \brief Drops an attempt; its end is not reported any more. */
+  /*! \brief Cancels an attempt; its end must not be reported any more. */
   virtual void CancelTyped(AttemptId attempt) = 0;
 
-  /*! \brief Gives a caller its final answer. */
+  /*! \brief Sends a caller its final answer. */
   virtual void DeliverTyped(CallId call, Answer answer) = 0;
 };
 
--- a/src/jacinthdeck/typed/typed_request.cc
+++ b/src/jacinthdeck/typed/typed_request.cc
@@ -1,4 +1,4 @@
-// Checks of tenant, deadline and body.
+// Checks the client account, deadline and body of a request.
 #include "jacinthdeck/typed/typed_request.h"
 
 #include <charconv>
@@ -8,7 +8,9 @@
 
 namespace {
 
+//! Longest deadline that a caller may set, in milliseconds.
 constexpr std::uint64_t kMaxDeadlineMs = 60'000;
+//! Longest name of a client account, in bytes.
 constexpr std::size_t kMaxTenantLength = 64;
 
 [[nodiscard]] Result<Duration> ReadDeadline(std::string_view text,
--- a/src/jacinthdeck/typed/typed_request.h
+++ b/src/jacinthdeck/typed/typed_request.h
@@ -1,4 +1,4 @@
-// A caller's typed request after its checks.
+// A caller's typed request and its checks.
 #ifndef JACINTHDECK_TYPED_TYPED_REQUEST_H_
 #define JACINTHDECK_TYPED_TYPED_REQUEST_H_
 
@@ -14,22 +14,26 @@
 
 namespace jacinthdeck {
 
-/*! \brief What came over HTTP, before it is checked. */
+/*! \brief Parts of a typed request as they came over HTTP, not checked yet. */
 struct TypedRequest {
   std::string_view service;
   std::string_view method;
+  //! Header X-Tenant; empty for the default client account.
   std::string_view tenant;
-  //! Milliseconds; empty for the method's own deadline.
+  //! Header X-Deadline-Ms; empty for the method's own deadline.
   std::string_view deadline_ms;
+  //! JSON of the request.
   const std::string& body;
 };
 
 /**
- * \brief Checks a request against the schema.
+ * \brief Checks a request against the schema and makes a call of it.
  * \param schema Schema in force; null if there is none.
- * \param now Moment from which the deadline counts.
+ * \param request Request to check.
+ * \param now Time from which the deadline counts.
  * \return The call without its id; kUnavailable without a schema, kNotFound for
- * a method that is not declared, kInvalidArgument for what does not fit it.
+ * a method that is not declared, kInvalidArgument for an invalid client
+ * account, deadline or body.
  */
 [[nodiscard]] Result<Call> CheckTypedRequest(
     const std::shared_ptr<const Schema>& schema,
--- a/test/jacinthdeck/typed/partition_map_reader_test.cc
+++ b/test/jacinthdeck/typed/partition_map_reader_test.cc
@@ -1,4 +1,4 @@
-// Tests of the checks on published partition maps.
+// Tests of reading and checking published partition maps.
 #include "jacinthdeck/typed/partition_map_reader.h"
 
 #include <boost/test/unit_test.hpp>
@@ -32,9 +32,10 @@
   BOOST_TEST((maps[0].shards[0].replicas[1] == TargetId("b")));
 }
 
-// The caller would see an answer that claims to be whole. The builder publishes
-// a map with a hole or an overlap; keys in a hole are asked for nowhere, keys
-// in an overlap are answered twice.
+// Guards against an incomplete or doubled answer that claims to be whole. It
+// comes about when an index builder publishes a map with a gap or an overlap:
+// keys in a gap are asked from no target, keys in an overlap are answered
+// twice.
 BOOST_AUTO_TEST_CASE(ReadPartitionMaps_InvalidPartition_IsRejected) {
   for (const std::string shards :
        {R"({"id":0,"range":[0,10],"replicas":["a"]})",
