--- a/src/jacinthdeck/schema/checked_request.h
+++ b/src/jacinthdeck/schema/checked_request.h
@@ -1,4 +1,4 @@
-// A request body that passed the checks of its schema.
+// Result of checking a request body against the schema.
 #ifndef JACINTHDECK_SCHEMA_CHECKED_REQUEST_H_
 #define JACINTHDECK_SCHEMA_CHECKED_REQUEST_H_
 
@@ -10,14 +10,16 @@
 
 namespace jacinthdeck {
 
-/*! \brief Canonical form of a request. */
+/*! \brief A valid request in its canonical form. */
 struct CheckedRequest {
-  //! JSON with the fields in the order of their declaration and defaults left
-  //! out.
+  //! JSON with the fields in the order of their declaration, without fields
+  //! that have their default value.
   std::string body;
-  //! 32-bit hash of the key field; nothing for a call to all shards.
+  //! 32-bit hash of the key field, see HashKey(); nothing for a call to all
+  //! shards.
   std::optional<std::uint64_t> key;
-  //! Same for every request that means the same.
+  //! Hash of service, method and canonical body; the same for all requests with
+  //! the same meaning.
   Fingerprint fingerprint;
 };
 
--- a/src/jacinthdeck/schema/fwd.h
+++ b/src/jacinthdeck/schema/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the schema module: the operators' services and
-// request checks.
+// Forward declarations of the schema module: the services that operators
+// declare and the checks of requests to them.
 #ifndef JACINTHDECK_SCHEMA_FWD_H_
 #define JACINTHDECK_SCHEMA_FWD_H_
 
--- a/src/jacinthdeck/schema/key_hash.cc
+++ b/src/jacinthdeck/schema/key_hash.cc
@@ -1,4 +1,4 @@
-// Hash that places a key in the key space of an index.
+// Hashes keys with xxHash.
 #include "jacinthdeck/schema/key_hash.h"
 
 #include <xxhash.h>
--- a/src/jacinthdeck/schema/key_hash.h
+++ b/src/jacinthdeck/schema/key_hash.h
@@ -1,4 +1,4 @@
-// Hash that places a key in the key space of an index.
+// Hash that maps a key to its position in the key space of an index.
 #ifndef JACINTHDECK_SCHEMA_KEY_HASH_H_
 #define JACINTHDECK_SCHEMA_KEY_HASH_H_
 
@@ -8,9 +8,9 @@
 namespace jacinthdeck {
 
 /**
- * \brief Hashes a key as index builders do: XXH32, seed 0, over the text of the
- * value. \param key Text of the key; integers in decimal. \return Position in
- * [0, 2^32).
+ * \brief Hashes a key with XXH32 and seed 0 over its text, as index builders
+ * do. \param key Text of the key; integers in decimal. \return Position in [0,
+ * 2^32).
  */
 [[nodiscard]] std::uint64_t HashKey(std::string_view key) noexcept;
 
--- a/src/jacinthdeck/schema/method.h
+++ b/src/jacinthdeck/schema/method.h
@@ -1,4 +1,4 @@
-// One remote procedure call as operators declared it.
+// Declaration of one call of a service in the operators' schema.
 #ifndef JACINTHDECK_SCHEMA_METHOD_H_
 #define JACINTHDECK_SCHEMA_METHOD_H_
 
@@ -19,48 +19,48 @@
   kKey,
 };
 
-//! Names of the fan-outs as they stand in a schema file.
+//! Values of the attribute `fan_out` in a schema.
 inline constexpr NameTable<FanOut, 2> kFanOutNames{{"all", "key"}};
 
-/*! \brief How the replies of the shards become one answer. */
+/*! \brief How the replies of the shards are merged into one answer. */
 enum class MergeRule {
-  //! The best hits by score, then id.
+  //! The hits with the best scores, ordered by score, then id.
   kTopK,
-  //! Every hit once, ordered by id.
+  //! Every distinct hit, ordered by id.
   kUnion,
   //! The sum of the shards' counts.
   kCount,
-  //! The one hit of a keyed call.
+  //! The one hit of a call with FanOut::kKey.
   kLookup,
 };
 
-//! Names of the merge rules as they stand in a schema file.
+//! Values of the attribute `merge` in a schema.
 inline constexpr NameTable<MergeRule, 4> kMergeRuleNames{
     {"top_k", "union", "count", "lookup"}};
 
 /*! \brief Whether a request may reach a target more than once. */
 enum class Repeat {
-  //! May be hedged and retried.
+  //! The request may be hedged and retried.
   kIdempotent,
-  //! Runs at most once, whatever fails.
+  //! The request runs at most once, whatever fails.
   kOnce,
 };
 
-//! Names of the repeat rules as they stand in a schema file.
+//! Values of the attribute `repeat` in a schema.
 inline constexpr NameTable<Repeat, 2> kRepeatNames{{"idempotent", "once"}};
 
-/*! \brief Declaration of a call. */
+/*! \brief Declaration of a call, with the defaults of its attributes. */
 struct Method {
   ServiceId service;
   std::string name;
   FanOut fan_out = FanOut::kAll;
   MergeRule merge = MergeRule::kTopK;
   Repeat repeat = Repeat::kIdempotent;
-  //! Time a caller waits when it names no deadline of its own.
+  //! Deadline of a request whose caller sets none.
   Duration deadline = std::chrono::milliseconds(250);
-  //! Most hits in an answer of kTopK and kUnion.
+  //! Maximum number of hits in an answer, for kTopK and kUnion.
   std::uint32_t limit = 20;
-  //! Request field whose hash chooses the shard; empty for kAll.
+  //! Request field whose hash selects the shard; empty for FanOut::kAll.
   std::string key_field;
 };
 
--- a/src/jacinthdeck/schema/method_reader.cc
+++ b/src/jacinthdeck/schema/method_reader.cc
@@ -1,4 +1,4 @@
-// Reads the declaration of a call from the attributes of a FlatBuffers schema.
+// Reads the attributes of a call and checks that they fit together.
 #include "jacinthdeck/schema/method_reader.h"
 
 #include <flatbuffers/idl.h>
@@ -16,17 +16,20 @@
 
 namespace {
 
-//! Longest deadline an operator may declare; above it a stuck call would hold
-//! its place for minutes.
+//! Longest deadline that a schema may declare, in milliseconds. A longer one
+//! would let a stuck call occupy its slot for minutes.
 constexpr std::uint64_t kMaxDeadlineMs = 60'000;
-//! Most hits an answer may hold; above it answers outgrow what callers accept.
+//! Largest limit of hits that a schema may declare. Answers with more hits are
+//! larger than callers accept.
 constexpr std::uint64_t kMaxLimit = 10'000;
 
+//! Inclusive bounds of a number attribute.
 struct NumberRange {
   std::uint64_t min;
   std::uint64_t max;
 };
 
+//! Reads one call; keeps references to its parsed declaration.
 class MethodReader {
  public:
   MethodReader(const flatbuffers::ServiceDef& service,
@@ -117,9 +120,9 @@
     if (keyed) {
       BOOST_LEAF_CHECK(CheckKeyField(method));
     }
-    // A request that may not be repeated can only be promised on one shard:
-    // over several, one shard may run it and another refuse, and the caller
-    // could not be told a single truth.
+    // A request that must run at most once may go to one shard only. With
+    // several, one shard might run it and another refuse it, and no single
+    // outcome could be reported to the caller.
     if (method.repeat == Repeat::kOnce && !keyed) {
       return Fail(
           ErrorCode::kInvalidArgument, Name(),
--- a/src/jacinthdeck/schema/method_reader.h
+++ b/src/jacinthdeck/schema/method_reader.h
@@ -12,15 +12,16 @@
 
 namespace jacinthdeck::internal {
 
-//! Attribute declarations that every schema may use; on one line, so that line
-//! numbers stay right.
+//! Declarations of the attributes, put before the text of every schema. They
+//! are on one line without a line end, so that the parser's line numbers stay
+//! those of the schema.
 inline constexpr const char* kAttributeDeclarations =
     R"(attribute "fan_out"; attribute "merge"; attribute "repeat"; attribute "deadline_ms"; attribute "limit"; attribute "key"; )";
 
 /**
- * \brief Reads one call of a service.
- * \param service Service that declares it.
- * \param call Its declaration.
+ * \brief Reads and checks the declaration of one call.
+ * \param service Service that declares the call.
+ * \param call Parsed declaration of the call.
  * \return The method, or kInvalidArgument with `Service.Call` as subject.
  */
 [[nodiscard]] Result<Method> ReadMethod(const flatbuffers::ServiceDef& service,
--- a/src/jacinthdeck/schema/request_parser.cc
+++ b/src/jacinthdeck/schema/request_parser.cc
@@ -1,4 +1,5 @@
-// Checks request bodies with the FlatBuffers parser.
+// Checks request bodies by parsing them against the schema's tables, and writes
+// them again in canonical form.
 #include "jacinthdeck/schema/request_parser.h"
 
 #include <jansson.h>
@@ -17,15 +18,15 @@
 
 namespace {
 
-//! The parser reports `file:line: column: severity: text`; the file is always
-//! empty here.
+//! Line and text of an error of the parser, which reports it as
+//! `file:line: column: severity: text`. The file is always empty here.
 struct ParserMessage {
   std::string line;
   std::string text;
 };
 
 [[nodiscard]] ParserMessage SplitMessage(const std::string& message) {
-  // Forms seen: ":3: 12: error: text" and "(3): error: text".
+  // Observed forms: ":3: 12: error: text" and "(3): error: text".
   const std::size_t digits_start = message.find_first_of("0123456789");
   const std::size_t digits_end =
       message.find_first_not_of("0123456789", digits_start);
@@ -63,8 +64,8 @@
   return std::nullopt;
 }
 
-// The parser keys services by their name with the namespace; a ServiceId is the
-// name alone.
+// The parser's own lookup needs the name of the service with its namespace, but
+// a ServiceId is the name alone, so this compares names.
 [[nodiscard]] const flatbuffers::RPCCall* FindCall(
     const flatbuffers::Parser& parser,
     const Method& method) {
@@ -89,8 +90,8 @@
 
 Result<void> RequestParser::ReadSchema(const std::string& text) {
   const std::string source = kAttributeDeclarations + text;
-  // Included files would be read from the host's file system, which holds
-  // nothing of ours.
+  // An include would be read from the file system of the host, which holds no
+  // schema files.
   if (text.find("include ") == 0 || text.find("\ninclude ") != text.npos) {
     return Fail(ErrorCode::kInvalidArgument, "line 1",
                 "include is not supported in a schema");
--- a/src/jacinthdeck/schema/request_parser.h
+++ b/src/jacinthdeck/schema/request_parser.h
@@ -1,4 +1,4 @@
-// Checks request bodies with the FlatBuffers parser.
+// Parses a schema and checks request bodies with the FlatBuffers parser.
 #ifndef JACINTHDECK_SCHEMA_REQUEST_PARSER_H_
 #define JACINTHDECK_SCHEMA_REQUEST_PARSER_H_
 
@@ -13,35 +13,37 @@
 
 namespace jacinthdeck::internal {
 
-/*! \brief One FlatBuffers parser behind a lock, since it keeps state while it
- * parses. */
+/*! \brief Guards one FlatBuffers parser with a mutex, since the parser keeps
+ * state while it parses. */
 class RequestParser {
  public:
   RequestParser();
 
-  /*! \brief Gives the services that were read. */
+  /*! \brief Returns the services that the schema declares. */
   [[nodiscard]] const flatbuffers::SymbolTable<flatbuffers::ServiceDef>&
   services() const noexcept {
     return m_parser.services_;
   }
 
   /**
-   * \brief Reads the schema; called once, before any Check().
-   * \param text FlatBuffers IDL.
-   * \return Nothing, or kInvalidArgument with the line.
+   * \brief Reads the schema; must be called once, before any Check().
+   * \param text Schema as FlatBuffers IDL.
+   * \return Nothing, or kInvalidArgument with `line N` as subject.
    */
   [[nodiscard]] Result<void> ReadSchema(const std::string& text);
 
   /**
-   * \brief Checks a request.
+   * \brief Checks a request against the declaration of its method.
    * \param method Declaration from this schema.
    * \param json Body of the request.
-   * \return The canonical request, or kInvalidArgument.
+   * \return The canonical request, kNotFound if this schema does not declare
+   * the method, or kInvalidArgument.
    */
   [[nodiscard]] Result<CheckedRequest> Check(const Method& method,
                                              const std::string& json);
 
  private:
+  //! Parses a request body and writes it again in its canonical form.
   [[nodiscard]] Result<std::string> Canonicalize(const Method& method,
                                                  const std::string& json);
 
--- a/src/jacinthdeck/schema/schema.cc
+++ b/src/jacinthdeck/schema/schema.cc
@@ -1,4 +1,4 @@
-// The operators' services.
+// Reads the services of a schema and looks up their calls.
 #include "jacinthdeck/schema/schema.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/schema/schema.h
+++ b/src/jacinthdeck/schema/schema.h
@@ -1,5 +1,5 @@
-// The operators' services: a FlatBuffers schema read at run time, and the
-// checks of requests.
+// Services that operators declare in a FlatBuffers schema, which is read at run
+// time, and the checks of requests to them.
 #ifndef JACINTHDECK_SCHEMA_SCHEMA_H_
 #define JACINTHDECK_SCHEMA_SCHEMA_H_
 
@@ -21,9 +21,9 @@
 /**
  * \brief Immutable set of declared services; safe to use from several threads.
  *
- * The file is FlatBuffers IDL. Each call of an `rpc_service` may carry the
- * attributes fan_out, merge, repeat, deadline_ms, limit and key; names and
- * defaults stand in method.h.
+ * The schema is FlatBuffers IDL. Each call of an `rpc_service` may have the
+ * attributes fan_out, merge, repeat, deadline_ms, limit and key; method.h
+ * defines their values and defaults.
  */
 class Schema {
  public:
@@ -32,14 +32,14 @@
   ~Schema();
 
   /**
-   * \brief Reads a schema.
-   * \param text FlatBuffers IDL.
-   * \return The schema, or kInvalidArgument with `line N` as subject and the
-   * reason.
+   * \brief Parses a schema and reads its calls.
+   * \param text Schema as FlatBuffers IDL.
+   * \return The schema, or kInvalidArgument with the reason and `line N` or
+   * `Service.Call` as subject.
    */
   [[nodiscard]] static Result<Schema> Parse(const std::string& text);
 
-  /*! \brief Lists the declared calls, ordered by service and name. */
+  /*! \brief Returns the declared calls, ordered by service and name. */
   [[nodiscard]] const std::vector<std::shared_ptr<const Method>>& methods()
       const noexcept;
 
@@ -47,7 +47,7 @@
    * \brief Finds a declared call.
    * \param service Name of the service.
    * \param method Name of the call.
-   * \return The declaration, or null.
+   * \return The declaration; null if the schema has no such call.
    */
   [[nodiscard]] std::shared_ptr<const Method> Find(
       std::string_view service,
@@ -55,9 +55,10 @@
 
   /**
    * \brief Checks a request against its declaration.
-   * \param method Declaration that Find() of this schema gave.
+   * \param method Declaration that Find() of this schema returned.
    * \param json Request body as the caller sent it.
-   * \return The canonical request, or kInvalidArgument that names the field.
+   * \return The canonical request, or kInvalidArgument with the body or the key
+   * field as subject.
    */
   [[nodiscard]] Result<CheckedRequest> Check(const Method& method,
                                              const std::string& json) const;
@@ -67,7 +68,7 @@
                   std::vector<std::shared_ptr<const Method>> methods);
 
   std::unique_ptr<internal::RequestParser> m_parser;
-  //! Ordered by service, then name; no two alike.
+  //! Declared calls, distinct, ordered by service, then name.
   std::vector<std::shared_ptr<const Method>> m_methods;
 };
 
--- a/test/jacinthdeck/schema/schema_test.cc
+++ b/test/jacinthdeck/schema/schema_test.cc
@@ -87,9 +87,9 @@
   BOOST_TEST((std::get<0>(first).key == std::get<0>(second).key));
 }
 
-// A caller's malformed body must get a typed error and reach no target: an
-// unknown field that was dropped in silence would search for something else
-// than the caller asked.
+// An invalid body must be answered with a typed error and reach no target. If
+// an unknown field were silently dropped, the search would run with other
+// conditions than the caller asked for.
 BOOST_AUTO_TEST_CASE(Check_InvalidBody_IsRejected) {
   for (const char* json :
        {"", "{", "[]", R"({"text": 5})", R"({"texxt": "a"})", R"({"limit": 3})",
