--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -83,12 +83,14 @@
       m_started_at(now),
       m_random(seed),
       m_return_delay(kMinReturnDelay) {
-  const auto own = [&](const Endpoint& endpoint) {
+  const auto is_own_endpoint = [&](const Endpoint& endpoint) {
     return endpoint.ToString() == m_self.peers;
   };
   // Until the hosts are known, the seeds watch the store for the others.
-  m_is_watcher = m_seeds.empty() || std::ranges::any_of(m_seeds, own);
-  std::ranges::remove_copy_if(m_seeds, std::back_inserter(m_feeders), own);
+  m_is_watcher =
+      m_seeds.empty() || std::ranges::any_of(m_seeds, is_own_endpoint);
+  std::ranges::remove_copy_if(m_seeds, std::back_inserter(m_feeders),
+                              is_own_endpoint);
   if (!m_feeders.empty()) {
     m_next_feeder = m_random.Below(m_feeders.size());
   }
@@ -141,12 +143,12 @@
 }
 
 std::size_t FeederSelector::NextFeederIndex(bool following) const {
-  const auto last =
+  const auto last_feeder =
       std::ranges::find_if(m_feeders, [&](const Endpoint& feeder) {
         return m_last_feeder && feeder.ToString() == m_last_feeder->ToString();
       });
-  const bool unknown = last == m_feeders.end();
-  const bool nearest = last == m_feeders.begin();
+  const bool unknown = last_feeder == m_feeders.end();
+  const bool nearest = last_feeder == m_feeders.begin();
   if (unknown || (following && !nearest)) {
     return 0;
   }
@@ -154,7 +156,9 @@
   // list of hosts: if each list restarted the order, a host cut off from the
   // store would try the same stale feeder again and again while the next
   // failure domain has fresh ones.
-  return static_cast<std::size_t>(std::distance(m_feeders.begin(), last)) + 1;
+  return static_cast<std::size_t>(
+             std::distance(m_feeders.begin(), last_feeder)) +
+         1;
 }
 
 void FeederSelector::OnHeartbeat(const FeedHeartbeat& heartbeat,
@@ -176,9 +180,10 @@
 void FeederSelector::OnLinkLost(TimePoint now) {
   const bool was_open = m_link_state == LinkState::kOpen;
   m_link_state = LinkState::kNone;
-  const bool starts = now - m_started_at < kStartupPeriod;
+  const bool is_starting_up = now - m_started_at < kStartupPeriod;
   m_next_open_at =
-      was_open ? now : now + (starts ? kReopenDelayAtStart : kReopenDelay);
+      was_open ? now
+               : now + (is_starting_up ? kReopenDelayAtStart : kReopenDelay);
   ScheduleWatchWithoutLink(now);
 }
 
--- a/src/jacinthdeck/typed/local_answer.h
+++ b/src/jacinthdeck/typed/refusal.h
@@ -1,6 +1,6 @@
 // Answers that this host makes itself, without a reply of a target.
-#ifndef JACINTHDECK_TYPED_LOCAL_ANSWER_H_
-#define JACINTHDECK_TYPED_LOCAL_ANSWER_H_
+#ifndef JACINTHDECK_TYPED_REFUSAL_H_
+#define JACINTHDECK_TYPED_REFUSAL_H_
 
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/query/answer.h"
@@ -31,4 +31,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_TYPED_LOCAL_ANSWER_H_
+#endif  // JACINTHDECK_TYPED_REFUSAL_H_
