--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -23,27 +23,30 @@
 constexpr Duration kOpenTimeout = milliseconds(600);
 //! Delay after a link could not be opened.
 constexpr Duration kReopenDelay = milliseconds(700);
-//! The same delay during kStartupPeriod; shorter, as the seeds may start a
-//! moment later than this host.
+//! Delay after a link could not be opened during the startup period. It is
+//! shorter, as the seeds may start a moment later than this host.
 constexpr Duration kReopenDelayAtStart = milliseconds(150);
+//! Time after the start of this host in which kReopenDelayAtStart applies.
 constexpr Duration kStartupPeriod = milliseconds(1500);
 //! A feeder that stays stale is left for another one after this time. Feeders
 //! answer a hello with a heartbeat, so the age of their content is known at
 //! once; at this value three feeders are tried within the time limit for
 //! learning that a target is leaving.
 constexpr Duration kStaleFeederTimeout = milliseconds(1000);
-//! The same for a feeder that reports the store as away: it knows for certain
-//! that its content is not updated.
+//! A feeder that reports the store as away is left after this shorter time: it
+//! knows for certain that it has lost the store.
 constexpr Duration kStoreAwayTimeout = milliseconds(300);
-//! The same once all feeders that were tried proved stale.
+//! A stale feeder is left after this longer time once all feeders that were
+//! tried proved stale.
 constexpr Duration kAllStaleTimeout = milliseconds(4000);
 //! Number of stale feeders in a row after which the store is taken to be away
 //! for all hosts: it is not expected to reject so many hosts of different
 //! failure domains while it serves others.
 constexpr std::size_t kMaxStaleFeeders = 5;
 //! Time for which a feeder of another failure domain is followed before one of
-//! the own domain is tried again. It doubles with each try, up to the maximum.
+//! the own domain is tried again. It doubles with each try.
 constexpr Duration kMinReturnDelay = milliseconds(300);
+//! Longest such time, reached where the feeder of the own domain keeps failing.
 constexpr Duration kMaxReturnDelay = milliseconds(16000);
 //! Time for a seed to answer before this host reads the store, used where no
 //! callers wait for this host.
--- a/src/jacinthdeck/peer/feed_choice.h
+++ b/src/jacinthdeck/peer/feed_choice.h
@@ -117,7 +117,8 @@
   [[nodiscard]] bool IsStale(TimePoint now) const;
   //! Tells whether to close the open link and try another feeder.
   [[nodiscard]] bool ShouldLeaveFeeder(TimePoint now) const;
-  //! Number of stale feeders in a row after which all count as stale.
+  //! Number of stale feeders in a row after which the store is taken to be away
+  //! for all hosts.
   [[nodiscard]] std::size_t StaleFeederLimit() const noexcept;
   //! Tells whether to switch back to a feeder in the own failure domain now.
   //! Schedules the next such switch.
@@ -131,7 +132,9 @@
   //! Schedules the start of the watch at a random time within max_jitter after
   //! from, unless it is scheduled already.
   void ScheduleWatch(Duration max_jitter, TimePoint from);
+  //! Schedules the watch for the case that no link opens soon.
   void ScheduleWatchWithoutLink(TimePoint now);
+  //! Schedules the watch for the case that the feeder stays stale.
   void ScheduleWatchWhileStale(TimePoint now);
 
   const HostRecord m_self;
@@ -151,7 +154,8 @@
   //! When to switch back to the own failure domain; nothing while the feeder is
   //! in it, no feeder in it is known, or the link is not fresh.
   std::optional<TimePoint> m_return_at;
-  //! Least time with a feeder of another failure domain before that.
+  //! Least time with a feeder of another failure domain before this host
+  //! switches back to its own.
   Duration m_return_delay;
   //! Index of the next feeder to try; taken modulo the number of feeders.
   std::size_t m_next_feeder = 0;
@@ -164,11 +168,12 @@
   TimePoint m_last_message_at;
   //! Last heartbeat over a link.
   FeedHeartbeat m_last_heartbeat;
+  //! When that heartbeat came.
   TimePoint m_last_heartbeat_at;
   //! Earliest time to open the next link.
   TimePoint m_next_open_at;
   //! When this host starts to watch the store, unless the link is fresh by
-  //! then; nothing while the link is fresh.
+  //! then; on a host that is no watcher, nothing while the link is fresh.
   std::optional<TimePoint> m_watch_at;
 };
 
