--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -1,4 +1,4 @@
-// Freshness of the link, and the order of feeders.
+// Tracks the freshness of the link and the order in which feeders are tried.
 #include "jacinthdeck/peer/feed_choice.h"
 
 #include <algorithm>
@@ -13,94 +13,111 @@
 
 using std::chrono::milliseconds;
 
-//! Feeders beat twice a second; two lost beats and some delay are silence.
-constexpr Duration kSilence = milliseconds(1600);
-//! A feeder that watches has heard the store within its own watch's length.
-constexpr Duration kMostAge = milliseconds(2700);
-constexpr Duration kLinkTimeout = milliseconds(600);
-constexpr Duration kTryAgain = milliseconds(700);
-//! The same after the start, as the seeds may start a moment later.
-constexpr Duration kTryAgainAtStart = milliseconds(150);
-constexpr Duration kStartSpan = milliseconds(1500);
-//! A feeder that stays stale is given up for another one after this time. It
-//! beats as soon as it is asked, so its age is known at once; three feeders are
-//! tried within the bound in which a leaving target must be known.
-constexpr Duration kStalePatience = milliseconds(1000);
-//! The same for one that has lost the store, which it knows for certain.
-constexpr Duration kAwayPatience = milliseconds(300);
-//! The same once all feeders that were tried are stale.
-constexpr Duration kSettledPatience = milliseconds(4000);
-//! So many feeders of different failure domains are not turned away together
-//! while the store serves others.
-constexpr std::size_t kMostStaleTried = 5;
-//! Time for which a feeder of another failure domain is followed before the
-//! own one's is tried again, and the longest such time where it fails.
-constexpr Duration kFirstReturnPause = milliseconds(300);
-constexpr Duration kLongestReturnPause = milliseconds(16000);
-//! Time for a seed to answer before the store is asked, where callers do not
-//! wait for this host.
-constexpr Duration kStartPatience = milliseconds(1100);
-//! Hosts with less processor than this, in thousandths of a core, are hardly
-//! ever among those that callers are sent to.
-constexpr std::uint32_t kWeakHost = 200;
-//! Hosts that are assumed while none is known.
-constexpr std::size_t kUnknownFleet = 100;
-//! Hosts that start at one moment.
-constexpr Duration kStartSpread = milliseconds(30);
-//! Followers of one lost feeder must not all ask the store at one moment.
-constexpr Duration kLostSpread = milliseconds(150);
-//! Time in which a host without callers looks for another feeder first.
-constexpr Duration kLostPatience = milliseconds(1300);
-//! A follower on its way to the feeder of its own domain stays for less.
-constexpr Duration kSteadyLink = milliseconds(1000);
-//! If the feeder lost the store, it is likely away for all, and calls to it are
-//! in vain.
-constexpr Duration kAwaySpread = milliseconds(1200);
-//! Hosts without callers ask the store one after the other while the feeders
-//! are stale, one in this time.
-constexpr Duration kAskEvery = milliseconds(50);
+//! A feeder that sends nothing for longer is silent. Feeders send two
+//! heartbeats a second, so two lost ones and some delay are tolerated.
+constexpr Duration kSilenceTimeout = milliseconds(1600);
+//! Content that was confirmed by the store longer ago is stale. A feeder that
+//! watches hears from the store at least once per timeout of its watch.
+constexpr Duration kMaxContentAge = milliseconds(2700);
+//! Time to connect and receive the first heartbeat.
+constexpr Duration kOpenTimeout = milliseconds(600);
+//! Delay after a link could not be opened.
+constexpr Duration kReopenDelay = milliseconds(700);
+//! Delay after a link could not be opened during the startup period. It is
+//! shorter, as the seeds may start a moment later than this host.
+constexpr Duration kReopenDelayAtStart = milliseconds(150);
+//! Time after the start of this host in which kReopenDelayAtStart applies.
+constexpr Duration kStartupPeriod = milliseconds(1500);
+//! A feeder that stays stale is left for another one after this time. Feeders
+//! answer a hello with a heartbeat, so the age of their content is known at
+//! once; at this value three feeders are tried within the time limit for
+//! learning that a target is leaving.
+constexpr Duration kStaleFeederTimeout = milliseconds(1000);
+//! A feeder that reports the store as away is left after this shorter time: it
+//! knows for certain that it has lost the store.
+constexpr Duration kStoreAwayTimeout = milliseconds(300);
+//! A stale feeder is left after this longer time once all feeders that were
+//! tried proved stale.
+constexpr Duration kAllStaleTimeout = milliseconds(4000);
+//! Number of stale feeders in a row after which the store is taken to be away
+//! for all hosts: it is not expected to reject so many hosts of different
+//! failure domains while it serves others.
+constexpr std::size_t kMaxStaleFeeders = 5;
+//! Time for which a feeder of another failure domain is followed before one of
+//! the own domain is tried again. It doubles with each try.
+constexpr Duration kMinReturnDelay = milliseconds(300);
+//! Longest such time, reached where the feeder of the own domain keeps failing.
+constexpr Duration kMaxReturnDelay = milliseconds(16000);
+//! Time for a seed to answer before this host reads the store, used where no
+//! callers wait for this host.
+constexpr Duration kSeedAnswerTimeout = milliseconds(1100);
+//! Hosts with less processor than this, in thousandths of a core, are rarely
+//! among those that callers are sent to.
+constexpr std::uint32_t kMinServingStrength = 200;
+//! Number of hosts that is assumed while none is known.
+constexpr std::size_t kAssumedHostCount = 100;
+//! Spreads the first store reads of hosts that start at the same moment.
+constexpr Duration kStartJitter = milliseconds(30);
+//! Spreads the store reads of hosts that lose the same feeder.
+constexpr Duration kLinkLostJitter = milliseconds(150);
+//! Time for which a host that takes no callers looks for another feeder before
+//! it reads the store.
+constexpr Duration kRelinkTimeout = milliseconds(1300);
+//! A link counts as steady from this age on. A follower that is about to switch
+//! to the feeder of its own domain keeps a link for less.
+constexpr Duration kSteadyLinkAge = milliseconds(1000);
+//! Spreads the store reads of hosts whose feeder is stale. If the feeder lost
+//! the store, the store is likely away for all hosts and calls to it fail, so
+//! this is longer than kLinkLostJitter.
+constexpr Duration kStaleFeederJitter = milliseconds(1200);
+//! While the feeders are stale, the hosts that take no callers read the store
+//! in random order, on average one host per interval.
+constexpr Duration kStoreReadInterval = milliseconds(50);
 
 }  // namespace
 
-FeedChoice::FeedChoice(HostRecord self,
-                       std::vector<Endpoint> seeds,
-                       bool fleet_starts,
-                       std::uint64_t seed,
-                       TimePoint now)
+FeederSelector::FeederSelector(HostRecord self,
+                               std::vector<Endpoint> seeds,
+                               bool fleet_starts,
+                               std::uint64_t seed,
+                               TimePoint now)
     : m_self(std::move(self)),
       m_seeds(std::move(seeds)),
-      m_started(now),
+      m_started_at(now),
       m_random(seed),
-      m_return_pause(kFirstReturnPause) {
-  const auto own = [&](const Endpoint& endpoint) {
+      m_return_delay(kMinReturnDelay) {
+  const auto is_own_endpoint = [&](const Endpoint& endpoint) {
     return endpoint.ToString() == m_self.peers;
   };
-  // Before any host is known the seeds watch for the others.
-  m_is_watcher = m_seeds.empty() || std::ranges::any_of(m_seeds, own);
-  std::ranges::remove_copy_if(m_seeds, std::back_inserter(m_feeders), own);
+  // Until the hosts are known, the seeds watch the store for the others.
+  m_is_watcher =
+      m_seeds.empty() || std::ranges::any_of(m_seeds, is_own_endpoint);
+  std::ranges::remove_copy_if(m_seeds, std::back_inserter(m_feeders),
+                              is_own_endpoint);
   if (!m_feeders.empty()) {
-    m_next = m_random.Below(m_feeders.size());
+    m_next_feeder = m_random.Below(m_feeders.size());
   }
-  m_serves_callers = m_self.strength >= kWeakHost;
-  const bool waits = fleet_starts || (!m_serves_callers && !m_is_watcher);
-  ScheduleWatch(kStartSpread,
-                now + (waits ? kStartPatience : Duration::zero()));
+  m_serves_callers = m_self.strength >= kMinServingStrength;
+  const bool waits_for_seed =
+      fleet_starts || (!m_serves_callers && !m_is_watcher);
+  ScheduleWatch(kStartJitter,
+                now + (waits_for_seed ? kSeedAnswerTimeout : Duration::zero()));
 }
 
-bool FeedChoice::IsFollowing(TimePoint now) const {
-  return m_link == Link::kOpen && !IsSilent(now) && !IsStale(now);
+bool FeederSelector::IsFollowing(TimePoint now) const {
+  return m_link_state == LinkState::kOpen && !IsSilent(now) && !IsStale(now);
 }
 
-bool FeedChoice::IsLinkSteady(TimePoint now) const {
-  return IsLinked(now) && now - m_link_since >= kSteadyLink;
+bool FeederSelector::IsLinkSteady(TimePoint now) const {
+  return IsLinked(now) && now - m_link_started_at >= kSteadyLinkAge;
 }
 
-void FeedChoice::OnHosts(std::span<const HostRecord> hosts, TimePoint now) {
+void FeederSelector::OnHosts(std::span<const HostRecord> hosts, TimePoint now) {
   const std::vector<NodeId> watchers = ChooseWatchers(hosts);
   if (watchers.empty()) {
     return;
   }
-  m_hosts = hosts.size();
+  m_host_count = hosts.size();
   m_is_watcher = std::ranges::find(watchers, m_self.name) != watchers.end();
   std::vector<const HostRecord*> feeders;
   for (const HostRecord& host : hosts) {
@@ -110,101 +127,109 @@
       feeders.push_back(&host);
     }
   }
-  // The own failure domain first: that way is short and costs least.
+  // Feeders of the own failure domain come first: the path to them is the
+  // shortest and traffic within a domain is the cheapest.
   std::stable_partition(
       feeders.begin(), feeders.end(),
       [&](const HostRecord* host) { return host->domain == m_self.domain; });
   const bool following = IsFollowing(now);
   m_feeders.clear();
-  m_near = 0;
+  m_own_domain_feeders = 0;
   for (const HostRecord* host : feeders) {
     const auto parsed = Capture([&] { return Endpoint::Parse(host->peers); });
     if (const auto* endpoint = std::get_if<Endpoint>(&parsed)) {
       m_feeders.push_back(*endpoint);
-      m_near += host->domain == m_self.domain ? 1 : 0;
+      m_own_domain_feeders += host->domain == m_self.domain ? 1 : 0;
     }
   }
-  m_next = PositionAfter(following);
+  m_next_feeder = NextFeederIndex(following);
 }
 
-std::size_t FeedChoice::PositionAfter(bool following) const {
-  const auto last =
+std::size_t FeederSelector::NextFeederIndex(bool following) const {
+  const auto last_feeder =
       std::ranges::find_if(m_feeders, [&](const Endpoint& feeder) {
-        return m_last && feeder.ToString() == m_last->ToString();
+        return m_last_feeder && feeder.ToString() == m_last_feeder->ToString();
       });
-  const bool unknown = last == m_feeders.end();
-  const bool nearest = last == m_feeders.begin();
+  const bool unknown = last_feeder == m_feeders.end();
+  const bool nearest = last_feeder == m_feeders.begin();
   if (unknown || (following && !nearest)) {
     return 0;
   }
-  // Content from a stale feeder names the hosts too. Starting over with each
-  // such list, a host that is cut from the store would ask one stale feeder
-  // again and again, with fresh ones in the next failure domain.
-  return static_cast<std::size_t>(std::distance(m_feeders.begin(), last)) + 1;
+  // Go on with the feeder after the last one. A stale feeder also sends the
+  // list of hosts: if each list restarted the order, a host cut off from the
+  // store would try the same stale feeder again and again while the next
+  // failure domain has fresh ones.
+  return static_cast<std::size_t>(
+             std::distance(m_feeders.begin(), last_feeder)) +
+         1;
 }
 
-void FeedChoice::OnBeat(const FeedBeat& beat, TimePoint now) {
-  m_link = Link::kOpen;
-  m_heard = now;
-  m_beat = beat;
-  m_beat_at = now;
+void FeederSelector::OnHeartbeat(const FeedHeartbeat& heartbeat,
+                                 TimePoint now) {
+  m_link_state = LinkState::kOpen;
+  m_last_message_at = now;
+  m_last_heartbeat = heartbeat;
+  m_last_heartbeat_at = now;
   if (IsFollowing(now)) {
     m_watch_at.reset();
-    m_stale_in_row = 0;
+    m_stale_feeders_in_row = 0;
   }
 }
 
-void FeedChoice::OnChanges(TimePoint now) {
-  m_heard = now;
+void FeederSelector::OnChanges(TimePoint now) {
+  m_last_message_at = now;
 }
 
-void FeedChoice::OnLost(TimePoint now) {
-  const bool was_open = m_link == Link::kOpen;
-  m_link = Link::kNone;
-  const bool starts = now - m_started < kStartSpan;
-  m_try_at = was_open ? now : now + (starts ? kTryAgainAtStart : kTryAgain);
+void FeederSelector::OnLinkLost(TimePoint now) {
+  const bool was_open = m_link_state == LinkState::kOpen;
+  m_link_state = LinkState::kNone;
+  const bool is_starting_up = now - m_started_at < kStartupPeriod;
+  m_next_open_at =
+      was_open ? now
+               : now + (is_starting_up ? kReopenDelayAtStart : kReopenDelay);
   ScheduleWatchWithoutLink(now);
 }
 
-FeedStep FeedChoice::Step(TimePoint now) {
-  FeedStep step;
-  const bool too_slow =
-      m_link == Link::kOpening && now - m_link_since > kLinkTimeout;
-  if (too_slow || IsUseless(now) || IsDueToReturn(now)) {
-    step.close = true;
+FeederActions FeederSelector::Step(TimePoint now) {
+  FeederActions actions;
+  const bool open_timed_out = m_link_state == LinkState::kOpening &&
+                              now - m_link_started_at > kOpenTimeout;
+  if (open_timed_out || ShouldLeaveFeeder(now) ||
+      ShouldReturnToOwnDomain(now)) {
+    actions.close_link = true;
     LeaveFeeder(now);
   }
-  if (m_link == Link::kNone && now >= m_try_at) {
-    step.open = NextFeeder();
-    if (step.open) {
-      m_link = Link::kOpening;
-      m_link_since = now;
+  if (m_link_state == LinkState::kNone && now >= m_next_open_at) {
+    actions.open_link_to = NextFeeder();
+    if (actions.open_link_to) {
+      m_link_state = LinkState::kOpening;
+      m_link_started_at = now;
     }
-    m_try_at = now + kTryAgain;
+    m_next_open_at = now + kReopenDelay;
   }
-  // A watcher follows another one beside its own watch. One that the store
-  // turned away alone would notice only after its watch's timeout, and send to
-  // targets that have left for as long as it stays cut off.
+  // A watcher also follows another watcher beside its own watch. Otherwise, a
+  // watcher that the store rejects alone would notice only after the timeout of
+  // its watch, and send to targets that have left for as long as it is cut off.
   if (m_is_watcher) {
-    step.watch_store = true;
+    actions.watch_store = true;
     m_watch_at = now;
-    return step;
+    return actions;
   }
   if (IsFollowing(now)) {
     m_watch_at.reset();
-    return step;
+    return actions;
   }
-  if (m_link == Link::kOpen) {
+  if (m_link_state == LinkState::kOpen) {
     ScheduleWatchWhileStale(now);
   } else {
     ScheduleWatchWithoutLink(now);
   }
-  step.watch_store = now >= *m_watch_at;
-  return step;
+  actions.watch_store = now >= *m_watch_at;
+  return actions;
 }
 
-bool FeedChoice::IsUseless(TimePoint now) const {
-  if (m_link != Link::kOpen) {
+bool FeederSelector::ShouldLeaveFeeder(TimePoint now) const {
+  if (m_link_state != LinkState::kOpen) {
     return false;
   }
   if (IsSilent(now)) {
@@ -213,95 +238,104 @@
   if (!IsStale(now) || m_feeders.size() < 2) {
     return false;
   }
-  const bool settled = m_stale_in_row >= MostStale();
-  const Duration patience = settled             ? kSettledPatience
-                            : m_beat.store_away ? kAwayPatience
-                                                : kStalePatience;
-  return now - m_link_since > patience;
+  const bool all_stale = m_stale_feeders_in_row >= StaleFeederLimit();
+  const Duration timeout = all_stale                     ? kAllStaleTimeout
+                           : m_last_heartbeat.store_away ? kStoreAwayTimeout
+                                                         : kStaleFeederTimeout;
+  return now - m_link_started_at > timeout;
 }
 
-std::size_t FeedChoice::MostStale() const noexcept {
-  return std::min(m_feeders.size(), kMostStaleTried);
+std::size_t FeederSelector::StaleFeederLimit() const noexcept {
+  return std::min(m_feeders.size(), kMaxStaleFeeders);
 }
 
-bool FeedChoice::IsNear() const {
+bool FeederSelector::IsFeederInOwnDomain() const {
   const auto nearest = m_feeders.begin();
-  const auto far = nearest + static_cast<std::ptrdiff_t>(m_near);
-  return std::find_if(nearest, far, [&](const Endpoint& feeder) {
-           return m_last && feeder.ToString() == m_last->ToString();
-         }) != far;
+  const auto own_domain_end =
+      nearest + static_cast<std::ptrdiff_t>(m_own_domain_feeders);
+  return std::find_if(nearest, own_domain_end, [&](const Endpoint& feeder) {
+           return m_last_feeder &&
+                  feeder.ToString() == m_last_feeder->ToString();
+         }) != own_domain_end;
 }
 
-bool FeedChoice::IsDueToReturn(TimePoint now) {
-  if (m_near == 0 || IsNear() || !IsFollowing(now)) {
+bool FeederSelector::ShouldReturnToOwnDomain(TimePoint now) {
+  if (m_own_domain_feeders == 0 || IsFeederInOwnDomain() || !IsFollowing(now)) {
     m_return_at.reset();
     return false;
   }
   if (!m_return_at) {
-    // All followers of a domain whose feeder was away would come back at once.
-    const auto bound = static_cast<std::uint64_t>(m_return_pause.count());
-    m_return_at = now + m_return_pause +
+    // The random part keeps the followers of one domain from all returning at
+    // the same moment after their feeder was away.
+    const auto bound = static_cast<std::uint64_t>(m_return_delay.count());
+    m_return_at = now + m_return_delay +
                   Duration(static_cast<Duration::rep>(m_random.Below(bound)));
   }
   if (now < *m_return_at) {
     return false;
   }
   m_return_at.reset();
-  m_return_pause = std::min(2 * m_return_pause, kLongestReturnPause);
-  m_next = 0;
+  m_return_delay = std::min(2 * m_return_delay, kMaxReturnDelay);
+  m_next_feeder = 0;
   return true;
 }
 
-void FeedChoice::LeaveFeeder(TimePoint now) {
+void FeederSelector::LeaveFeeder(TimePoint now) {
   const bool stale =
-      m_link == Link::kOpen && !IsSilent(now) && !IsFollowing(now);
+      m_link_state == LinkState::kOpen && !IsSilent(now) && !IsFollowing(now);
   if (stale) {
     ScheduleWatchWhileStale(now);
-    const bool settles = m_stale_in_row + 1 == MostStale();
-    m_next = settles ? 0 : m_next;
-    m_stale_in_row = std::min(m_stale_in_row + 1, MostStale());
+    const bool becomes_all_stale =
+        m_stale_feeders_in_row + 1 == StaleFeederLimit();
+    m_next_feeder = becomes_all_stale ? 0 : m_next_feeder;
+    m_stale_feeders_in_row =
+        std::min(m_stale_feeders_in_row + 1, StaleFeederLimit());
   }
-  OnLost(now);
-  m_try_at = now;
+  OnLinkLost(now);
+  m_next_open_at = now;
 }
 
-bool FeedChoice::IsSilent(TimePoint now) const {
-  return now - m_heard > kSilence;
+bool FeederSelector::IsSilent(TimePoint now) const {
+  return now - m_last_message_at > kSilenceTimeout;
 }
 
-bool FeedChoice::IsStale(TimePoint now) const {
-  return m_beat.store_away || m_beat.position.revision == 0 || !m_beat.age ||
-         *m_beat.age + (now - m_beat_at) > kMostAge;
+bool FeederSelector::IsStale(TimePoint now) const {
+  return m_last_heartbeat.store_away ||
+         m_last_heartbeat.position.revision == 0 || !m_last_heartbeat.age ||
+         *m_last_heartbeat.age + (now - m_last_heartbeat_at) > kMaxContentAge;
 }
 
-std::optional<Endpoint> FeedChoice::NextFeeder() {
+std::optional<Endpoint> FeederSelector::NextFeeder() {
   if (m_feeders.empty()) {
     return std::nullopt;
   }
-  const Endpoint feeder = m_feeders[m_next % m_feeders.size()];
-  ++m_next;
-  m_last = feeder;
+  const Endpoint feeder = m_feeders[m_next_feeder % m_feeders.size()];
+  ++m_next_feeder;
+  m_last_feeder = feeder;
   return feeder;
 }
 
-void FeedChoice::ScheduleWatchWithoutLink(TimePoint now) {
-  // Another feeder mostly answers within milliseconds.
-  const Duration patience = m_serves_callers ? Duration::zero() : kLostPatience;
-  ScheduleWatch(kLostSpread, now + patience);
+void FeederSelector::ScheduleWatchWithoutLink(TimePoint now) {
+  // Another feeder usually answers within milliseconds, so a host that takes no
+  // callers can wait for one.
+  const Duration timeout = m_serves_callers ? Duration::zero() : kRelinkTimeout;
+  ScheduleWatch(kLinkLostJitter, now + timeout);
 }
 
-void FeedChoice::ScheduleWatchWhileStale(TimePoint now) {
-  const Duration one_by_one =
-      (m_hosts == 0 ? kUnknownFleet : m_hosts) * kAskEvery;
-  ScheduleWatch(
-      m_serves_callers ? kAwaySpread : std::max(kAwaySpread, one_by_one), now);
+void FeederSelector::ScheduleWatchWhileStale(TimePoint now) {
+  const Duration staggered =
+      (m_host_count == 0 ? kAssumedHostCount : m_host_count) *
+      kStoreReadInterval;
+  ScheduleWatch(m_serves_callers ? kStaleFeederJitter
+                                 : std::max(kStaleFeederJitter, staggered),
+                now);
 }
 
-void FeedChoice::ScheduleWatch(Duration spread, TimePoint from) {
+void FeederSelector::ScheduleWatch(Duration max_jitter, TimePoint from) {
   if (m_watch_at) {
     return;
   }
-  const auto bound = static_cast<std::uint64_t>(spread.count());
+  const auto bound = static_cast<std::uint64_t>(max_jitter.count());
   m_watch_at =
       from + Duration(static_cast<Duration::rep>(m_random.Below(bound)));
 }
--- a/src/jacinthdeck/peer/fwd.h
+++ b/src/jacinthdeck/peer/fwd.h
@@ -1,18 +1,18 @@
-// Forward declarations of the peer module: hosts hand the store's content on to
-// each other.
+// Forward declarations of the peer module: hosts pass the store's content on to
+// one another, so that only a few of them have to watch the store.
 #ifndef JACINTHDECK_PEER_FWD_H_
 #define JACINTHDECK_PEER_FWD_H_
 
 namespace jacinthdeck {
 
-class FeedChoice;
-class FeedFrames;
+class FeedFrameReader;
 class FeedLink;
 class FeedLinkSink;
 class FeedServer;
 class FeedSource;
+class FeederSelector;
 class FollowerObserver;
-struct FeedBeat;
+struct FeedHeartbeat;
 struct FeedHello;
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/typed/refusal.h
+++ b/src/jacinthdeck/typed/refusal.h
@@ -1,4 +1,4 @@
-// The answers that are made without a target: not run, and unknown.
+// Answers that this host makes itself, without a reply of a target.
 #ifndef JACINTHDECK_TYPED_REFUSAL_H_
 #define JACINTHDECK_TYPED_REFUSAL_H_
 
@@ -9,20 +9,20 @@
 
 /**
  * \brief Makes the answer to a call that no target can have run.
- * \param reason Why it was refused.
- * \param come_back When asking again makes sense.
+ * \param reason Why the call was refused.
+ * \param retry_after Time after which the caller may try again.
  */
-[[nodiscard]] inline Answer MakeNotRun(AnswerReason reason,
-                                       Duration come_back) {
+[[nodiscard]] inline Answer MakeNotRunAnswer(AnswerReason reason,
+                                             Duration retry_after) {
   Answer answer;
   answer.outcome = Outcome::kNotRun;
   answer.reason = reason;
-  answer.retry_after = come_back;
+  answer.retry_after = retry_after;
   return answer;
 }
 
-/*! \brief Makes the answer to a call that may or may not have run. */
-[[nodiscard]] inline Answer MakeUnknown(AnswerReason reason) {
+/*! \brief Makes the answer to a call that a target may or may not have run. */
+[[nodiscard]] inline Answer MakeUnknownAnswer(AnswerReason reason) {
   Answer answer;
   answer.outcome = Outcome::kUnknown;
   answer.reason = reason;
--- a/src/jacinthdeck/typed/target_codec.cc
+++ b/src/jacinthdeck/typed/target_codec.cc
@@ -1,4 +1,4 @@
-// JSON of the target protocol.
+// Writes requests to targets as JSON text and reads their replies with jansson.
 #include "jacinthdeck/typed/target_codec.h"
 
 #include <jansson.h>
@@ -28,8 +28,8 @@
   return static_cast<std::uint64_t>(json_integer_value(value));
 }
 
-// Not DumpJson(): it orders the members, and this runs for every hit.
-[[nodiscard]] std::string Dump(const json_t* value) {
+// Used instead of DumpJson(), which sorts the members: this runs for every hit.
+[[nodiscard]] std::string DumpUnsorted(const json_t* value) {
   const std::unique_ptr<char, decltype(&std::free)> text(
       json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY), &std::free);
   return text == nullptr ? "null" : text.get();
@@ -45,7 +45,7 @@
       return false;
     }
     out.push_back(Hit{json_string_value(id), json_number_value(score),
-                      Dump(json_object_get(item, "data"))});
+                      DumpUnsorted(json_object_get(item, "data"))});
   }
   return hits == nullptr || json_is_array(hits);
 }
@@ -64,7 +64,7 @@
   return ReadHits(json_object_get(root, "hits"), reply.hits);
 }
 
-[[nodiscard]] AttemptStatus StatusOf(long status) noexcept {
+[[nodiscard]] AttemptStatus ToAttemptStatus(long status) noexcept {
   switch (status) {
     case kStatusOk:
       return AttemptStatus::kAnswered;
@@ -82,8 +82,8 @@
 }  // namespace
 
 std::string EncodeTargetRequest(const SendAttempt& attempt) {
-  // The request is canonical JSON already; names of methods hold no character
-  // to escape.
+  // Nothing needs escaping: the request is already canonical JSON, and names of
+  // methods are identifiers.
   return R"({"method":")" + attempt.method->name + R"(","version":)" +
          std::to_string(attempt.version.raw()) + R"(,"range":[)" +
          std::to_string(attempt.range.begin) + "," +
@@ -96,7 +96,7 @@
                                const std::string& body) {
   AttemptReply reply;
   reply.attempt = attempt;
-  reply.status = StatusOf(status);
+  reply.status = ToAttemptStatus(status);
   const JsonPtr root(json_loadb(body.data(), body.size(), 0, nullptr));
   const json_t* load = json_object_get(root.get(), "load");
   if (json_is_number(load)) {
--- a/test/jacinthdeck/peer/feed_choice_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -1,4 +1,4 @@
-// Tests of whom a host learns from.
+// Tests of the selection of a feeder and of when a host reads the store itself.
 #include "jacinthdeck/peer/feed_choice.h"
 
 #include <boost/test/unit_test.hpp>
@@ -26,259 +26,266 @@
   return host;
 }
 
-struct ChoiceFixture {
+struct FeederSelectorFixture {
   TimePoint now{seconds(100)};
-  //! h1, h2 and h3 watch, one in each failure domain; h9 follows.
+  //! h1, h2 and h3 are watchers, one in each failure domain; h9, the host under
+  //! test, is a follower in the domain of h2.
   std::vector<HostRecord> hosts{MakeHost(1, 1, 500), MakeHost(2, 2, 500),
                                 MakeHost(3, 3, 500), MakeHost(9, 2)};
-  FeedChoice choice;
+  FeederSelector selector;
 
-  explicit ChoiceFixture(std::uint64_t seed = 1)
-      : choice(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, true, seed, now) {}
+  explicit FeederSelectorFixture(std::uint64_t seed = 1)
+      : selector(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, true, seed, now) {}
 
-  FeedStep StepIn(Duration time) {
+  FeederActions StepAfter(Duration time) {
     now += time;
-    return choice.Step(now);
+    return selector.Step(now);
   }
 
-  //! Opens a link and makes it fresh.
+  //! Opens a link and makes it fresh by a heartbeat.
   void Follow() {
-    choice.OnHosts(hosts, now);
-    const FeedStep step = choice.Step(now);
-    BOOST_REQUIRE(step.open.has_value());
-    Beat();
+    selector.OnHosts(hosts, now);
+    const FeederActions actions = selector.Step(now);
+    BOOST_REQUIRE(actions.open_link_to.has_value());
+    ReceiveHeartbeat();
   }
 
-  void Beat(Duration age = milliseconds(100), bool away = false) {
-    choice.OnBeat({At(5), age, away}, now);
+  void ReceiveHeartbeat(Duration age = milliseconds(100), bool away = false) {
+    selector.OnHeartbeat({At(5), age, away}, now);
   }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(FeedChoiceTest, ChoiceFixture)
+BOOST_FIXTURE_TEST_SUITE(FeederSelectorTest, FeederSelectorFixture)
 
-BOOST_AUTO_TEST_CASE(Start_SeedAnswers_StoreIsNotAsked) {
-  BOOST_TEST(StepIn(milliseconds(0)).open->address == "10.0.0.1");
-  Beat();
-  BOOST_TEST(!StepIn(milliseconds(1500)).watch_store);
+BOOST_AUTO_TEST_CASE(Start_SeedAnswers_StoreIsNotRead) {
+  BOOST_TEST(StepAfter(milliseconds(0)).open_link_to->address == "10.0.0.1");
+  ReceiveHeartbeat();
+  BOOST_TEST(!StepAfter(milliseconds(1500)).watch_store);
 }
 
-// All hosts start at once, and the seeds are down. The host must not wait for
-// them: it asks the store itself within about a second.
-BOOST_AUTO_TEST_CASE(Start_NoSeedAnswers_StoreIsAskedSoon) {
-  (void)StepIn(milliseconds(0));
-  BOOST_TEST(!StepIn(milliseconds(300)).watch_store);
-  BOOST_TEST(StepIn(milliseconds(1000)).watch_store);
+// Guards against a host that waits for seeds that are down when all hosts start
+// at once: it must read the store itself within about a second.
+BOOST_AUTO_TEST_CASE(Start_NoSeedAnswers_StoreIsReadSoon) {
+  (void)StepAfter(milliseconds(0));
+  BOOST_TEST(!StepAfter(milliseconds(300)).watch_store);
+  BOOST_TEST(StepAfter(milliseconds(1000)).watch_store);
 }
 
-// Hundreds of hosts lost power and start again. One that is too weak for
-// callers to be sent to it waits for a seed, which starts a moment later: the
-// few that serve must not wait behind the reads of all.
-BOOST_AUTO_TEST_CASE(Start_AmongOthersAndWeak_SeedIsAskedFirst) {
-  FeedChoice again(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}}, false, 1,
-                   now);
-  BOOST_TEST(again.Step(now).open.has_value());
-  again.OnLost(now);
+// Guards against hosts that serve callers waiting behind the store reads of all
+// others when hundreds of hosts start again after a power loss. A host too weak
+// for callers to be sent to it waits for a seed, which starts a moment later.
+BOOST_AUTO_TEST_CASE(Start_WeakHostInRunningFleet_SeedIsAskedFirst) {
+  FeederSelector weak_host(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}},
+                           false, 1, now);
+  BOOST_TEST(weak_host.Step(now).open_link_to.has_value());
+  weak_host.OnLinkLost(now);
   now += milliseconds(200);
-  BOOST_TEST(again.Step(now).open.has_value());
-  again.OnBeat({At(5), milliseconds(100), false}, now);
-  BOOST_TEST(!again.Step(now + milliseconds(1200)).watch_store);
+  BOOST_TEST(weak_host.Step(now).open_link_to.has_value());
+  weak_host.OnHeartbeat({At(5), milliseconds(100), false}, now);
+  BOOST_TEST(!weak_host.Step(now + milliseconds(1200)).watch_store);
 }
 
-// The same with all seeds down: the store is read after about a second.
-BOOST_AUTO_TEST_CASE(Start_AmongOthersAndWeakWithoutSeeds_StoreIsReadSoon) {
-  FeedChoice again(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}}, false, 1,
-                   now);
-  BOOST_TEST(!again.Step(now + milliseconds(500)).watch_store);
-  BOOST_TEST(again.Step(now + milliseconds(1200)).watch_store);
+// Guards against a weak host that waits for seeds that stay down: it must read
+// the store after about a second.
+BOOST_AUTO_TEST_CASE(Start_WeakHostAndSeedsDown_StoreIsReadSoon) {
+  FeederSelector weak_host(MakeHost(9, 2, 120), {Endpoint{"10.0.0.1", 1}},
+                           false, 1, now);
+  BOOST_TEST(!weak_host.Step(now + milliseconds(500)).watch_store);
+  BOOST_TEST(weak_host.Step(now + milliseconds(1200)).watch_store);
 }
 
-// A follower that is on its way to its own domain's feeder is not written by
-// the one that it passes: each write is told to all hosts.
+// Guards against needless store writes, each of which is sent to all hosts: a
+// feeder that a follower soon leaves for one in its own domain must not write
+// the follower's record, so a new link does not count as steady.
 BOOST_AUTO_TEST_CASE(Link_JustOpened_IsNotSteady) {
   Follow();
-  BOOST_TEST(choice.IsLinked(now));
-  BOOST_TEST(!choice.IsLinkSteady(now));
-  BOOST_TEST(choice.IsLinkSteady(now + milliseconds(1100)));
+  BOOST_TEST(selector.IsLinked(now));
+  BOOST_TEST(!selector.IsLinkSteady(now));
+  BOOST_TEST(selector.IsLinkSteady(now + milliseconds(1100)));
 }
 
-// All hosts lost power and start again while callers wait. Each of them reads
-// the store at once: following would cost the time in which a seed starts.
-BOOST_AUTO_TEST_CASE(Start_AmongOthers_StoreIsReadAtOnce) {
-  FeedChoice again(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, false, 1, now);
-  BOOST_TEST(again.Step(now + milliseconds(40)).watch_store);
+// All hosts start again after a power loss while callers wait. A host that
+// serves callers reads the store at once: waiting for a seed would cost the
+// time in which the seed starts.
+BOOST_AUTO_TEST_CASE(Start_StrongHostInRunningFleet_StoreIsReadAtOnce) {
+  FeederSelector weak_host(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, false, 1,
+                           now);
+  BOOST_TEST(weak_host.Step(now + milliseconds(40)).watch_store);
 }
 
-BOOST_AUTO_TEST_CASE(Hosts_OwnDomainHasAWatcher_ItIsFollowed) {
-  choice.OnHosts(hosts, now);
-  BOOST_TEST(choice.Step(now).open->address == "10.0.0.2");
+BOOST_AUTO_TEST_CASE(Hosts_WatcherInOwnDomain_IsFollowed) {
+  selector.OnHosts(hosts, now);
+  BOOST_TEST(selector.Step(now).open_link_to->address == "10.0.0.2");
 }
 
-// The store turns away one watcher alone, silently, while targets leave. It
-// hears of them from another watcher at once, and its own watch goes on.
-BOOST_AUTO_TEST_CASE(Hosts_ThisOneIsTheStrongest_WatchesAndFollowsAnother) {
+// The store stops answering one watcher alone while targets leave. That watcher
+// must learn of them from another watcher at once, and keep its own watch.
+BOOST_AUTO_TEST_CASE(Hosts_SelfIsStrongest_WatchesAndFollowsAnother) {
   hosts[3].strength = 900;
-  choice.OnHosts(hosts, now);
-  BOOST_TEST(choice.is_watcher());
-  const FeedStep step = choice.Step(now);
-  BOOST_TEST(step.watch_store);
-  BOOST_REQUIRE(step.open.has_value());
-  BOOST_TEST(step.open->address != "10.0.0.9");
-  Beat();
-  const FeedStep later = StepIn(milliseconds(10));
+  selector.OnHosts(hosts, now);
+  BOOST_TEST(selector.is_watcher());
+  const FeederActions actions = selector.Step(now);
+  BOOST_TEST(actions.watch_store);
+  BOOST_REQUIRE(actions.open_link_to.has_value());
+  BOOST_TEST(actions.open_link_to->address != "10.0.0.9");
+  ReceiveHeartbeat();
+  const FeederActions later = StepAfter(milliseconds(10));
   BOOST_TEST(later.watch_store);
-  BOOST_TEST(!later.close);
+  BOOST_TEST(!later.close_link);
 }
 
-// The watcher freezes and its connection stays open. The host sees silence,
-// reads the store itself, and follows another watcher as soon as one answers.
-BOOST_AUTO_TEST_CASE(Feeder_FallsSilent_StoreIsReadAndAnotherFollowed) {
+// The feeder freezes and its connection stays open. The host must detect the
+// silence, read the store itself, and follow another watcher once one answers.
+BOOST_AUTO_TEST_CASE(Feeder_FallsSilent_StoreIsReadAndAnotherIsFollowed) {
   Follow();
-  const FeedStep step = StepIn(milliseconds(1700));
-  BOOST_TEST(step.close);
-  BOOST_REQUIRE(step.open.has_value());
-  BOOST_TEST(step.open->address != "10.0.0.2");
-  BOOST_TEST(StepIn(milliseconds(200)).watch_store);
-  Beat();
-  BOOST_TEST(!StepIn(milliseconds(10)).watch_store);
+  const FeederActions actions = StepAfter(milliseconds(1700));
+  BOOST_TEST(actions.close_link);
+  BOOST_REQUIRE(actions.open_link_to.has_value());
+  BOOST_TEST(actions.open_link_to->address != "10.0.0.2");
+  BOOST_TEST(StepAfter(milliseconds(200)).watch_store);
+  ReceiveHeartbeat();
+  BOOST_TEST(!StepAfter(milliseconds(10)).watch_store);
 }
 
-// The watcher is cut off from the store, but not from this host. Its beats go
-// on and say how old its knowledge is; a change would never come this way.
-BOOST_AUTO_TEST_CASE(Feeder_LosesTheStore_StoreIsReadInItsPlace) {
+// The feeder is cut off from the store, but not from this host. Its heartbeats
+// go on and report the growing age of its content, but it sends no changes.
+BOOST_AUTO_TEST_CASE(Feeder_LosesTheStore_FollowerReadsTheStore) {
   Follow();
   for (int i = 0; i < 4; ++i) {
-    (void)StepIn(milliseconds(500));
-    Beat(milliseconds(1000 * (i + 1)), true);
+    (void)StepAfter(milliseconds(500));
+    ReceiveHeartbeat(milliseconds(1000 * (i + 1)), true);
   }
-  BOOST_TEST(StepIn(milliseconds(500)).watch_store);
+  BOOST_TEST(StepAfter(milliseconds(500)).watch_store);
 }
 
 BOOST_AUTO_TEST_CASE(Feeder_LinkEnds_StoreIsReadSoon) {
   Follow();
-  choice.OnLost(now);
-  BOOST_TEST(StepIn(milliseconds(200)).watch_store);
+  selector.OnLinkLost(now);
+  BOOST_TEST(StepAfter(milliseconds(200)).watch_store);
 }
 
-// The host is cut from the store, and so is the watcher of its failure domain,
-// whose content arrives with the list of hosts. The next feeder must be another
-// one each time, until one is fresh.
-BOOST_AUTO_TEST_CASE(Feeder_StaysStaleAndTellsTheHosts_AllAreTriedInTurn) {
+// The host and the watcher of its failure domain are cut off from the store,
+// and that watcher's content includes the list of hosts. Guards against a list
+// that restarts the order of feeders: each try must go to another feeder until
+// one is fresh.
+BOOST_AUTO_TEST_CASE(Feeder_StaleButSendsHosts_AllFeedersAreTriedInTurn) {
   Follow();
   std::vector<std::string> tried;
   for (int second = 0; second < 6 && tried.size() < 3; ++second) {
-    Beat(seconds(4), true);
-    choice.OnHosts(hosts, now);
-    const FeedStep step = StepIn(milliseconds(1100));
-    if (step.open) {
-      tried.push_back(step.open->address);
+    ReceiveHeartbeat(seconds(4), true);
+    selector.OnHosts(hosts, now);
+    const FeederActions actions = StepAfter(milliseconds(1100));
+    if (actions.open_link_to) {
+      tried.push_back(actions.open_link_to->address);
     }
   }
   const std::vector<std::string> expected{"10.0.0.1", "10.0.0.3", "10.0.0.2"};
   BOOST_TEST(tried == expected, boost::test_tools::per_element());
 }
 
-// Hosts that follow each other in a circle hand on what nobody heard from the
-// store. The age that they tell grows until each of them reads the store.
-BOOST_AUTO_TEST_CASE(Feeder_AgeOnlyGrows_StoreIsReadInTheEnd) {
+// Guards against hosts that follow each other in a cycle, none of which hears
+// the store: the age that they report grows until each of them reads the store.
+BOOST_AUTO_TEST_CASE(Feeder_ContentAgeGrows_StoreIsRead) {
   Follow();
   bool watched = false;
   for (int i = 1; i <= 10; ++i) {
-    watched = watched || StepIn(milliseconds(500)).watch_store;
-    Beat(milliseconds(500 * i));
+    watched = watched || StepAfter(milliseconds(500)).watch_store;
+    ReceiveHeartbeat(milliseconds(500 * i));
   }
   BOOST_TEST(watched);
 }
 
-// The store turns everyone away. Hundreds of hosts that take no callers would
-// each ask it, and every feeder in turn, for as long as that lasts. They try
-// each feeder once, stay with the nearest, and hear from it when the store is
+// The store rejects all hosts. Guards against hundreds of hosts without callers
+// that ask it and every feeder in turn for as long as that lasts. They must try
+// each feeder once and stay with the nearest, which reports when the store is
 // back.
-BOOST_AUTO_TEST_CASE(Feeders_AreAllAway_HostStaysWithTheNearest) {
-  choice.SetServesCallers(false);
+BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_HostStaysWithTheNearest) {
+  selector.SetServesCallers(false);
   Follow();
   std::vector<std::string> tried;
   for (int i = 0; i < 30; ++i) {
-    Beat(seconds(4), true);
-    const FeedStep step = StepIn(milliseconds(100));
-    if (step.open) {
-      tried.push_back(step.open->address);
+    ReceiveHeartbeat(seconds(4), true);
+    const FeederActions actions = StepAfter(milliseconds(100));
+    if (actions.open_link_to) {
+      tried.push_back(actions.open_link_to->address);
     }
   }
   const std::vector<std::string> expected{"10.0.0.1", "10.0.0.3", "10.0.0.2"};
   BOOST_TEST(tried == expected, boost::test_tools::per_element());
-  Beat();
-  BOOST_TEST(!StepIn(milliseconds(100)).close);
+  ReceiveHeartbeat();
+  BOOST_TEST(!StepAfter(milliseconds(100)).close_link);
 }
 
-// The same with 300 hosts. The store is asked by a few of them a second, not by
-// all; those that take callers ask at once.
-BOOST_AUTO_TEST_CASE(Feeders_AreAllAway_FewHostsAskTheStore) {
+// The store rejects all of 300 hosts. The 9 that take callers must read it at
+// once; of the others only a few a second may do so.
+BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_FewHostsReadTheStore) {
   for (int number = 10; number < 306; ++number) {
     hosts.push_back(MakeHost(number, number % 3));
   }
-  int asked = 0;
+  int store_readers = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    ChoiceFixture one(seed);
-    one.hosts = hosts;
-    one.choice.SetServesCallers(seed <= 9);
-    one.Follow();
+    FeederSelectorFixture fixture(seed);
+    fixture.hosts = hosts;
+    fixture.selector.SetServesCallers(seed <= 9);
+    fixture.Follow();
     for (int i = 0; i < 40; ++i) {
-      one.Beat(seconds(4), true);
-      const bool watches = one.StepIn(milliseconds(100)).watch_store;
-      asked += watches ? 1 : 0;
+      fixture.ReceiveHeartbeat(seconds(4), true);
+      const bool watches = fixture.StepAfter(milliseconds(100)).watch_store;
+      store_readers += watches ? 1 : 0;
       if (watches) {
         break;
       }
     }
   }
-  BOOST_TEST(asked >= 9);
-  BOOST_TEST(asked <= 100);
+  BOOST_TEST(store_readers >= 9);
+  BOOST_TEST(store_readers <= 100);
 }
 
-// A feeder dies. Its followers find another one within milliseconds; none of
-// those that take no callers asks the store meanwhile.
-BOOST_AUTO_TEST_CASE(Feeder_LinkEnds_HostWithoutCallersAsksAnotherFeeder) {
-  choice.SetServesCallers(false);
+// A feeder dies. A follower without callers must try another feeder within
+// milliseconds and not read the store meanwhile.
+BOOST_AUTO_TEST_CASE(Feeder_LinkEnds_HostWithoutCallersTriesAnotherFeeder) {
+  selector.SetServesCallers(false);
   Follow();
-  choice.OnLost(now);
-  BOOST_TEST(StepIn(milliseconds(10)).open.has_value());
-  BOOST_TEST(!StepIn(milliseconds(300)).watch_store);
-  BOOST_TEST(StepIn(milliseconds(1300)).watch_store);
+  selector.OnLinkLost(now);
+  BOOST_TEST(StepAfter(milliseconds(10)).open_link_to.has_value());
+  BOOST_TEST(!StepAfter(milliseconds(300)).watch_store);
+  BOOST_TEST(StepAfter(milliseconds(1300)).watch_store);
 }
 
-// At the start of the fleet all hosts follow the seeds. Each goes over to the
-// feeder of its own failure domain: what is fed stays within the domain.
-BOOST_AUTO_TEST_CASE(Feeder_IsInAnotherDomain_OwnOneIsFollowedSoon) {
-  (void)choice.Step(now);
-  Beat();
-  choice.OnHosts(hosts, now);
+// When the fleet starts, all hosts follow the seeds. Each must then switch to
+// the feeder of its own failure domain, so that the content is not sent across
+// domains.
+BOOST_AUTO_TEST_CASE(Feeder_InAnotherDomain_HostSwitchesToOwnDomain) {
+  (void)selector.Step(now);
+  ReceiveHeartbeat();
+  selector.OnHosts(hosts, now);
   std::optional<Endpoint> opened;
   for (int i = 0; i < 25 && !opened; ++i) {
-    Beat();
-    opened = StepIn(milliseconds(100)).open;
+    ReceiveHeartbeat();
+    opened = StepAfter(milliseconds(100)).open_link_to;
   }
   BOOST_REQUIRE(opened.has_value());
   BOOST_TEST(opened->address == "10.0.0.2");
 }
 
-// The own domain's feeder does not answer. The host goes on with another one
-// and tries to return ever more rarely.
-BOOST_AUTO_TEST_CASE(Feeder_OfTheOwnDomainFails_IsTriedEverMoreRarely) {
-  choice.OnHosts(hosts, now);
+// The feeder of the own domain does not answer. The host must go on with
+// another one and retry the own domain at growing intervals.
+BOOST_AUTO_TEST_CASE(Feeder_OfOwnDomainFails_IsRetriedWithBackoff) {
+  selector.OnHosts(hosts, now);
   int returns = 0;
   bool linked = false;
   for (int i = 0; i < 600; ++i) {
-    const FeedStep step = StepIn(milliseconds(100));
-    if (step.open) {
-      linked = step.open->address != "10.0.0.2";
+    const FeederActions actions = StepAfter(milliseconds(100));
+    if (actions.open_link_to) {
+      linked = actions.open_link_to->address != "10.0.0.2";
       returns += linked ? 0 : 1;
     }
     if (linked) {
-      Beat();
-    } else if (step.open) {
-      choice.OnLost(now);
+      ReceiveHeartbeat();
+    } else if (actions.open_link_to) {
+      selector.OnLinkLost(now);
     }
   }
   BOOST_TEST(returns >= 3);
--- a/test/jacinthdeck/typed/partition_map_reader_test.cc
+++ b/test/jacinthdeck/typed/partition_map_reader_test.cc
@@ -1,4 +1,4 @@
-// Tests of the checks on published partition maps.
+// Tests of reading and checking published partition maps.
 #include "jacinthdeck/typed/partition_map_reader.h"
 
 #include <boost/test/unit_test.hpp>
@@ -8,7 +8,7 @@
 namespace jacinthdeck {
 
 struct PartitionMapFixture {
-  [[nodiscard]] static std::string Index(const std::string& shards) {
+  [[nodiscard]] static std::string MakeIndex(const std::string& shards) {
     return R"({"versions":[{"version":7,"shards":[)" + shards + "]}]}";
   }
 
@@ -21,7 +21,7 @@
 BOOST_FIXTURE_TEST_SUITE(PartitionMapReaderTest, PartitionMapFixture)
 
 BOOST_AUTO_TEST_CASE(ReadPartitionMaps_TwoShards_GivesThemInOrder) {
-  const auto read = Read(Index(
+  const auto read = Read(MakeIndex(
       R"({"id":0,"range":[0,10],"replicas":["a","b"]},
          {"id":1,"range":[10,4294967296],"replicas":["c"]})"));
   BOOST_REQUIRE(read.index() == 0U);
@@ -32,10 +32,11 @@
   BOOST_TEST((maps[0].shards[0].replicas[1] == TargetId("b")));
 }
 
-// The caller would see an answer that claims to be whole. The builder publishes
-// a map with a hole or an overlap; keys in a hole are asked for nowhere, keys
-// in an overlap are answered twice.
-BOOST_AUTO_TEST_CASE(ReadPartitionMaps_BrokenPartition_IsRefused) {
+// Guards against an incomplete or doubled answer that claims to be whole. It
+// comes about when an index builder publishes a map with a gap or an overlap:
+// keys in a gap are asked from no target, keys in an overlap are answered
+// twice.
+BOOST_AUTO_TEST_CASE(ReadPartitionMaps_InvalidPartition_IsRejected) {
   for (const std::string shards :
        {R"({"id":0,"range":[0,10],"replicas":["a"]})",
         R"({"id":0,"range":[1,4294967296],"replicas":["a"]})",
@@ -53,7 +54,7 @@
         R"({"id":0,"range":[0],"replicas":["a"]})",
         R"({"id":-1,"range":[0,4294967296],"replicas":["a"]})", ""}) {
     BOOST_TEST_CONTEXT(shards) {
-      const auto read = Read(Index(shards));
+      const auto read = Read(MakeIndex(shards));
       BOOST_REQUIRE(read.index() == 1U);
       BOOST_TEST((std::get<Error>(read).code == ErrorCode::kCorrupt));
     }
@@ -66,7 +67,7 @@
   BOOST_TEST(std::get<Error>(read).subject == "index/S.versions[0].version");
 }
 
-BOOST_AUTO_TEST_CASE(ReadPartitionMaps_VersionsOutOfOrder_AreRefused) {
+BOOST_AUTO_TEST_CASE(ReadPartitionMaps_VersionsOutOfOrder_AreRejected) {
   const std::string shards =
       R"("shards":[{"id":0,"range":[0,4294967296],"replicas":["a"]}])";
   const auto versions = [&](const std::string& first,
