--- a/bench/support/forward_model.cc
+++ b/bench/support/forward_model.cc
@@ -78,7 +78,7 @@
     m_model.Send(m_index, attempt);
   }
   void Cancel(AttemptId attempt) override { m_model.Cancel(m_index, attempt); }
-  void Deliver(CallId call, ForwardAnswer answer, const CallStory&) override {
+  void Deliver(CallId call, ForwardAnswer answer, const CallTrace&) override {
     m_model.Deliver(call, answer);
   }
   void ShareConviction(Fingerprint) override {}
--- a/src/jacinthdeck/entry/caller_handler.h
+++ b/src/jacinthdeck/entry/caller_handler.h
@@ -11,7 +11,7 @@
 #include "jacinthdeck/core/clock.h"
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/core/time.h"
-#include "jacinthdeck/forward/call_story.h"
+#include "jacinthdeck/forward/call_trace.h"
 #include "jacinthdeck/forward/forward_answer.h"
 #include "jacinthdeck/forward/forward_call.h"
 #include "jacinthdeck/http/edge_connection.h"
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -47,10 +47,10 @@
 
 //! Attempts as a JSON array; good ones of a fan-out are left out, since there
 //! are as many as shards.
-[[nodiscard]] std::string AttemptsText(const CallStory& story) {
+[[nodiscard]] std::string AttemptsText(const CallTrace& story) {
   std::string text = "[";
   std::size_t told = 0;
-  for (const AttemptNote& note : story.attempts) {
+  for (const AttemptTrace& note : story.attempts) {
     const bool ended = note.took >= Duration::zero();
     const bool good = ended && note.outcome == AttemptOutcome::kResponse &&
                       note.reason == AttemptReason::kFirst && note.status < 300;
@@ -86,7 +86,7 @@
     m_log.Drop();
     return;
   }
-  const CallStory& story = call.story;
+  const CallTrace& story = call.story;
   LogLine line = m_log.Begin(event);
   line.Text("request", call.request_id)
       .Text("answer", kAnswerKindNames.Name(call.answer.kind))
--- a/src/jacinthdeck/entry/decision_log.h
+++ b/src/jacinthdeck/entry/decision_log.h
@@ -11,7 +11,7 @@
 #include "jacinthdeck/discovery/knowledge.h"
 #include "jacinthdeck/discovery/store_session.h"
 #include "jacinthdeck/entry/event_log.h"
-#include "jacinthdeck/forward/call_story.h"
+#include "jacinthdeck/forward/call_trace.h"
 #include "jacinthdeck/forward/forward_answer.h"
 #include "jacinthdeck/forward/forward_counters.h"
 
@@ -31,7 +31,7 @@
 struct EndedCall {
   const std::string& request_id;
   const ForwardAnswer& answer;
-  const CallStory& story;
+  const CallTrace& story;
   Duration took;
   //! Age of the knowledge that decided it: since the store was last heard.
   Duration knowledge_age;
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -190,7 +190,7 @@
 
 void EntryNode::Deliver(CallId call,
                         ForwardAnswer answer,
-                        const CallStory& story) {
+                        const CallTrace& story) {
   const WaitingCaller caller = m_caller_handler.Take(call);
   if (caller.connection == nullptr) {
     return;
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -69,7 +69,7 @@
   void Cancel(AttemptId attempt) override;
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallStory& story) override;
+               const CallTrace& story) override;
   void ShareConviction(Fingerprint fingerprint) override;
   void OnAttemptEnd(AttemptEnd& end) override;
   void OnKnowledge(const KnowledgeChange& change,
--- a/src/jacinthdeck/entry/node_metrics.cc
+++ b/src/jacinthdeck/entry/node_metrics.cc
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-CallLabels LabelsOf(const ForwardAnswer& answer, const CallStory& story) {
+CallLabels LabelsOf(const ForwardAnswer& answer, const CallTrace& story) {
   CallLabels labels;
   if (story.route != nullptr) {
     labels.tenant = TenantId(story.route->host);
--- a/src/jacinthdeck/entry/node_metrics.h
+++ b/src/jacinthdeck/entry/node_metrics.h
@@ -30,7 +30,7 @@
 
 /*! \brief Says under which labels a call is counted. */
 [[nodiscard]] CallLabels LabelsOf(const ForwardAnswer& answer,
-                                  const CallStory& story);
+                                  const CallTrace& story);
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/forward/call_story.h
+++ b/src/jacinthdeck/forward/call_trace.h
@@ -1,6 +1,6 @@
 // What happened to a call, for logs and metrics.
-#ifndef JACINTHDECK_FORWARD_CALL_STORY_H_
-#define JACINTHDECK_FORWARD_CALL_STORY_H_
+#ifndef JACINTHDECK_FORWARD_CALL_TRACE_H_
+#define JACINTHDECK_FORWARD_CALL_TRACE_H_
 
 #include <cstdint>
 #include <memory>
@@ -10,14 +10,14 @@
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/forward/attempt_end.h"
+#include "jacinthdeck/forward/latency_estimate.h"
 #include "jacinthdeck/forward/route.h"
 #include "jacinthdeck/forward/routing_config.h"
-#include "jacinthdeck/forward/usual_latency.h"
 
 namespace jacinthdeck {
 
 /*! \brief One attempt of a call. */
-struct AttemptNote {
+struct AttemptTrace {
   AttemptId id;
   //! Position of the shard in the route; 0 without fan-out.
   std::uint32_t shard = 0;
@@ -34,7 +34,7 @@
 };
 
 /*! \brief What was decided on a call, and on which knowledge. */
-struct CallStory {
+struct CallTrace {
   //! Null if no configuration was known.
   std::shared_ptr<const RoutingConfig> config;
   //! Null if no route matched; lies in config.
@@ -55,14 +55,14 @@
   //! Targets that take work, of the shard that has fewest.
   std::uint32_t fewest_targets = 0;
   //! Latency of the route that `expected` was reckoned with.
-  UsualLatency usual;
+  LatencyEstimate usual;
   //! Positions of the shards that the answer lacks.
   std::vector<std::uint32_t> missing;
   //! Extra attempts that the budget of a service refused.
   std::uint32_t budget_refusals = 0;
-  std::vector<AttemptNote> attempts;
+  std::vector<AttemptTrace> attempts;
 };
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_CALL_STORY_H_
+#endif  // JACINTHDECK_FORWARD_CALL_TRACE_H_
--- a/src/jacinthdeck/forward/cold_share.cc
+++ b/src/jacinthdeck/forward/cold_target_limiter.cc
@@ -1,6 +1,6 @@
 // Rendezvous hashing: the hosts with the highest weights for a target are
 // appointed.
-#include "jacinthdeck/forward/cold_share.h"
+#include "jacinthdeck/forward/cold_target_limiter.h"
 
 #include <xxhash.h>
 
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-void ColdShare::SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
+void ColdTargetLimiter::SetHosts(const NodeId& self,
+                                 std::span<const NodeId> hosts) {
   m_self = HashOf(self.raw(), 0);
   m_has_share = false;
   m_others.clear();
@@ -31,28 +32,29 @@
   }
 }
 
-double ColdShare::RateOf(const TargetId& target, double bound) const {
+double ColdTargetLimiter::RateOf(const TargetId& target, double bound) const {
   return IsAppointed(target, bound) ? RateIfAppointed(bound) : 0;
 }
 
-bool ColdShare::MaySend(const TargetId& target,
-                        double bound,
-                        TimePoint last,
-                        TimePoint now) const {
+bool ColdTargetLimiter::MaySend(const TargetId& target,
+                                double bound,
+                                TimePoint last,
+                                TimePoint now) const {
   const auto elapsed = std::chrono::duration<double>(now - last).count();
   return elapsed * RateIfAppointed(bound) >= 1 && IsAppointed(target, bound);
 }
 
-double ColdShare::Appointed(double bound) const noexcept {
+double ColdTargetLimiter::Appointed(double bound) const noexcept {
   const double hosts = static_cast<double>(m_others.size() + 1);
   return std::clamp(std::floor(bound / kLeastRate), 1.0, hosts);
 }
 
-double ColdShare::RateIfAppointed(double bound) const noexcept {
+double ColdTargetLimiter::RateIfAppointed(double bound) const noexcept {
   return bound / Appointed(bound);
 }
 
-bool ColdShare::IsAppointed(const TargetId& target, double bound) const {
+bool ColdTargetLimiter::IsAppointed(const TargetId& target,
+                                    double bound) const {
   if (!m_has_share) {
     return false;
   }
--- a/src/jacinthdeck/forward/cold_share.h
+++ b/src/jacinthdeck/forward/cold_target_limiter.h
@@ -1,6 +1,6 @@
 // Which hosts send to a cold target, and how often.
-#ifndef JACINTHDECK_FORWARD_COLD_SHARE_H_
-#define JACINTHDECK_FORWARD_COLD_SHARE_H_
+#ifndef JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
+#define JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
 
 #include <cstdint>
 #include <span>
@@ -23,7 +23,7 @@
  * Hosts that know different lists appoint almost the same hosts: one that joins
  * or leaves changes the share of itself and of one other for each target.
  */
-class ColdShare {
+class ColdTargetLimiter {
  public:
   /*! \brief Least requests a second of an appointed host, if the bound allows
    * as many. */
@@ -65,4 +65,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_COLD_SHARE_H_
+#endif  // JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
--- a/src/jacinthdeck/forward/forward_port.h
+++ b/src/jacinthdeck/forward/forward_port.h
@@ -4,7 +4,7 @@
 
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/forward/attempt_end.h"
-#include "jacinthdeck/forward/call_story.h"
+#include "jacinthdeck/forward/call_trace.h"
 #include "jacinthdeck/forward/forward_answer.h"
 
 namespace jacinthdeck {
@@ -28,7 +28,7 @@
   /*! \brief Gives a caller its final answer. */
   virtual void Deliver(CallId call,
                        ForwardAnswer answer,
-                       const CallStory& story) = 0;
+                       const CallTrace& story) = 0;
 
   /*! \brief Tells the other hosts that a request crashes its targets. */
   virtual void ShareConviction(Fingerprint fingerprint) = 0;
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -26,7 +26,7 @@
 #include "jacinthdeck/forward/pending_call.h"
 #include "jacinthdeck/forward/routing_config.h"
 #include "jacinthdeck/forward/target_set.h"
-#include "jacinthdeck/forward/weighted_turn.h"
+#include "jacinthdeck/forward/weighted_round_robin.h"
 
 namespace jacinthdeck {
 
@@ -114,7 +114,7 @@
               AnswerKind kind,
               ForwardReason reason,
               std::optional<Duration> retry_after,
-              const CallStory& story);
+              const CallTrace& story);
   [[nodiscard]] bool Open(PendingCall& open);
   void SetTimes(PendingCall& open) const;
   [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(PendingCall& open,
@@ -129,9 +129,9 @@
                                     const TargetChoice& choice,
                                     TimePoint now) const;
   //! What a first attempt needs, with this share of its target.
-  [[nodiscard]] TargetNeed NeedOf(const PendingCall& open,
-                                  const ServiceId& service,
-                                  const TargetShare& share) const;
+  [[nodiscard]] TargetCriteria NeedOf(const PendingCall& open,
+                                      const ServiceId& service,
+                                      const TargetShare& share) const;
   [[nodiscard]] Duration ExpectedDelay(PendingCall& open, TimePoint now);
   [[nodiscard]] Duration ComeBackAfter(ForwardReason reason,
                                        const PendingCall& open);
@@ -146,8 +146,8 @@
                 TimePoint now);
   void Launch(PendingCall& open,
               std::size_t part,
-              const TargetNeed& need,
-              LearnedTarget& target,
+              const TargetCriteria& need,
+              TrackedTarget& target,
               bool paid,
               TimePoint now);
   //! Tells whether a further shard that is given up leaves no answer.
@@ -211,7 +211,7 @@
   std::uint64_t m_next_attempt = 1;
   //! By route name; they outlive configurations. References stay valid.
   std::map<std::string, LatencyProfile> m_profiles;
-  std::unordered_map<std::string, WeightedTurn> m_turns;
+  std::unordered_map<std::string, WeightedRoundRobin> m_turns;
   std::unordered_map<ServiceId, AttemptBudget> m_budgets;
   //! References to its elements stay valid until they are erased.
   std::unordered_map<CallId, PendingCall> m_calls;
--- a/src/jacinthdeck/forward/forwarder_admission.cc
+++ b/src/jacinthdeck/forward/forwarder_admission.cc
@@ -54,12 +54,12 @@
 }
 
 //! Tells whether at most half of the shards have a queue.
-[[nodiscard]] bool IsLocal(const CallStory& story) {
+[[nodiscard]] bool IsLocal(const CallTrace& story) {
   return 2 * story.full <= story.shards;
 }
 
 //! Longest delay with which a call is worth its work.
-[[nodiscard]] Duration MostDelay(const Route& route, const CallStory& story) {
+[[nodiscard]] Duration MostDelay(const Route& route, const CallTrace& story) {
   const double most = IsLocal(story) ? kMostLocalDelay : kMostDelay;
   const double part =
       std::max(most - kDelayStep * route.priority, kLeastMostDelay);
@@ -201,17 +201,17 @@
   if (choice.target == nullptr) {
     // Where neither a target nor the route was measured there is no wait to
     // tell of: the call looks for a place, and is refused if it finds none.
-    const UsualLatency usual = open.profile->usual();
+    const LatencyEstimate usual = open.profile->usual();
     const Duration known = usual.is_measured() ? usual.mean : Duration::zero();
     return m_targets.UsualOf(service, known) * kNoPlaceMeans;
   }
   return choice.target->Occupancy(now) < 1 ? Duration::zero() : choice.expected;
 }
 
-TargetNeed Forwarder::NeedOf(const PendingCall& open,
-                             const ServiceId& service,
-                             const TargetShare& share) const {
-  TargetNeed need;
+TargetCriteria Forwarder::NeedOf(const PendingCall& open,
+                                 const ServiceId& service,
+                                 const TargetShare& share) const {
+  TargetCriteria need;
   need.service = service;
   need.usual = open.profile->usual();
   need.share = share;
@@ -272,7 +272,7 @@
                        AnswerKind kind,
                        ForwardReason reason,
                        std::optional<Duration> retry_after,
-                       const CallStory& story) {
+                       const CallTrace& story) {
   ForwardAnswer answer;
   answer.kind = kind;
   answer.reason = reason;
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -44,7 +44,7 @@
  * another target is free soon after.
  */
 [[nodiscard]] bool HasLeftUnanswered(const internal::CallPart& part,
-                                     const LearnedTarget& target,
+                                     const TrackedTarget& target,
                                      TimePoint now) {
   return target.IsDoubtful(now) &&
          std::ranges::find(part.tried, target.entry().id) != part.tried.end();
@@ -97,7 +97,7 @@
     }
     return;
   }
-  TargetNeed need = NeedOf(open, part.service, ShareOf(open, part.service));
+  TargetCriteria need = NeedOf(open, part.service, ShareOf(open, part.service));
   need.tried = part.tried;
   need.reason = reason;
   need.useful = UsefulTime(open, reason, now);
@@ -134,8 +134,8 @@
 
 void Forwarder::Launch(PendingCall& open,
                        std::size_t part_index,
-                       const TargetNeed& need,
-                       LearnedTarget& target,
+                       const TargetCriteria& need,
+                       TrackedTarget& target,
                        bool paid,
                        TimePoint now) {
   CallPart& part = open.parts[part_index];
@@ -159,11 +159,11 @@
     part.hedge_at = now + open.profile->hedge_delay();
   }
   open.story.attempts.push_back(
-      AttemptNote{.id = id,
-                  .shard = static_cast<std::uint32_t>(part_index),
-                  .target = target.entry().id,
-                  .reason = reason,
-                  .sent = now - open.call.arrived});
+      AttemptTrace{.id = id,
+                   .shard = static_cast<std::uint32_t>(part_index),
+                   .target = target.entry().id,
+                   .reason = reason,
+                   .sent = now - open.call.arrived});
   m_port.Send(OutgoingAttempt{
       id, target.entry(), open.call.request, open.call.deadline,
       ConnectionLimit(open, part.service),
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -31,7 +31,7 @@
 void Forwarder::Learn(const PendingAttempt& attempt,
                       const AttemptEnd& end,
                       TimePoint now) {
-  LearnedTarget& target = *attempt.target;
+  TrackedTarget& target = *attempt.target;
   switch (end.outcome) {
     case AttemptOutcome::kResponse:
       if (end.response.succeeded()) {
@@ -62,7 +62,7 @@
 
 void Forwarder::Note(PendingCall& open, const AttemptEnd& end, TimePoint now) {
   const auto note =
-      std::ranges::find(open.story.attempts, end.id, &AttemptNote::id);
+      std::ranges::find(open.story.attempts, end.id, &AttemptTrace::id);
   if (note == open.story.attempts.end()) {
     return;
   }
--- a/src/jacinthdeck/forward/fwd.h
+++ b/src/jacinthdeck/forward/fwd.h
@@ -6,15 +6,15 @@
 namespace jacinthdeck {
 
 class AttemptBudget;
-class ColdShare;
+class ColdTargetLimiter;
 class CrashGuard;
 class Forwarder;
 class LatencyProfile;
 class RoutingConfig;
 class TargetPick;
 class TargetSet;
-class LearnedTarget;
-class WeightedTurn;
+class TrackedTarget;
+class WeightedRoundRobin;
 struct AttemptEnd;
 struct ForwardAnswer;
 struct ForwardCall;
@@ -25,7 +25,7 @@
 struct Route;
 struct TargetEntry;
 struct TargetResponse;
-struct UsualLatency;
+struct LatencyEstimate;
 enum class AttemptOutcome;
 enum class ForwardReason;
 enum class RepeatRule;
--- a/src/jacinthdeck/forward/in_flight_bound.cc
+++ b/src/jacinthdeck/forward/in_flight_limit.cc
@@ -1,5 +1,5 @@
 // An equal share of a few turns of the target's slots.
-#include "jacinthdeck/forward/in_flight_bound.h"
+#include "jacinthdeck/forward/in_flight_limit.h"
 
 #include <algorithm>
 
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-std::uint32_t MostInFlight(const TargetShare& share,
-                           std::uint32_t slots) noexcept {
+std::uint32_t MaxInFlight(const TargetShare& share,
+                          std::uint32_t slots) noexcept {
   const std::uint32_t hosts = std::max(share.hosts, 1U);
   const std::uint32_t places = kTurns * std::max(slots, 1U);
   const std::uint32_t fair = (places + hosts - 1) / hosts;
--- a/src/jacinthdeck/forward/in_flight_bound.h
+++ b/src/jacinthdeck/forward/in_flight_limit.h
@@ -1,6 +1,6 @@
 // How many attempts one host may have at a target at once.
-#ifndef JACINTHDECK_FORWARD_IN_FLIGHT_BOUND_H_
-#define JACINTHDECK_FORWARD_IN_FLIGHT_BOUND_H_
+#ifndef JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
+#define JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
 
 #include <cstdint>
 
@@ -29,9 +29,9 @@
  * \return At least 1; at least 2 where connections allow it, since a host with
  * two calls at a time must not lose a target to the first.
  */
-[[nodiscard]] std::uint32_t MostInFlight(const TargetShare& share,
-                                         std::uint32_t slots) noexcept;
+[[nodiscard]] std::uint32_t MaxInFlight(const TargetShare& share,
+                                        std::uint32_t slots) noexcept;
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_IN_FLIGHT_BOUND_H_
+#endif  // JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
--- a/src/jacinthdeck/forward/usual_latency.h
+++ b/src/jacinthdeck/forward/latency_estimate.h
@@ -1,6 +1,6 @@
 // What an answer of a route usually takes, and whether that is known.
-#ifndef JACINTHDECK_FORWARD_USUAL_LATENCY_H_
-#define JACINTHDECK_FORWARD_USUAL_LATENCY_H_
+#ifndef JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
+#define JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
 
 #include <cstdint>
 
@@ -9,7 +9,7 @@
 namespace jacinthdeck {
 
 /*! \brief Average latency of a route's answers. */
-struct UsualLatency {
+struct LatencyEstimate {
   Duration mean{};
   //! Answers that it was measured on; 0: it is a guess.
   std::uint64_t samples = 0;
@@ -19,4 +19,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_USUAL_LATENCY_H_
+#endif  // JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -51,7 +51,7 @@
       m_hedge_delay(Scaled(m_objective, kLatestHedgePart)),
       m_late_after(Scaled(m_hedge_delay, kLateFactor)) {}
 
-UsualLatency LatencyProfile::usual() const noexcept {
+LatencyEstimate LatencyProfile::usual() const noexcept {
   const std::uint64_t samples = m_histogram.samples();
   return {.mean = m_mean, .samples = samples < kLeastSamples ? 0 : samples};
 }
--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -3,7 +3,7 @@
 #define JACINTHDECK_FORWARD_LATENCY_PROFILE_H_
 
 #include "jacinthdeck/core/time.h"
-#include "jacinthdeck/forward/usual_latency.h"
+#include "jacinthdeck/forward/latency_estimate.h"
 #include "jacinthdeck/routing/decaying_average.h"
 #include "jacinthdeck/routing/latency_histogram.h"
 
@@ -23,7 +23,7 @@
   [[nodiscard]] Duration mean() const noexcept { return m_mean; }
 
   /*! \brief The mean, and whether it is more than a guess. */
-  [[nodiscard]] UsualLatency usual() const noexcept;
+  [[nodiscard]] LatencyEstimate usual() const noexcept;
 
   /*! \brief Time below which an attempt is not worth its work; zero while the
    * mean is a guess, which must not end a call. */
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -9,11 +9,11 @@
 
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/core/time.h"
-#include "jacinthdeck/forward/call_story.h"
+#include "jacinthdeck/forward/call_trace.h"
 #include "jacinthdeck/forward/forward_answer.h"
 #include "jacinthdeck/forward/forward_call.h"
 #include "jacinthdeck/forward/latency_profile.h"
-#include "jacinthdeck/forward/learned_target.h"
+#include "jacinthdeck/forward/tracked_target.h"
 
 namespace jacinthdeck::internal {
 
@@ -62,7 +62,7 @@
   TimePoint final_at;
   //! When an answer without all shards goes out if enough are in.
   TimePoint partial_at;
-  CallStory story;
+  CallTrace story;
 };
 
 /*! \brief An attempt without an end; it may outlive its call. */
@@ -70,7 +70,7 @@
   CallId call;
   std::size_t part = 0;
   //! Never null; targets stay while attempts are in flight.
-  LearnedTarget* target = nullptr;
+  TrackedTarget* target = nullptr;
   LatencyProfile* profile = nullptr;
   TimePoint sent;
   AttemptReason reason = AttemptReason::kFirst;
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -41,23 +41,23 @@
   return std::ranges::find(ids, id) != ids.end();
 }
 
-[[nodiscard]] bool IsInGoodTime(Duration expected, const TargetNeed& need) {
+[[nodiscard]] bool IsInGoodTime(Duration expected, const TargetCriteria& need) {
   return expected * kGoodTimePart <= need.objective;
 }
 
-[[nodiscard]] bool SuitsHedge(const LearnedTarget& target,
-                              const TargetNeed& need,
+[[nodiscard]] bool SuitsHedge(const TrackedTarget& target,
+                              const TargetCriteria& need,
                               TimePoint now) {
   return !Contains(need.tried, target.entry().id) && !target.IsDoubtful(now) &&
          target.Occupancy(now) < kHedgeOccupancy;
 }
 
 //! Tells whether this host may have one more attempt at the target.
-[[nodiscard]] bool HasPlace(const LearnedTarget& target,
-                            const TargetNeed& need) {
+[[nodiscard]] bool HasPlace(const TrackedTarget& target,
+                            const TargetCriteria& need) {
   const std::size_t like =
       need.needed ? target.needed_in_flight() : target.in_flight();
-  return like < MostInFlight(need.share, target.entry().slots) &&
+  return like < MaxInFlight(need.share, target.entry().slots) &&
          target.in_flight() < std::max(need.share.connections, 1U);
 }
 
@@ -72,22 +72,22 @@
     return 0;
   }
   return static_cast<std::size_t>(
-      std::ranges::count_if(found->second, &LearnedTarget::TakesWork));
+      std::ranges::count_if(found->second, &TrackedTarget::TakesWork));
 }
 
-LearnedTarget* TargetSet::Find(const TargetId& id) {
+TrackedTarget* TargetSet::Find(const TargetId& id) {
   const auto found = m_targets.find(id);
   return found == m_targets.end() ? nullptr : found->second.get();
 }
 
-TargetChoice TargetSet::Pick(const TargetNeed& need, TimePoint now) {
+TargetChoice TargetSet::Pick(const TargetCriteria& need, TimePoint now) {
   const auto found = m_by_service.find(need.service);
   if (found == m_by_service.end()) {
     return {};
   }
   TargetChoice best;
   double best_score = std::numeric_limits<double>::max();
-  for (LearnedTarget* target : found->second) {
+  for (TrackedTarget* target : found->second) {
     if (!target->TakesWork() || !HasPlace(*target, need) ||
         !MayLoad(*target, need, now)) {
       continue;
@@ -117,7 +117,7 @@
   if (found == m_by_service.end()) {
     return other;
   }
-  for (const LearnedTarget* target : found->second) {
+  for (const TrackedTarget* target : found->second) {
     if (target->TakesWork() && target->usual() > Duration::zero()) {
       sum += target->usual();
       ++known;
@@ -132,7 +132,7 @@
     named.insert(entry.id);
     auto& slot = m_targets[entry.id];
     if (slot == nullptr) {
-      slot = std::make_unique<LearnedTarget>(entry, now);
+      slot = std::make_unique<TrackedTarget>(entry, now);
     } else {
       slot->SetEntry(entry, now);
     }
@@ -152,16 +152,16 @@
   }
 }
 
-bool TargetSet::MayLoad(const LearnedTarget& target,
-                        const TargetNeed& need,
+bool TargetSet::MayLoad(const TrackedTarget& target,
+                        const TargetCriteria& need,
                         TimePoint now) const {
   return need.cold_rate <= 0 || !target.entry().IsCold(now) ||
          m_cold_share.MaySend(target.entry().id, need.cold_rate,
                               target.last_sent(), now);
 }
 
-double TargetSet::Score(const LearnedTarget& target,
-                        const TargetNeed& need,
+double TargetSet::Score(const TrackedTarget& target,
+                        const TargetCriteria& need,
                         Duration expected,
                         TimePoint now) {
   const double mean =
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -13,18 +13,18 @@
 #include "jacinthdeck/core/random.h"
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/forward/attempt_end.h"
-#include "jacinthdeck/forward/cold_share.h"
-#include "jacinthdeck/forward/in_flight_bound.h"
-#include "jacinthdeck/forward/learned_target.h"
-#include "jacinthdeck/forward/usual_latency.h"
+#include "jacinthdeck/forward/cold_target_limiter.h"
+#include "jacinthdeck/forward/in_flight_limit.h"
+#include "jacinthdeck/forward/latency_estimate.h"
+#include "jacinthdeck/forward/tracked_target.h"
 
 namespace jacinthdeck {
 
 /*! \brief What an attempt needs of its target. */
-struct TargetNeed {
+struct TargetCriteria {
   ServiceId service;
   //! Latency of the route.
-  UsualLatency usual;
+  LatencyEstimate usual;
   //! Targets that had this request before.
   std::span<const TargetId> tried;
   AttemptReason reason = AttemptReason::kFirst;
@@ -49,7 +49,7 @@
 /*! \brief A chosen target. */
 struct TargetChoice {
   //! Null if no target may get the attempt.
-  LearnedTarget* target = nullptr;
+  TrackedTarget* target = nullptr;
   //! Estimate for the attempt; has a meaning if there is a target.
   Duration expected{};
 };
@@ -73,7 +73,7 @@
   [[nodiscard]] std::size_t Live(const ServiceId& service) const;
 
   /*! \brief Finds a target by its id; null if it is unknown. */
-  [[nodiscard]] LearnedTarget* Find(const TargetId& id);
+  [[nodiscard]] TrackedTarget* Find(const TargetId& id);
 
   /*! \brief Number of targets that take work, over all services. */
   [[nodiscard]] std::size_t size() const noexcept { return m_live; }
@@ -83,7 +83,7 @@
    * \return No target if none takes work, has room, or suits the reason: a
    * hedge only goes where a slot is likely free.
    */
-  [[nodiscard]] TargetChoice Pick(const TargetNeed& need, TimePoint now);
+  [[nodiscard]] TargetChoice Pick(const TargetCriteria& need, TimePoint now);
 
   /**
    * \brief Usual latency of the requests that a service's targets answer.
@@ -106,20 +106,20 @@
  private:
   //! Tells whether the target is warm, or this host's share of what it bears
   //! while it is cold allows one more request.
-  [[nodiscard]] bool MayLoad(const LearnedTarget& target,
-                             const TargetNeed& need,
+  [[nodiscard]] bool MayLoad(const TrackedTarget& target,
+                             const TargetCriteria& need,
                              TimePoint now) const;
-  [[nodiscard]] double Score(const LearnedTarget& target,
-                             const TargetNeed& need,
+  [[nodiscard]] double Score(const TrackedTarget& target,
+                             const TargetCriteria& need,
                              Duration expected,
                              TimePoint now);
 
   FailureDomain m_domain;
-  ColdShare m_cold_share;
+  ColdTargetLimiter m_cold_share;
   Random m_random;
-  std::unordered_map<TargetId, std::unique_ptr<LearnedTarget>> m_targets;
+  std::unordered_map<TargetId, std::unique_ptr<TrackedTarget>> m_targets;
   //! Targets that are not gone.
-  std::unordered_map<ServiceId, std::vector<LearnedTarget*>> m_by_service;
+  std::unordered_map<ServiceId, std::vector<TrackedTarget*>> m_by_service;
   std::size_t m_live = 0;
 };
 
--- a/src/jacinthdeck/forward/learned_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -1,5 +1,5 @@
 // Learns from the ends of attempts.
-#include "jacinthdeck/forward/learned_target.h"
+#include "jacinthdeck/forward/tracked_target.h"
 
 #include <algorithm>
 #include <cmath>
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-LearnedTarget::LearnedTarget(TargetEntry entry, TimePoint now)
+TrackedTarget::TrackedTarget(TargetEntry entry, TimePoint now)
     : m_entry(std::move(entry)),
       m_last_reply(now),
       m_slowness(kSlownessMemory),
@@ -52,12 +52,12 @@
       m_doubtful_until(now),
       m_load_at(now - kLoadLife) {}
 
-std::size_t LearnedTarget::needed_in_flight() const noexcept {
+std::size_t TrackedTarget::needed_in_flight() const noexcept {
   return static_cast<std::size_t>(
       std::ranges::count_if(m_in_flight, &InFlight::needed));
 }
 
-bool LearnedTarget::IsDoubtful(TimePoint now) const noexcept {
+bool TrackedTarget::IsDoubtful(TimePoint now) const noexcept {
   if (now < m_doubtful_until || IsSilent(now)) {
     return true;
   }
@@ -65,7 +65,7 @@
   return m_unanswered_in_row > 0 && !m_in_flight.empty();
 }
 
-Duration LearnedTarget::ExpectedDelay(const UsualLatency& usual,
+Duration TrackedTarget::ExpectedDelay(const LatencyEstimate& usual,
                                       TimePoint now) const {
   const double mean = static_cast<double>(usual.mean.count());
   const double served = m_usual.samples() > 0 ? m_usual.value() : mean;
@@ -81,7 +81,7 @@
       static_cast<Duration::rep>(own * work + queued * slowness * wait));
 }
 
-double LearnedTarget::Occupancy(TimePoint now) const noexcept {
+double TrackedTarget::Occupancy(TimePoint now) const noexcept {
   const auto age = static_cast<double>((now - m_load_at).count());
   const double fresh =
       std::max(1 - age / static_cast<double>(kLoadLife.count()), 0.0);
@@ -92,12 +92,12 @@
   return total / std::max<double>(m_entry.slots, 1);
 }
 
-double LearnedTarget::FailureRate(TimePoint now) const noexcept {
+double TrackedTarget::FailureRate(TimePoint now) const noexcept {
   const auto age = static_cast<double>((now - m_failed_at).count());
   return m_failure_rate * std::exp2(-age / kFailureHalfLifeMicroseconds);
 }
 
-void LearnedTarget::SetEntry(const TargetEntry& entry, TimePoint now) {
+void TrackedTarget::SetEntry(const TargetEntry& entry, TimePoint now) {
   const bool new_life = entry.started_ms != m_entry.started_ms ||
                         entry.address != m_entry.address ||
                         entry.port != m_entry.port;
@@ -114,7 +114,7 @@
   m_last_reply = now;
 }
 
-void LearnedTarget::OnSend(AttemptId attempt,
+void TrackedTarget::OnSend(AttemptId attempt,
                            Duration late_after,
                            bool needed,
                            TimePoint now) {
@@ -122,9 +122,9 @@
   m_last_sent = now;
 }
 
-void LearnedTarget::OnAnswer(AttemptId attempt,
+void TrackedTarget::OnAnswer(AttemptId attempt,
                              Duration latency,
-                             const UsualLatency& usual,
+                             const LatencyEstimate& usual,
                              TimePoint now) {
   (void)Take(attempt);
   OnAlive(now);
@@ -139,38 +139,38 @@
   m_failed_at = now;
 }
 
-void LearnedTarget::OnFailure(AttemptId attempt, TimePoint now) {
+void TrackedTarget::OnFailure(AttemptId attempt, TimePoint now) {
   (void)Take(attempt);
   OnAlive(now);
   AddFailure(kFailureWeight, now);
 }
 
-void LearnedTarget::OnShed(AttemptId attempt, TimePoint now) {
+void TrackedTarget::OnShed(AttemptId attempt, TimePoint now) {
   (void)Take(attempt);
   OnAlive(now);
   AddFailure(kShedWeight, now);
 }
 
-void LearnedTarget::OnLost(AttemptId attempt, TimePoint now) {
+void TrackedTarget::OnLost(AttemptId attempt, TimePoint now) {
   (void)Take(attempt);
   AddFailure(kFailureWeight, now);
   OnUnanswered(now);
 }
 
-void LearnedTarget::OnCancel(AttemptId attempt, TimePoint now) {
+void TrackedTarget::OnCancel(AttemptId attempt, TimePoint now) {
   const auto taken = Take(attempt);
   if (taken && now - std::max(taken->sent, m_last_reply) > taken->late_after) {
     OnUnanswered(now);
   }
 }
 
-void LearnedTarget::OnLoad(const LoadReport& report, TimePoint now) {
+void TrackedTarget::OnLoad(const LoadReport& report, TimePoint now) {
   m_load = report;
   m_load_at = now;
   m_own_in_load = m_in_flight.size();
 }
 
-std::optional<LearnedTarget::InFlight> LearnedTarget::Take(AttemptId attempt) {
+std::optional<TrackedTarget::InFlight> TrackedTarget::Take(AttemptId attempt) {
   const auto found = std::ranges::find(m_in_flight, attempt, &InFlight::id);
   if (found == m_in_flight.end()) {
     return std::nullopt;
@@ -180,24 +180,24 @@
   return taken;
 }
 
-bool LearnedTarget::IsSilent(TimePoint now) const noexcept {
+bool TrackedTarget::IsSilent(TimePoint now) const noexcept {
   return std::ranges::any_of(m_in_flight, [&](const InFlight& attempt) {
     return now - std::max(attempt.sent, m_last_reply) > attempt.late_after;
   });
 }
 
-void LearnedTarget::OnAlive(TimePoint now) noexcept {
+void TrackedTarget::OnAlive(TimePoint now) noexcept {
   m_last_reply = now;
   m_unanswered_in_row = 0;
   m_doubtful_until = now;
 }
 
-void LearnedTarget::AddFailure(double weight, TimePoint now) {
+void TrackedTarget::AddFailure(double weight, TimePoint now) {
   m_failure_rate = FailureRate(now) * (1 - weight) + weight;
   m_failed_at = now;
 }
 
-void LearnedTarget::OnUnanswered(TimePoint now) {
+void TrackedTarget::OnUnanswered(TimePoint now) {
   const std::uint32_t doublings = std::min(m_unanswered_in_row, kMostDoublings);
   m_doubtful_until =
       now + std::min(kFirstDoubt * (1U << doublings), kLongestDoubt);
--- a/src/jacinthdeck/forward/learned_target.h
+++ b/src/jacinthdeck/forward/tracked_target.h
@@ -1,6 +1,6 @@
 // What this host has learned of one target.
-#ifndef JACINTHDECK_FORWARD_LEARNED_TARGET_H_
-#define JACINTHDECK_FORWARD_LEARNED_TARGET_H_
+#ifndef JACINTHDECK_FORWARD_TRACKED_TARGET_H_
+#define JACINTHDECK_FORWARD_TRACKED_TARGET_H_
 
 #include <cstdint>
 #include <optional>
@@ -8,9 +8,9 @@
 
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/core/time.h"
+#include "jacinthdeck/forward/latency_estimate.h"
 #include "jacinthdeck/forward/load_report.h"
 #include "jacinthdeck/forward/target_entry.h"
-#include "jacinthdeck/forward/usual_latency.h"
 #include "jacinthdeck/routing/decaying_average.h"
 
 namespace jacinthdeck {
@@ -21,9 +21,9 @@
  * Health checks are not asked: they lag, lie, and take a slot. What counts is
  * how the target's own work ends.
  */
-class LearnedTarget {
+class TrackedTarget {
  public:
-  explicit LearnedTarget(TargetEntry entry, TimePoint now);
+  explicit TrackedTarget(TargetEntry entry, TimePoint now);
 
   [[nodiscard]] const TargetEntry& entry() const noexcept { return m_entry; }
   [[nodiscard]] bool gone() const noexcept { return m_gone; }
@@ -64,7 +64,7 @@
    * the target usually takes.
    * \param now Present time.
    */
-  [[nodiscard]] Duration ExpectedDelay(const UsualLatency& usual,
+  [[nodiscard]] Duration ExpectedDelay(const LatencyEstimate& usual,
                                        TimePoint now) const;
 
   /*! \brief Estimates the requests at it from all callers, over its slots. */
@@ -96,7 +96,7 @@
    */
   void OnAnswer(AttemptId attempt,
                 Duration latency,
-                const UsualLatency& usual,
+                const LatencyEstimate& usual,
                 TimePoint now);
 
   /*! \brief Takes a failure that proves that it is alive. */
@@ -154,4 +154,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_LEARNED_TARGET_H_
+#endif  // JACINTHDECK_FORWARD_TRACKED_TARGET_H_
--- a/src/jacinthdeck/forward/weighted_turn.cc
+++ b/src/jacinthdeck/forward/weighted_round_robin.cc
@@ -1,11 +1,12 @@
 // Each service earns its weight a request; the richest one pays the sum.
-#include "jacinthdeck/forward/weighted_turn.h"
+#include "jacinthdeck/forward/weighted_round_robin.h"
 
 #include <algorithm>
 
 namespace jacinthdeck {
 
-std::size_t WeightedTurn::Next(std::span<const WeightedService> services) {
+std::size_t WeightedRoundRobin::Next(
+    std::span<const WeightedService> services) {
   m_credit.resize(services.size(), 0);
   double total = 0;
   for (std::size_t index = 0; index < services.size(); ++index) {
--- a/src/jacinthdeck/forward/weighted_turn.h
+++ b/src/jacinthdeck/forward/weighted_round_robin.h
@@ -1,6 +1,6 @@
 // Splits whole requests among the services of a route.
-#ifndef JACINTHDECK_FORWARD_WEIGHTED_TURN_H_
-#define JACINTHDECK_FORWARD_WEIGHTED_TURN_H_
+#ifndef JACINTHDECK_FORWARD_WEIGHTED_ROUND_ROBIN_H_
+#define JACINTHDECK_FORWARD_WEIGHTED_ROUND_ROBIN_H_
 
 #include <cstddef>
 #include <span>
@@ -17,7 +17,7 @@
  * A random draw would leave a service of few requests far from its weight, and
  * a caller of a canary would see that.
  */
-class WeightedTurn {
+class WeightedRoundRobin {
  public:
   /**
    * \brief Picks the next service.
@@ -33,4 +33,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_WEIGHTED_TURN_H_
+#endif  // JACINTHDECK_FORWARD_WEIGHTED_ROUND_ROBIN_H_
--- a/test/jacinthdeck/forward/cold_share_test.cc
+++ b/test/jacinthdeck/forward/cold_target_limiter_test.cc
@@ -1,5 +1,5 @@
 // Tests of the share of hosts that do not ask one another.
-#include "jacinthdeck/forward/cold_share.h"
+#include "jacinthdeck/forward/cold_target_limiter.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 struct Senders {
   struct Host {
     NodeId name;
-    ColdShare share;
+    ColdTargetLimiter share;
     TimePoint last;
     bool alive = true;
   };
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(ColdShareTest)
+BOOST_AUTO_TEST_SUITE(ColdTargetLimiterTest)
 
 // Guards against a sum over many hosts that crashes a cold target.
 BOOST_AUTO_TEST_CASE(Rate_AnyNumberOfHosts_SumKeepsTheBoundAndUsesIt) {
@@ -137,7 +137,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Rate_HostIsNotInTheList_IsZero) {
-  ColdShare share;
+  ColdTargetLimiter share;
   share.SetHosts(NodeId("h1"), std::vector<NodeId>{NodeId("h2")});
   BOOST_TEST(share.RateOf(TargetId("t"), 50) == 0);
   BOOST_TEST(!share.MaySend(TargetId("t"), 50, TimePoint{}, TimePoint::max()));
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -27,7 +27,7 @@
   struct Delivered {
     CallId call;
     ForwardAnswer answer;
-    CallStory story;
+    CallTrace story;
   };
 
   std::vector<OutgoingAttempt> sent;
@@ -41,7 +41,7 @@
   void Cancel(AttemptId attempt) override { cancelled.push_back(attempt); }
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallStory& story) override {
+               const CallTrace& story) override {
     delivered.push_back({call, std::move(answer), story});
   }
   void ShareConviction(Fingerprint fingerprint) override {
--- a/test/jacinthdeck/forward/in_flight_bound_test.cc
+++ b/test/jacinthdeck/forward/in_flight_limit_test.cc
@@ -1,5 +1,5 @@
 // Tests of a host's share of a target.
-#include "jacinthdeck/forward/in_flight_bound.h"
+#include "jacinthdeck/forward/in_flight_limit.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -8,24 +8,24 @@
 
 namespace jacinthdeck {
 
-BOOST_AUTO_TEST_SUITE(InFlightBoundTest)
+BOOST_AUTO_TEST_SUITE(InFlightLimitTest)
 
 BOOST_AUTO_TEST_CASE(MostInFlight_SixHosts_FourTurnsAreShared) {
-  BOOST_TEST(MostInFlight({.connections = 10, .hosts = 6}, 3) == 2U);
-  BOOST_TEST(MostInFlight({.connections = 10, .hosts = 4}, 6) == 6U);
+  BOOST_TEST(MaxInFlight({.connections = 10, .hosts = 6}, 3) == 2U);
+  BOOST_TEST(MaxInFlight({.connections = 10, .hosts = 4}, 6) == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(MostInFlight_ManyHosts_TwoCallsMayOverlap) {
-  BOOST_TEST(MostInFlight({.connections = 5, .hosts = 58}, 4) == 2U);
+  BOOST_TEST(MaxInFlight({.connections = 5, .hosts = 58}, 4) == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(MostInFlight_FewConnections_BoundIt) {
-  BOOST_TEST(MostInFlight({.connections = 1, .hosts = 58}, 4) == 1U);
-  BOOST_TEST(MostInFlight({.connections = 3, .hosts = 1}, 4) == 3U);
+  BOOST_TEST(MaxInFlight({.connections = 1, .hosts = 58}, 4) == 1U);
+  BOOST_TEST(MaxInFlight({.connections = 3, .hosts = 1}, 4) == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(MostInFlight_NothingKnown_OneIsAllowed) {
-  BOOST_TEST(MostInFlight({.connections = 0, .hosts = 0}, 0) == 1U);
+  BOOST_TEST(MaxInFlight({.connections = 0, .hosts = 0}, 0) == 1U);
 }
 
 // Callers press with three times what the targets can do. Bounded by
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -18,7 +18,7 @@
   TimePoint now{seconds(100)};
   TargetSet set{FailureDomain("fd-0"), 7};
   std::vector<TargetEntry> entries;
-  TargetNeed need;
+  TargetCriteria need;
   std::uint64_t next = 1;
 
   TargetSetFixture() {
@@ -38,17 +38,17 @@
     need.share.connections = 5;
   }
 
-  [[nodiscard]] LearnedTarget& Target(int index) {
+  [[nodiscard]] TrackedTarget& Target(int index) {
     return *set.Find(TargetId("t" + std::to_string(index)));
   }
 
-  AttemptId Send(LearnedTarget& target) {
+  AttemptId Send(TrackedTarget& target) {
     const AttemptId id(next++);
     target.OnSend(id, milliseconds(50), need.needed, now);
     return id;
   }
 
-  void Answer(LearnedTarget& target, Duration latency) {
+  void Answer(TrackedTarget& target, Duration latency) {
     target.OnAnswer(Send(target), latency, need.usual, now);
   }
 
@@ -80,7 +80,7 @@
     Answer(Target(0), milliseconds(20));
   }
   Target(0).OnLoad(LoadReport{3, 18, 3, 1}, now);
-  const UsualLatency long_work{.mean = milliseconds(160), .samples = 64};
+  const LatencyEstimate long_work{.mean = milliseconds(160), .samples = 64};
   const Duration expected = Target(0).ExpectedDelay(long_work, now);
   BOOST_TEST((expected > milliseconds(160 + 100)));
   BOOST_TEST((expected < milliseconds(400)));
@@ -119,7 +119,7 @@
   int failed = 0;
   for (int i = 0; i < kRequests; ++i) {
     now += milliseconds(5);
-    LearnedTarget& target = *set.Pick(need, now).target;
+    TrackedTarget& target = *set.Pick(need, now).target;
     const bool is_bad = (now.time_since_epoch() / seconds(1)) % 2 == 0;
     const AttemptId id = Send(target);
     if (is_bad && &target == &Target(0)) {
@@ -304,7 +304,7 @@
   const AttemptId id = Send(Target(0));
   const std::vector<TargetEntry> rest(entries.begin() + 1, entries.end());
   set.Replace(rest, now);
-  LearnedTarget* const gone = set.Find(TargetId("t0"));
+  TrackedTarget* const gone = set.Find(TargetId("t0"));
   BOOST_REQUIRE(gone != nullptr);
   BOOST_TEST(!gone->TakesWork());
   gone->OnAnswer(id, milliseconds(20), need.usual, now);
--- a/test/jacinthdeck/forward/values_test.cc
+++ b/test/jacinthdeck/forward/values_test.cc
@@ -5,7 +5,7 @@
 
 #include "jacinthdeck/forward/routing_config.h"
 #include "jacinthdeck/forward/top_records.h"
-#include "jacinthdeck/forward/weighted_turn.h"
+#include "jacinthdeck/forward/weighted_round_robin.h"
 #include "support/printers.h"
 
 namespace jacinthdeck {
@@ -63,7 +63,7 @@
   const std::array<WeightedService, 3> services{
       WeightedService{ServiceId("a"), 70}, WeightedService{ServiceId("b"), 25},
       WeightedService{ServiceId("c"), 5}};
-  WeightedTurn turn;
+  WeightedRoundRobin turn;
   std::array<int, 3> counts{};
   for (int i = 1; i <= 500; ++i) {
     ++counts.at(turn.Next(services));
--- a/test/scenario/world.cc
+++ b/test/scenario/world.cc
@@ -144,7 +144,7 @@
   m_cancelled.insert(attempt.raw());
 }
 
-void World::Deliver(CallId call, ForwardAnswer answer, const CallStory& story) {
+void World::Deliver(CallId call, ForwardAnswer answer, const CallTrace& story) {
   CallRecord& record = m_calls[call.raw()];
   if (record.end) {
     AddFault("call " + std::to_string(call.raw()) + " got two answers");
@@ -190,7 +190,7 @@
   }
 }
 
-void World::CheckParts(const ForwardAnswer& answer, const CallStory& story) {
+void World::CheckParts(const ForwardAnswer& answer, const CallTrace& story) {
   if (answer.kind != AnswerKind::kMerged) {
     return;
   }
--- a/test/scenario/world.h
+++ b/test/scenario/world.h
@@ -94,13 +94,13 @@
   void Cancel(AttemptId attempt) override;
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallStory& story) override;
+               const CallTrace& story) override;
   void ShareConviction(Fingerprint /*fingerprint*/) override {}
 
   void Take(const StoreChange& change);
   void Act(const KnowledgeChange& change);
   void Run(const OutgoingAttempt& attempt);
-  void CheckParts(const ForwardAnswer& answer, const CallStory& story);
+  void CheckParts(const ForwardAnswer& answer, const CallTrace& story);
 
   ManualClock m_clock;
   const TimePoint m_start = m_clock.Now();
