--- a/bench/support/forward_model.cc
+++ b/bench/support/forward_model.cc
@@ -81,7 +81,7 @@
   void Deliver(CallId call, ForwardAnswer answer, const CallTrace&) override {
     m_model.Deliver(call, answer);
   }
-  void ShareConviction(Fingerprint) override {}
+  void ShareQuarantine(Fingerprint) override {}
 
   ForwardModel& m_model;
   std::size_t m_index;
@@ -431,7 +431,7 @@
   for (const auto& host : m_hosts) {
     const ForwardCounters& counters = host->forwarder.counters();
     m_result.firsts += counters.attempts[kFirst];
-    m_result.firsts_crossing += counters.attempts_crossing[kFirst];
+    m_result.firsts_crossing += counters.attempts_other_domains[kFirst];
   }
   std::ranges::sort(m_latencies);
   if (!m_latencies.empty()) {
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -102,11 +102,11 @@
         .Hash("fingerprint", story.fingerprint.raw())
         .Milliseconds("expected_ms", story.expected)
         .Milliseconds("objective_ms", story.route->objective)
-        .Milliseconds("usual_ms", story.usual.mean)
-        .Count("usual_samples", story.usual.samples)
+        .Milliseconds("usual_ms", story.route_latency.mean)
+        .Count("usual_samples", story.route_latency.samples)
         .Count("shards", story.shards)
-        .Count("full_shards", story.full)
-        .Count("shards_without_place", story.without_place)
+        .Count("full_shards", story.full_shards)
+        .Count("shards_without_place", story.shards_without_capacity)
         .Count("fewest_targets", story.fewest_targets)
         .Count("answered", story.answered)
         .Count("sends", story.attempts.size())
@@ -191,7 +191,7 @@
       .Count("target_bytes_other_domains", traffic.targets.other)
       .Raw("attempts", CountsText(traffic.calls.attempts))
       .Raw("attempts_other_domains",
-           CountsText(traffic.calls.attempts_crossing));
+           CountsText(traffic.calls.attempts_other_domains));
   m_log.Add(std::move(line));
 }
 
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -203,7 +203,7 @@
       EncodeAnswer(m_protocol.targets, std::move(answer)));
 }
 
-void EntryNode::ShareConviction(Fingerprint fingerprint) {
+void EntryNode::ShareQuarantine(Fingerprint fingerprint) {
   LogLine line = m_log.Begin(LogEvent::kConvicted);
   line.Hash("fingerprint", fingerprint.raw());
   m_log.Add(std::move(line));
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -70,7 +70,7 @@
   void Deliver(CallId call,
                ForwardAnswer answer,
                const CallTrace& story) override;
-  void ShareConviction(Fingerprint fingerprint) override;
+  void ShareQuarantine(Fingerprint fingerprint) override;
   void OnAttemptEnd(AttemptEnd& end) override;
   void OnKnowledge(const KnowledgeChange& change,
                    const StorePosition& position) override;
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -76,7 +76,7 @@
     TakeHosts(now);
   }
   for (const Fingerprint fingerprint : change.convictions) {
-    m_forwarder.Convict(fingerprint, now);
+    m_forwarder.QuarantineRequest(fingerprint, now);
   }
   KeepRecord(now);
   TakeTyped(change, now);
@@ -121,7 +121,7 @@
   const std::shared_ptr<const RoutingConfig>& config =
       m_store.knowledge().config();
   std::vector<HostRecord> fronts = ChooseFronts(
-      hosts, config == nullptr ? 0 : config->FewestTargetConnections());
+      hosts, config == nullptr ? 0 : config->MinTargetConnections());
   const bool same = std::ranges::equal(fronts, m_fronts, {}, &HostRecord::name,
                                        &HostRecord::name);
   m_fronts = std::move(fronts);
--- a/src/jacinthdeck/entry/node_metrics.cc
+++ b/src/jacinthdeck/entry/node_metrics.cc
@@ -60,13 +60,13 @@
   Line(out, "calls_open", static_cast<double>(source.forwarder.open_calls()));
   Lines(out, "attempts_total", "reason", kAttemptReasonNames, calls.attempts);
   Lines(out, "attempts_other_domains_total", "reason", kAttemptReasonNames,
-        calls.attempts_crossing);
+        calls.attempts_other_domains);
   Lines(out, "attempt_ends_total", "outcome", kAttemptOutcomeNames,
         calls.outcomes);
   Line(out, "attempts_cancelled_total", static_cast<double>(calls.cancelled));
   Line(out, "budget_refusals_total",
        static_cast<double>(calls.budget_refusals));
-  Line(out, "convictions_total", static_cast<double>(calls.convictions));
+  Line(out, "convictions_total", static_cast<double>(calls.quarantines));
   const PoolCounters& pool = source.pool.counters();
   Line(out, "target_connections",
        static_cast<double>(source.pool.connections()));
--- a/src/jacinthdeck/forward/attempt_end.h
+++ b/src/jacinthdeck/forward/attempt_end.h
@@ -58,7 +58,7 @@
   //! no share of a target's connections: one kept by each of them takes the one
   //! target that a shard has left past its limit, and it resets the next ones.
   //! Held for a request alone, they are few at a time.
-  bool gives_back_connection = false;
+  bool close_after_response = false;
 };
 
 /*! \brief The end of an attempt. */
--- a/src/jacinthdeck/forward/call_trace.h
+++ b/src/jacinthdeck/forward/call_trace.h
@@ -49,13 +49,13 @@
   Duration expected{};
   //! Shards, or 1 for the service, of which no target had a slot free when it
   //! was admitted or refused.
-  std::uint32_t full = 0;
+  std::uint32_t full_shards = 0;
   //! The same, of which no target had room for one more attempt of this host.
-  std::uint32_t without_place = 0;
+  std::uint32_t shards_without_capacity = 0;
   //! Targets that take work, of the shard that has fewest.
   std::uint32_t fewest_targets = 0;
   //! Latency of the route that `expected` was reckoned with.
-  LatencyEstimate usual;
+  LatencyEstimate route_latency;
   //! Positions of the shards that the answer lacks.
   std::vector<std::uint32_t> missing;
   //! Extra attempts that the budget of a service refused.
--- a/src/jacinthdeck/forward/crash_guard.cc
+++ b/src/jacinthdeck/forward/crash_guard.cc
@@ -21,9 +21,10 @@
   return Fingerprint(XXH3_64bits(text.data(), text.size()));
 }
 
-bool CrashGuard::IsConvicted(Fingerprint fingerprint, TimePoint now) const {
+bool CrashGuard::IsQuarantined(Fingerprint fingerprint, TimePoint now) const {
   const auto found = m_records.find(fingerprint);
-  return found != m_records.end() && found->second.calls >= kCallsToConvict &&
+  return found != m_records.end() &&
+         found->second.calls >= kQuarantineThreshold &&
          now - found->second.last < kMemory;
 }
 
@@ -39,7 +40,7 @@
       now - record.last < kMemory && !WasAnswered(fingerprint, now);
   record.calls = again ? record.calls + 1 : 1;
   record.last = now;
-  return record.calls == kCallsToConvict;
+  return record.calls == kQuarantineThreshold;
 }
 
 void CrashGuard::OnAnswered(Fingerprint fingerprint, TimePoint now) {
@@ -47,12 +48,12 @@
   m_records.erase(fingerprint);
 }
 
-void CrashGuard::Convict(Fingerprint fingerprint, TimePoint now) {
+void CrashGuard::QuarantineRequest(Fingerprint fingerprint, TimePoint now) {
   if (WasAnswered(fingerprint, now)) {
     return;
   }
   MakeRoom(now);
-  m_records[fingerprint] = {kCallsToConvict, now};
+  m_records[fingerprint] = {kQuarantineThreshold, now};
 }
 
 CrashGuard::Answer& CrashGuard::SlotOf(Fingerprint fingerprint) {
--- a/src/jacinthdeck/forward/crash_guard.h
+++ b/src/jacinthdeck/forward/crash_guard.h
@@ -36,7 +36,7 @@
 class CrashGuard {
  public:
   //! Calls that convict a request.
-  static constexpr std::uint32_t kCallsToConvict = 2;
+  static constexpr std::uint32_t kQuarantineThreshold = 2;
   //! How long losses and convictions are remembered.
   static constexpr Duration kMemory = std::chrono::seconds(60);
   //! Fingerprints held at once; each is one failed request.
@@ -46,7 +46,8 @@
   static constexpr std::size_t kAnsweredSlots = 1024;
 
   /*! \brief Tells whether a request is refused. */
-  [[nodiscard]] bool IsConvicted(Fingerprint fingerprint, TimePoint now) const;
+  [[nodiscard]] bool IsQuarantined(Fingerprint fingerprint,
+                                   TimePoint now) const;
 
   /*! \brief Tells whether a call of it failed by lost connections before. */
   [[nodiscard]] bool IsSuspect(Fingerprint fingerprint, TimePoint now) const;
@@ -61,7 +62,7 @@
   void OnAnswered(Fingerprint fingerprint, TimePoint now);
 
   /*! \brief Takes another host's conviction, unless an answer disproves it. */
-  void Convict(Fingerprint fingerprint, TimePoint now);
+  void QuarantineRequest(Fingerprint fingerprint, TimePoint now);
 
  private:
   struct Record {
--- a/src/jacinthdeck/forward/forward_counters.h
+++ b/src/jacinthdeck/forward/forward_counters.h
@@ -15,7 +15,7 @@
   //! By AttemptReason.
   std::array<std::uint64_t, 3> attempts{};
   //! Those to targets of other failure domains, by AttemptReason.
-  std::array<std::uint64_t, 3> attempts_crossing{};
+  std::array<std::uint64_t, 3> attempts_other_domains{};
   //! By AttemptOutcome.
   std::array<std::uint64_t, 5> outcomes{};
   //! Attempts cancelled without an end.
@@ -23,7 +23,7 @@
   //! Extra attempts that the budget refused.
   std::uint64_t budget_refusals = 0;
   //! Requests convicted of crashing targets.
-  std::uint64_t convictions = 0;
+  std::uint64_t quarantines = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/forward_port.h
+++ b/src/jacinthdeck/forward/forward_port.h
@@ -31,7 +31,7 @@
                        const CallTrace& story) = 0;
 
   /*! \brief Tells the other hosts that a request crashes its targets. */
-  virtual void ShareConviction(Fingerprint fingerprint) = 0;
+  virtual void ShareQuarantine(Fingerprint fingerprint) = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/forwarder.cc
+++ b/src/jacinthdeck/forward/forwarder.cc
@@ -57,8 +57,8 @@
   budget.SetShare(m_has_share ? 1.0 / m_hosts : 0, m_share_since);
 }
 
-void Forwarder::Convict(Fingerprint fingerprint, TimePoint now) {
-  m_crashes.Convict(fingerprint, now);
+void Forwarder::QuarantineRequest(Fingerprint fingerprint, TimePoint now) {
+  m_crashes.QuarantineRequest(fingerprint, now);
 }
 
 void Forwarder::OnTimer(TimePoint now) {
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -90,7 +90,7 @@
   }
 
   /*! \brief Takes another host's word that a request crashes its targets. */
-  void Convict(Fingerprint fingerprint, TimePoint now);
+  void QuarantineRequest(Fingerprint fingerprint, TimePoint now);
 
   /*! \brief Starts a call, or refuses it at once. */
   void Submit(ForwardCall call, TimePoint now);
--- a/src/jacinthdeck/forward/forwarder_admission.cc
+++ b/src/jacinthdeck/forward/forwarder_admission.cc
@@ -55,7 +55,7 @@
 
 //! Tells whether at most half of the shards have a queue.
 [[nodiscard]] bool IsLocal(const CallTrace& story) {
-  return 2 * story.full <= story.shards;
+  return 2 * story.full_shards <= story.shards;
 }
 
 //! Longest delay with which a call is worth its work.
@@ -107,7 +107,7 @@
     return false;
   }
   open.profile = &ProfileOf(*open.route);
-  open.story.usual = open.profile->usual();
+  open.story.route_latency = open.profile->route_latency();
   open.fingerprint = FingerprintOf(*open.call.request);
   open.story.fingerprint = open.fingerprint;
   if (open.route->fans_out()) {
@@ -160,7 +160,7 @@
 
 std::optional<ForwardReason> Forwarder::ReasonToRefuse(PendingCall& open,
                                                        TimePoint now) {
-  if (m_crashes.IsConvicted(open.fingerprint, now)) {
+  if (m_crashes.IsQuarantined(open.fingerprint, now)) {
     return ForwardReason::kCrashesTargets;
   }
   if (CountLiveShards(open) < open.route->min_shards()) {
@@ -201,9 +201,10 @@
   if (choice.target == nullptr) {
     // Where neither a target nor the route was measured there is no wait to
     // tell of: the call looks for a place, and is refused if it finds none.
-    const LatencyEstimate usual = open.profile->usual();
-    const Duration known = usual.is_measured() ? usual.mean : Duration::zero();
-    return m_targets.UsualOf(service, known) * kNoPlaceMeans;
+    const LatencyEstimate route_latency = open.profile->route_latency();
+    const Duration known =
+        route_latency.is_measured() ? route_latency.mean : Duration::zero();
+    return m_targets.MeanServedLatency(service, known) * kNoPlaceMeans;
   }
   return choice.target->Occupancy(now) < 1 ? Duration::zero() : choice.expected;
 }
@@ -213,7 +214,7 @@
                                  const TargetShare& share) const {
   TargetCriteria need;
   need.service = service;
-  need.usual = open.profile->usual();
+  need.route_latency = open.profile->route_latency();
   need.share = share;
   need.needed = NeedsEachShard(open);
   need.cold_rate = open.config->ColdRate(service);
@@ -228,8 +229,8 @@
     const TargetChoice choice = m_targets.Pick(
         NeedOf(open, part.service, ShareOf(open, part.service)), now);
     delays.push_back(QueueDelay(open, part.service, choice, now));
-    open.story.full += delays.back() > Duration::zero() ? 1 : 0;
-    open.story.without_place += choice.target == nullptr ? 1 : 0;
+    open.story.full_shards += delays.back() > Duration::zero() ? 1 : 0;
+    open.story.shards_without_capacity += choice.target == nullptr ? 1 : 0;
   }
   if (IsLocal(open.story)) {
     // Calls that overlap at this host hold its share of a shard's targets, and
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -152,7 +152,7 @@
   ++part.sends;
   ++m_counters.attempts[static_cast<std::size_t>(reason)];
   if (target.entry().domain != m_options.domain) {
-    ++m_counters.attempts_crossing[static_cast<std::size_t>(reason)];
+    ++m_counters.attempts_other_domains[static_cast<std::size_t>(reason)];
   }
   part.hedge_at.reset();
   if (MaySendAgain(open, part, now)) {
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -56,8 +56,8 @@
 void Forwarder::CountLosses(const PendingCall& open, TimePoint now) {
   if (open.lost > 0 && open.answered == 0 &&
       m_crashes.OnCallLost(open.fingerprint, now)) {
-    ++m_counters.convictions;
-    m_port.ShareConviction(open.fingerprint);
+    ++m_counters.quarantines;
+    m_port.ShareQuarantine(open.fingerprint);
   }
 }
 
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -36,7 +36,7 @@
     case AttemptOutcome::kResponse:
       if (end.response.succeeded()) {
         const Duration latency = now - attempt.sent;
-        target.OnAnswer(end.id, latency, attempt.profile->usual(), now);
+        target.OnAnswer(end.id, latency, attempt.profile->route_latency(), now);
         attempt.profile->Add(latency, now);
       } else {
         target.OnFailure(end.id, now);
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -51,18 +51,18 @@
       m_hedge_delay(Scaled(m_objective, kLatestHedgePart)),
       m_late_after(Scaled(m_hedge_delay, kLateFactor)) {}
 
-LatencyEstimate LatencyProfile::usual() const noexcept {
+LatencyEstimate LatencyProfile::route_latency() const noexcept {
   const std::uint64_t samples = m_histogram.samples();
   return {.mean = m_mean, .samples = samples < kLeastSamples ? 0 : samples};
 }
 
 Duration LatencyProfile::least_time() const noexcept {
-  return usual().is_measured() ? Scaled(m_mean, kLeastTimePart)
-                               : Duration::zero();
+  return route_latency().is_measured() ? Scaled(m_mean, kLeastTimePart)
+                                       : Duration::zero();
 }
 
 bool LatencyProfile::IsFresh(TimePoint now) const noexcept {
-  return usual().is_measured() && now - m_learned_at < kFreshFor;
+  return route_latency().is_measured() && now - m_learned_at < kFreshFor;
 }
 
 void LatencyProfile::Add(Duration latency, TimePoint now) {
--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -23,7 +23,7 @@
   [[nodiscard]] Duration mean() const noexcept { return m_mean; }
 
   /*! \brief The mean, and whether it is more than a guess. */
-  [[nodiscard]] LatencyEstimate usual() const noexcept;
+  [[nodiscard]] LatencyEstimate route_latency() const noexcept;
 
   /*! \brief Time below which an attempt is not worth its work; zero while the
    * mean is a guess, which must not end a call. */
--- a/src/jacinthdeck/forward/routing_config.h
+++ b/src/jacinthdeck/forward/routing_config.h
@@ -68,7 +68,7 @@
 
   /*! \brief Fewest connections that a target of any service that a route
    * names accepts; 0 if there is none. */
-  [[nodiscard]] std::uint32_t FewestTargetConnections() const noexcept {
+  [[nodiscard]] std::uint32_t MinTargetConnections() const noexcept {
     return m_fewest_connections;
   }
 
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -92,7 +92,7 @@
         !MayLoad(*target, need, now)) {
       continue;
     }
-    const Duration expected = target->ExpectedDelay(need.usual, now);
+    const Duration expected = target->ExpectedDelay(need.route_latency, now);
     const bool hedge = need.reason == AttemptReason::kHedge;
     if (hedge && !SuitsHedge(*target, need, now)) {
       continue;
@@ -110,7 +110,8 @@
   return best;
 }
 
-Duration TargetSet::UsualOf(const ServiceId& service, Duration other) const {
+Duration TargetSet::MeanServedLatency(const ServiceId& service,
+                                      Duration other) const {
   Duration sum{};
   int known = 0;
   const auto found = m_by_service.find(service);
@@ -118,8 +119,9 @@
     return other;
   }
   for (const TrackedTarget* target : found->second) {
-    if (target->TakesWork() && target->usual() > Duration::zero()) {
-      sum += target->usual();
+    if (target->TakesWork() &&
+        target->mean_served_latency() > Duration::zero()) {
+      sum += target->mean_served_latency();
       ++known;
     }
   }
@@ -164,8 +166,8 @@
                         const TargetCriteria& need,
                         Duration expected,
                         TimePoint now) {
-  const double mean =
-      static_cast<double>(std::max(need.usual.mean, Duration(1)).count());
+  const double mean = static_cast<double>(
+      std::max(need.route_latency.mean, Duration(1)).count());
   double score = static_cast<double>(expected.count()) / mean;
   score *= 1 + kJitter * m_random.Unit();
   if (target.entry().domain != m_domain) {
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -24,7 +24,7 @@
 struct TargetCriteria {
   ServiceId service;
   //! Latency of the route.
-  LatencyEstimate usual;
+  LatencyEstimate route_latency;
   //! Targets that had this request before.
   std::span<const TargetId> tried;
   AttemptReason reason = AttemptReason::kFirst;
@@ -89,8 +89,8 @@
    * \brief Usual latency of the requests that a service's targets answer.
    * \param other Stands in while none of them has answered.
    */
-  [[nodiscard]] Duration UsualOf(const ServiceId& service,
-                                 Duration other) const;
+  [[nodiscard]] Duration MeanServedLatency(const ServiceId& service,
+                                           Duration other) const;
 
   /*! \brief Takes the hosts that share what cold targets bear. */
   void SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -17,7 +17,7 @@
 constexpr std::uint32_t kSlownessMemory = 8;
 //! Answers over which the requests that a target gets are averaged: enough that
 //! its kinds of request are all among them.
-constexpr std::uint32_t kUsualMemory = 64;
+constexpr std::uint32_t kServedLatencyMemory = 64;
 //! Bounds of one sample of slowness, so that one pause is not taken for a slow
 //! machine.
 constexpr double kMostSlowness = 8;
@@ -47,7 +47,7 @@
     : m_entry(std::move(entry)),
       m_last_reply(now),
       m_slowness(kSlownessMemory),
-      m_usual(kUsualMemory),
+      m_served_latency(kServedLatencyMemory),
       m_failed_at(now),
       m_doubtful_until(now),
       m_load_at(now - kLoadLife) {}
@@ -65,12 +65,13 @@
   return m_unanswered_in_row > 0 && !m_in_flight.empty();
 }
 
-Duration TrackedTarget::ExpectedDelay(const LatencyEstimate& usual,
+Duration TrackedTarget::ExpectedDelay(const LatencyEstimate& route_latency,
                                       TimePoint now) const {
-  const double mean = static_cast<double>(usual.mean.count());
-  const double served = m_usual.samples() > 0 ? m_usual.value() : mean;
+  const double mean = static_cast<double>(route_latency.mean.count());
+  const double served =
+      m_served_latency.samples() > 0 ? m_served_latency.value() : mean;
   const double queued = std::min(mean, served);
-  const double own = usual.is_measured() ? mean : queued;
+  const double own = route_latency.is_measured() ? mean : queued;
   const double slowness = m_slowness.samples() > 0 ? m_slowness.value() : 1;
   const double busy = Occupancy(now);
   const double slots = std::max<double>(m_entry.slots, 1);
@@ -107,7 +108,7 @@
     return;
   }
   m_slowness.Reset();
-  m_usual.Reset();
+  m_served_latency.Reset();
   m_failure_rate = 0;
   m_unanswered_in_row = 0;
   m_doubtful_until = now;
@@ -124,15 +125,15 @@
 
 void TrackedTarget::OnAnswer(AttemptId attempt,
                              Duration latency,
-                             const LatencyEstimate& usual,
+                             const LatencyEstimate& route_latency,
                              TimePoint now) {
   (void)Take(attempt);
   OnAlive(now);
   const auto mean =
-      static_cast<double>(std::max(usual.mean, Duration(1)).count());
+      static_cast<double>(std::max(route_latency.mean, Duration(1)).count());
   const double ratio = static_cast<double>(latency.count()) / mean;
-  if (usual.is_measured()) {
-    m_usual.Add(mean);
+  if (route_latency.is_measured()) {
+    m_served_latency.Add(mean);
   }
   m_slowness.Add(std::clamp(ratio, kLeastSlowness, kMostSlowness));
   m_failure_rate = FailureRate(now) * (1 - kFailureWeight);
--- a/src/jacinthdeck/forward/tracked_target.h
+++ b/src/jacinthdeck/forward/tracked_target.h
@@ -46,8 +46,8 @@
 
   /*! \brief Usual latency of the requests that it answers, of whichever
    * route; zero while none of a measured route was answered. */
-  [[nodiscard]] Duration usual() const noexcept {
-    return Duration(static_cast<Duration::rep>(m_usual.value()));
+  [[nodiscard]] Duration mean_served_latency() const noexcept {
+    return Duration(static_cast<Duration::rep>(m_served_latency.value()));
   }
 
   /**
@@ -60,11 +60,10 @@
    * measured. Where the queue's work is the longer, the route's own stands for
    * it: usual latencies have a wait in them already, and short calls would be
    * refused for it.
-   * \param usual Latency of its route; a guess counts for no more than what
-   * the target usually takes.
-   * \param now Present time.
+   * \param route_latency Latency of its route; a guess counts for no more than
+   * what the target usually takes. \param now Present time.
    */
-  [[nodiscard]] Duration ExpectedDelay(const LatencyEstimate& usual,
+  [[nodiscard]] Duration ExpectedDelay(const LatencyEstimate& route_latency,
                                        TimePoint now) const;
 
   /*! \brief Estimates the requests at it from all callers, over its slots. */
@@ -92,11 +91,11 @@
   /**
    * \brief Takes an answer.
    * \param latency From sending to the answer.
-   * \param usual Latency of the route.
+   * \param route_latency Latency of the route.
    */
   void OnAnswer(AttemptId attempt,
                 Duration latency,
-                const LatencyEstimate& usual,
+                const LatencyEstimate& route_latency,
                 TimePoint now);
 
   /*! \brief Takes a failure that proves that it is alive. */
@@ -140,7 +139,7 @@
   //! Latency over the mean of its route.
   DecayingAverage m_slowness;
   //! Mean of the route of each answer, in microseconds; measured ones alone.
-  DecayingAverage m_usual;
+  DecayingAverage m_served_latency;
   //! Failures less their fading, as of m_failed_at.
   double m_failure_rate = 0;
   TimePoint m_failed_at;
--- a/src/jacinthdeck/http/target_connection.cc
+++ b/src/jacinthdeck/http/target_connection.cc
@@ -234,7 +234,7 @@
   LearnIdleTime();
   const bool reusable = m_parser->keep_alive() && !m_parser->need_eof() &&
                         m_buffer.size() == 0 && !m_writing &&
-                        !m_attempt->gives_back_connection &&
+                        !m_attempt->close_after_response &&
                         end.outcome != AttemptOutcome::kWrongTarget;
   auto message = m_parser->release();
   end.response.body = std::move(message.body());
--- a/test/jacinthdeck/forward/crash_guard_test.cc
+++ b/test/jacinthdeck/forward/crash_guard_test.cc
@@ -29,10 +29,10 @@
   BOOST_TEST(!LoseCalls(1));
   BOOST_TEST(guard.IsSuspect(request, clock.Now()));
   BOOST_TEST(LoseCalls(1));
-  BOOST_TEST(guard.IsConvicted(request, clock.Now()));
+  BOOST_TEST(guard.IsQuarantined(request, clock.Now()));
   BOOST_TEST(!LoseCalls(1));
   clock.Advance(CrashGuard::kMemory);
-  BOOST_TEST(!guard.IsConvicted(request, clock.Now()));
+  BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
 }
 
 // All callers of a popular request are refused for a minute.
@@ -43,9 +43,9 @@
   guard.OnAnswered(request, clock.Now());
   clock.Advance(std::chrono::seconds(5));
   BOOST_TEST(!LoseCalls(4));
-  BOOST_TEST(!guard.IsConvicted(request, clock.Now()));
-  guard.Convict(request, clock.Now());
-  BOOST_TEST(!guard.IsConvicted(request, clock.Now()));
+  BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
+  guard.QuarantineRequest(request, clock.Now());
+  BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
 }
 
 BOOST_AUTO_TEST_CASE(Request_WasAnsweredLongAgo_CountsAsNeverAnswered) {
--- a/test/jacinthdeck/forward/forwarder_fan_out_test.cc
+++ b/test/jacinthdeck/forward/forwarder_fan_out_test.cc
@@ -125,7 +125,7 @@
     Answer(port.sent[at]);
   }
   BOOST_TEST(Only().answer.missing_parts == 0U);
-  BOOST_TEST(port.convictions.empty());
+  BOOST_TEST(port.quarantines.empty());
 }
 
 // Two shards have failed for good, so no answer is possible any more: the
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -33,7 +33,7 @@
   std::vector<OutgoingAttempt> sent;
   std::vector<AttemptId> cancelled;
   std::vector<Delivered> delivered;
-  std::vector<Fingerprint> convictions;
+  std::vector<Fingerprint> quarantines;
 
   void Send(const OutgoingAttempt& attempt) override {
     sent.push_back(attempt);
@@ -44,8 +44,8 @@
                const CallTrace& story) override {
     delivered.push_back({call, std::move(answer), story});
   }
-  void ShareConviction(Fingerprint fingerprint) override {
-    convictions.push_back(fingerprint);
+  void ShareQuarantine(Fingerprint fingerprint) override {
+    quarantines.push_back(fingerprint);
   }
 };
 
--- a/test/jacinthdeck/forward/forwarder_load_test.cc
+++ b/test/jacinthdeck/forward/forwarder_load_test.cc
@@ -68,10 +68,10 @@
 BOOST_AUTO_TEST_CASE(Connections_HostStandsBy_AreGivenBackWithTheAnswer) {
   forwarder.SetHosts(6, false, clock.Now());
   (void)Submit("/read/1");
-  BOOST_TEST(port.sent.back().gives_back_connection);
+  BOOST_TEST(port.sent.back().close_after_response);
   forwarder.SetHosts(6, true, clock.Now());
   (void)Submit("/read/2");
-  BOOST_TEST(!port.sent.back().gives_back_connection);
+  BOOST_TEST(!port.sent.back().close_after_response);
 }
 
 // All targets have a queue when the hedge falls due, and its first target never
--- a/test/jacinthdeck/forward/forwarder_test.cc
+++ b/test/jacinthdeck/forward/forwarder_test.cc
@@ -184,7 +184,7 @@
       End(port.sent[at], AttemptOutcome::kBroken, true);
     }
   }
-  BOOST_TEST(port.convictions.size() == 1U);
+  BOOST_TEST(port.quarantines.size() == 1U);
   BOOST_TEST(port.sent.size() == 3U);
   BOOST_TEST(
       (port.delivered.back().answer.reason == ForwardReason::kCrashesTargets));
@@ -195,7 +195,7 @@
   poison.method = "GET";
   poison.host = "desk.example";
   poison.target = "/read/poison";
-  forwarder.Convict(FingerprintOf(poison), clock.Now());
+  forwarder.QuarantineRequest(FingerprintOf(poison), clock.Now());
   (void)Submit("/read/poison");
   BOOST_TEST(port.sent.empty());
   BOOST_TEST((Only().answer.kind == AnswerKind::kNotRun));
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -34,7 +34,7 @@
     }
     set.Replace(entries, now);
     need.service = ServiceId("desk");
-    need.usual = {.mean = milliseconds(20), .samples = 64};
+    need.route_latency = {.mean = milliseconds(20), .samples = 64};
     need.share.connections = 5;
   }
 
@@ -49,7 +49,7 @@
   }
 
   void Answer(TrackedTarget& target, Duration latency) {
-    target.OnAnswer(Send(target), latency, need.usual, now);
+    target.OnAnswer(Send(target), latency, need.route_latency, now);
   }
 
   [[nodiscard]] std::map<std::string, int> Picks(int count) {
@@ -97,7 +97,7 @@
 BOOST_AUTO_TEST_CASE(Pick_SilentTargetAnswers_IsUsedAgain) {
   const AttemptId id = Send(Target(0));
   now += milliseconds(200);
-  Target(0).OnAnswer(id, milliseconds(20), need.usual, now);
+  Target(0).OnAnswer(id, milliseconds(20), need.route_latency, now);
   BOOST_TEST(Picks(50)["t0"] > 0);
 }
 
@@ -126,7 +126,7 @@
       target.OnFailure(id, now);
       ++failed;
     } else {
-      target.OnAnswer(id, milliseconds(20), need.usual, now);
+      target.OnAnswer(id, milliseconds(20), need.route_latency, now);
     }
   }
   BOOST_TEST(failed < kRequests / 50);
@@ -181,7 +181,7 @@
   need.reason = AttemptReason::kHedge;
   need.useful = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.usual.mean * 10);
+    Answer(Target(i), need.route_latency.mean * 10);
   }
   BOOST_TEST(Picks(1)["none"] == 1);
 }
@@ -195,9 +195,9 @@
   need.reason = AttemptReason::kHedge;
   need.useful = milliseconds(30);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.usual.mean * 10);
+    Answer(Target(i), need.route_latency.mean * 10);
     for (int answer = 0; answer < kAnswers; ++answer) {
-      Answer(Target(i), need.usual.mean);
+      Answer(Target(i), need.route_latency.mean);
     }
   }
   BOOST_TEST(Picks(1).count("none") == 0U);
@@ -209,7 +209,7 @@
 BOOST_AUTO_TEST_CASE(Pick_TargetsAnswerTooLate_EachGetsOneAttemptAtATime) {
   need.useful = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.usual.mean * 10);
+    Answer(Target(i), need.route_latency.mean * 10);
   }
   for (int i = 0; i < 3; ++i) {
     const TargetChoice choice = set.Pick(need, now);
@@ -271,7 +271,7 @@
     now += milliseconds(1);
     const TargetChoice choice = set.Pick(need, now);
     if (choice.target != nullptr) {
-      Answer(*choice.target, need.usual.mean);
+      Answer(*choice.target, need.route_latency.mean);
       ++sent;
     }
   }
@@ -307,7 +307,7 @@
   TrackedTarget* const gone = set.Find(TargetId("t0"));
   BOOST_REQUIRE(gone != nullptr);
   BOOST_TEST(!gone->TakesWork());
-  gone->OnAnswer(id, milliseconds(20), need.usual, now);
+  gone->OnAnswer(id, milliseconds(20), need.route_latency, now);
   set.Replace(rest, now);
   BOOST_TEST((set.Find(TargetId("t0")) == nullptr));
 }
--- a/test/jacinthdeck/http/target_pool_test.cc
+++ b/test/jacinthdeck/http/target_pool_test.cc
@@ -110,7 +110,7 @@
 // those of hosts that have a share; so this one is closed with its answer.
 BOOST_AUTO_TEST_CASE(Response_ConnectionIsToBeGivenBack_IsClosedWithIt) {
   OutgoingAttempt attempt = Attempt();
-  attempt.gives_back_connection = true;
+  attempt.close_after_response = true;
   pool.Send(attempt);
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
--- a/test/scenario/world.h
+++ b/test/scenario/world.h
@@ -95,7 +95,7 @@
   void Deliver(CallId call,
                ForwardAnswer answer,
                const CallTrace& story) override;
-  void ShareConviction(Fingerprint /*fingerprint*/) override {}
+  void ShareQuarantine(Fingerprint /*fingerprint*/) override {}
 
   void Take(const StoreChange& change);
   void Act(const KnowledgeChange& change);
