--- a/src/jacinthdeck/forward/forward_port.h
+++ b/src/jacinthdeck/forward/forward_port.h
@@ -28,7 +28,7 @@
   /*! \brief Gives a caller its final answer. */
   virtual void Deliver(CallId call,
                        ForwardAnswer answer,
-                       const CallTrace& story) = 0;
+                       const CallTrace& trace) = 0;
 
   /*! \brief Tells the other hosts that a request crashes its targets. */
   virtual void ShareQuarantine(Fingerprint fingerprint) = 0;
--- a/src/jacinthdeck/forward/forwarder.cc
+++ b/src/jacinthdeck/forward/forwarder.cc
@@ -30,7 +30,7 @@
     return false;
   }
   m_config = std::move(config);
-  m_turns.clear();
+  m_round_robins.clear();
   return true;
 }
 
@@ -49,67 +49,68 @@
   m_hosts = std::max(hosts, 1U);
   m_has_share = self;
   for (auto& [service, budget] : m_budgets) {
-    ShareBudget(budget);
+    UpdateBudgetShare(budget);
   }
 }
 
-void Forwarder::ShareBudget(AttemptBudget& budget) const {
+void Forwarder::UpdateBudgetShare(AttemptBudget& budget) const {
   budget.SetShare(m_has_share ? 1.0 / m_hosts : 0, m_share_since);
 }
 
 void Forwarder::QuarantineRequest(Fingerprint fingerprint, TimePoint now) {
-  m_crashes.QuarantineRequest(fingerprint, now);
+  m_crash_guard.QuarantineRequest(fingerprint, now);
 }
 
 void Forwarder::OnTimer(TimePoint now) {
   while (const auto due = m_timers.TakeDue(now)) {
-    Wake(m_calls.at(*due), now);
+    OnCallTimer(m_calls.at(*due), now);
   }
   while (const auto due = m_stale_attempts.TakeDue(now)) {
     CancelAttempt(*due, now);
   }
 }
 
-void Forwarder::Wake(PendingCall& open, TimePoint now) {
-  if (now >= open.final_at) {
-    Finish(open, now);
+void Forwarder::OnCallTimer(PendingCall& pending, TimePoint now) {
+  if (now >= pending.final_at) {
+    Finish(pending, now);
     return;
   }
-  if (now >= open.partial_at && open.answered >= open.route->min_shards()) {
-    Finish(open, now);
+  if (now >= pending.partial_at &&
+      pending.answered >= pending.route->min_shards()) {
+    Finish(pending, now);
     return;
   }
-  for (std::size_t index = 0; index < open.parts.size(); ++index) {
-    CallPart& part = open.parts[index];
+  for (std::size_t index = 0; index < pending.parts.size(); ++index) {
+    CallPart& part = pending.parts[index];
     if (part.phase != internal::PartPhase::kOpen) {
       continue;
     }
     if (part.retry_at && *part.retry_at <= now) {
       part.retry_at.reset();
-      Retry(open, index, now);
+      RetryOrGiveUp(pending, index, now);
     } else if (part.hedge_at && *part.hedge_at <= now) {
       part.hedge_at.reset();
-      SendPart(open, index, AttemptReason::kHedge, now);
+      TrySendAttempt(pending, index, AttemptReason::kHedge, now);
     }
   }
-  Settle(open, now);
+  FinishIfDone(pending, now);
 }
 
-void Forwarder::Rearm(const PendingCall& open) {
-  TimePoint at = open.final_at;
+void Forwarder::RearmTimer(const PendingCall& pending) {
+  TimePoint at = pending.final_at;
   // With too few shards in, the moment at which one more makes an answer is
   // the moment of its reply.
-  if (open.answered >= open.route->min_shards()) {
-    at = std::min(at, open.partial_at);
+  if (pending.answered >= pending.route->min_shards()) {
+    at = std::min(at, pending.partial_at);
   }
-  for (const CallPart& part : open.parts) {
+  for (const CallPart& part : pending.parts) {
     if (part.phase != internal::PartPhase::kOpen) {
       continue;
     }
     at = std::min(at, part.hedge_at.value_or(at));
     at = std::min(at, part.retry_at.value_or(at));
   }
-  m_timers.Set(open.call.id, at);
+  m_timers.Set(pending.call.id, at);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -114,87 +114,89 @@
               AnswerKind kind,
               ForwardReason reason,
               std::optional<Duration> retry_after,
-              const CallTrace& story);
-  [[nodiscard]] bool Open(PendingCall& open);
-  void SetTimes(PendingCall& open) const;
-  [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(PendingCall& open,
-                                                            TimePoint now);
+              const CallTrace& trace);
+  [[nodiscard]] bool Prepare(PendingCall& pending);
+  void SetTimes(PendingCall& pending) const;
+  [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(
+      PendingCall& pending,
+      TimePoint now);
   //! Shards with a target that takes work; notes the fewest in the story.
-  [[nodiscard]] std::size_t CountLiveShards(PendingCall& open) const;
+  [[nodiscard]] std::size_t CountLiveShards(PendingCall& pending) const;
   //! Tells whether what time the call has left is known to be too little.
-  [[nodiscard]] bool IsTooLate(const PendingCall& open, TimePoint now) const;
+  [[nodiscard]] bool IsTooLate(const PendingCall& pending, TimePoint now) const;
   //! Delay by the queue of the chosen target, or by the want of one.
-  [[nodiscard]] Duration QueueDelay(const PendingCall& open,
+  [[nodiscard]] Duration QueueDelay(const PendingCall& pending,
                                     const ServiceId& service,
                                     const TargetChoice& choice,
                                     TimePoint now) const;
   //! What a first attempt needs, with this share of its target.
-  [[nodiscard]] TargetCriteria NeedOf(const PendingCall& open,
-                                      const ServiceId& service,
-                                      const TargetShare& share) const;
-  [[nodiscard]] Duration ExpectedDelay(PendingCall& open, TimePoint now);
-  [[nodiscard]] Duration ComeBackAfter(ForwardReason reason,
-                                       const PendingCall& open);
+  [[nodiscard]] TargetCriteria CriteriaFor(const PendingCall& pending,
+                                           const ServiceId& service,
+                                           const TargetShare& share) const;
+  [[nodiscard]] Duration ExpectedDelay(PendingCall& pending, TimePoint now);
+  [[nodiscard]] Duration RetryAfter(ForwardReason reason,
+                                    const PendingCall& pending);
   [[nodiscard]] LatencyProfile& ProfileOf(const Route& route);
-  void ShareBudget(AttemptBudget& budget) const;
+  void UpdateBudgetShare(AttemptBudget& budget) const;
   [[nodiscard]] AttemptBudget& BudgetOf(const ServiceId& service);
 
   // Attempts, in forwarder_attempts.cc.
-  void SendPart(PendingCall& open,
-                std::size_t part,
-                AttemptReason reason,
-                TimePoint now);
-  void Launch(PendingCall& open,
-              std::size_t part,
-              const TargetCriteria& need,
-              TrackedTarget& target,
-              bool paid,
-              TimePoint now);
+  void TrySendAttempt(PendingCall& pending,
+                      std::size_t part,
+                      AttemptReason reason,
+                      TimePoint now);
+  void SendAttempt(PendingCall& pending,
+                   std::size_t part,
+                   const TargetCriteria& criteria,
+                   TrackedTarget& target,
+                   bool paid,
+                   TimePoint now);
   //! Tells whether a further shard that is given up leaves no answer.
-  [[nodiscard]] static bool NeedsEachShard(const PendingCall& open);
-  [[nodiscard]] Duration UsefulTime(const PendingCall& open,
+  [[nodiscard]] static bool NeedsEachShard(const PendingCall& pending);
+  [[nodiscard]] Duration UsefulTime(const PendingCall& pending,
                                     AttemptReason reason,
                                     TimePoint now) const;
-  [[nodiscard]] TargetShare ShareOf(const PendingCall& open,
+  [[nodiscard]] TargetShare ShareOf(const PendingCall& pending,
                                     const ServiceId& service) const;
-  [[nodiscard]] std::uint32_t ConnectionLimit(const PendingCall& open,
+  [[nodiscard]] std::uint32_t ConnectionLimit(const PendingCall& pending,
                                               const ServiceId& service) const;
-  [[nodiscard]] bool MaySendAgain(const PendingCall& open,
+  [[nodiscard]] bool MaySendAgain(const PendingCall& pending,
                                   const CallPart& part,
                                   TimePoint now) const;
-  void OnNoTarget(PendingCall& open, CallPart& part, TimePoint now);
-  void Retry(PendingCall& open, std::size_t part, TimePoint now);
+  void OnNoTarget(PendingCall& pending, CallPart& part, TimePoint now);
+  void RetryOrGiveUp(PendingCall& pending, std::size_t part, TimePoint now);
 
   // Ends of attempts, in forwarder_replies.cc.
-  void Learn(const PendingAttempt& attempt,
-             const AttemptEnd& end,
-             TimePoint now);
-  void Note(PendingCall& open, const AttemptEnd& end, TimePoint now);
-  void TakeEnd(PendingCall& open,
-               const PendingAttempt& attempt,
-               AttemptEnd& end,
-               TimePoint now);
-  void TakeResponse(PendingCall& open,
-                    CallPart& part,
-                    AttemptEnd& end,
+  void UpdateTarget(const PendingAttempt& attempt,
+                    const AttemptEnd& end,
                     TimePoint now);
+  void TraceEnd(PendingCall& pending, const AttemptEnd& end, TimePoint now);
+  void HandleAttemptEnd(PendingCall& pending,
+                        const PendingAttempt& attempt,
+                        AttemptEnd& end,
+                        TimePoint now);
+  void HandleResponse(PendingCall& pending,
+                      CallPart& part,
+                      AttemptEnd& end,
+                      TimePoint now);
   //! Hedges the last shards of a call at once.
-  static void HedgeLastShards(PendingCall& open, TimePoint now);
+  static void HedgeLastShards(PendingCall& pending, TimePoint now);
   void CancelAttempt(AttemptId attempt, TimePoint now);
 
   // Ends of calls, in forwarder_finish.cc.
-  void GiveUp(PendingCall& open, CallPart& part, ForwardReason reason);
-  void Settle(PendingCall& open, TimePoint now);
-  void Finish(PendingCall& open, TimePoint now);
-  [[nodiscard]] ForwardAnswer AnswerOf(PendingCall& open, TimePoint now);
-  [[nodiscard]] ForwardAnswer Merge(PendingCall& open) const;
-  [[nodiscard]] ForwardAnswer FailureOf(PendingCall& open, TimePoint now);
-  void Close(PendingCall& open, TimePoint now);
-  void CountLosses(const PendingCall& open, TimePoint now);
+  void GiveUp(PendingCall& pending, CallPart& part, ForwardReason reason);
+  void FinishIfDone(PendingCall& pending, TimePoint now);
+  void Finish(PendingCall& pending, TimePoint now);
+  [[nodiscard]] ForwardAnswer MakeAnswer(PendingCall& pending, TimePoint now);
+  [[nodiscard]] ForwardAnswer MakeMergedAnswer(PendingCall& pending) const;
+  [[nodiscard]] ForwardAnswer MakeFailureAnswer(PendingCall& pending,
+                                                TimePoint now);
+  void RemoveCall(PendingCall& pending, TimePoint now);
+  void RecordLostCall(const PendingCall& pending, TimePoint now);
 
   // Timers, in forwarder.cc.
-  void Wake(PendingCall& open, TimePoint now);
-  void Rearm(const PendingCall& open);
+  void OnCallTimer(PendingCall& pending, TimePoint now);
+  void RearmTimer(const PendingCall& pending);
 
   const ForwardOptions m_options;
   ForwardPort& m_port;
@@ -207,11 +209,11 @@
   bool m_has_share = true;
   //! Since when this host has a share.
   TimePoint m_share_since;
-  CrashGuard m_crashes;
+  CrashGuard m_crash_guard;
   std::uint64_t m_next_attempt = 1;
   //! By route name; they outlive configurations. References stay valid.
   std::map<std::string, LatencyProfile> m_profiles;
-  std::unordered_map<std::string, WeightedRoundRobin> m_turns;
+  std::unordered_map<std::string, WeightedRoundRobin> m_round_robins;
   std::unordered_map<ServiceId, AttemptBudget> m_budgets;
   //! References to its elements stay valid until they are erased.
   std::unordered_map<CallId, PendingCall> m_calls;
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -15,25 +15,25 @@
 constexpr std::uint32_t kSpareSends = 3;
 //! A host that is stopping is no longer counted, but still holds its
 //! connections; beyond the limit a target resets them at random.
-constexpr std::uint32_t kHoldersNotCounted = 1;
+constexpr std::uint32_t kUncountedHosts = 1;
 //! Pause before a target is looked for again when none has a place.
-constexpr Duration kNoPlacePause = milliseconds(4);
+constexpr Duration kNoCapacityPause = milliseconds(4);
 //! The same for a hedge. Looked for once, most shards that go missing would
 //! have no second attempt although the budget has room.
-constexpr Duration kHedgePause = milliseconds(6);
+constexpr Duration kHedgeRetryPause = milliseconds(6);
 //! Where work takes long, places come free that much more rarely.
-constexpr int kHedgePauseMeans = 4;
+constexpr int kHedgeRetryPauseMeans = 4;
 //! Part of the objective for which a call may look for a place; after that its
 //! caller is better off elsewhere.
-constexpr int kNoPlacePart = 4;
+constexpr int kCapacityWaitPart = 4;
 
 /*! \brief Time from its arrival for which a call may look for a place. */
-[[nodiscard]] Duration PatienceOf(const internal::PendingCall& open) {
-  Duration whole = open.partial_at - open.call.arrived;
-  if (open.route->objective > Duration::zero()) {
-    whole = std::min(whole, open.route->objective);
+[[nodiscard]] Duration CapacityWaitLimit(const internal::PendingCall& pending) {
+  Duration limit = pending.partial_at - pending.call.arrived;
+  if (pending.route->objective > Duration::zero()) {
+    limit = std::min(limit, pending.route->objective);
   }
-  return whole / kNoPlacePart;
+  return limit / kCapacityWaitPart;
 }
 
 /**
@@ -43,108 +43,113 @@
  * would spend all their attempts on closed ports, and miss the shard although
  * another target is free soon after.
  */
-[[nodiscard]] bool HasLeftUnanswered(const internal::CallPart& part,
+[[nodiscard]] bool HasFailedThisCall(const internal::CallPart& part,
                                      const TrackedTarget& target,
                                      TimePoint now) {
-  return target.IsDoubtful(now) &&
+  return target.IsUnresponsive(now) &&
          std::ranges::find(part.tried, target.entry().id) != part.tried.end();
 }
 
 }  // namespace
 
-Duration Forwarder::UsefulTime(const PendingCall& open,
+Duration Forwarder::UsefulTime(const PendingCall& pending,
                                AttemptReason reason,
                                TimePoint now) const {
-  const TimePoint end = now < open.partial_at ? open.partial_at : open.final_at;
+  const TimePoint end =
+      now < pending.partial_at ? pending.partial_at : pending.final_at;
   if (reason == AttemptReason::kHedge) {
     return end - now;
   }
   // A shard that the answer needs is waited for, also beyond the objective.
-  return NeedsEachShard(open) ? Duration::max() : end - now;
+  return NeedsEachShard(pending) ? Duration::max() : end - now;
 }
 
-bool Forwarder::NeedsEachShard(const PendingCall& open) {
-  const std::size_t hopeful = open.answered + open.unsettled;
-  return hopeful <= open.route->min_shards();
+bool Forwarder::NeedsEachShard(const PendingCall& pending) {
+  const std::size_t hopeful = pending.answered + pending.open_parts;
+  return hopeful <= pending.route->min_shards();
 }
 
-TargetShare Forwarder::ShareOf(const PendingCall& open,
+TargetShare Forwarder::ShareOf(const PendingCall& pending,
                                const ServiceId& service) const {
-  return {.connections = ConnectionLimit(open, service), .hosts = m_hosts};
+  return {.connections = ConnectionLimit(pending, service), .hosts = m_hosts};
 }
 
-std::uint32_t Forwarder::ConnectionLimit(const PendingCall& open,
+std::uint32_t Forwarder::ConnectionLimit(const PendingCall& pending,
                                          const ServiceId& service) const {
   if (!m_has_share) {
     return 1;
   }
-  const std::uint32_t holders = m_hosts + kHoldersNotCounted;
-  return std::max(open.config->TargetConnections(service) / holders, 1U);
+  const std::uint32_t holders = m_hosts + kUncountedHosts;
+  return std::max(pending.config->TargetConnections(service) / holders, 1U);
 }
 
-void Forwarder::SendPart(PendingCall& open,
-                         std::size_t part_index,
-                         AttemptReason reason,
-                         TimePoint now) {
-  CallPart& part = open.parts[part_index];
+void Forwarder::TrySendAttempt(PendingCall& pending,
+                               std::size_t part_index,
+                               AttemptReason reason,
+                               TimePoint now) {
+  CallPart& part = pending.parts[part_index];
   const bool extra = part.arrivals > 0;
   AttemptBudget& budget = BudgetOf(part.service);
   if (extra && !budget.HasRoom(now)) {
     ++m_counters.budget_refusals;
-    ++open.story.budget_refusals;
+    ++pending.trace.budget_refusals;
     if (part.in_flight.empty()) {
-      GiveUp(open, part, part.reason);
+      GiveUp(pending, part, part.reason);
     }
     return;
   }
-  TargetCriteria need = NeedOf(open, part.service, ShareOf(open, part.service));
-  need.tried = part.tried;
-  need.reason = reason;
-  need.useful = UsefulTime(open, reason, now);
-  const TargetChoice choice = m_targets.Pick(need, now);
+  TargetCriteria criteria =
+      CriteriaFor(pending, part.service, ShareOf(pending, part.service));
+  criteria.tried = part.tried;
+  criteria.reason = reason;
+  criteria.useful_time = UsefulTime(pending, reason, now);
+  const TargetChoice choice = m_targets.Pick(criteria, now);
   if (choice.target == nullptr ||
-      HasLeftUnanswered(part, *choice.target, now)) {
-    OnNoTarget(open, part, now);
+      HasFailedThisCall(part, *choice.target, now)) {
+    OnNoTarget(pending, part, now);
     return;
   }
   const bool paid = extra && budget.TrySpend(now);
-  Launch(open, part_index, need, *choice.target, paid, now);
+  SendAttempt(pending, part_index, criteria, *choice.target, paid, now);
 }
 
-void Forwarder::OnNoTarget(PendingCall& open, CallPart& part, TimePoint now) {
+void Forwarder::OnNoTarget(PendingCall& pending,
+                           CallPart& part,
+                           TimePoint now) {
   if (!part.in_flight.empty()) {
     // The first attempt may still be answered, so the hedge can wait for a
     // place instead of being given up.
-    if (MaySendAgain(open, part, now)) {
+    if (MaySendAgain(pending, part, now)) {
       part.hedge_at =
-          now + std::max(kHedgePause, open.profile->mean() / kHedgePauseMeans);
+          now + std::max(kHedgeRetryPause,
+                         pending.profile->mean() / kHedgeRetryPauseMeans);
     }
     return;
   }
-  const bool live = m_targets.Live(part.service) > 0;
-  if (!live || now - open.call.arrived > PatienceOf(open)) {
+  const bool live = m_targets.CountLive(part.service) > 0;
+  if (!live || now - pending.call.arrived > CapacityWaitLimit(pending)) {
     const bool failed = part.reason == ForwardReason::kTargetsFailed;
-    const ForwardReason full =
+    const ForwardReason live_reason =
         failed ? ForwardReason::kTargetsFailed : ForwardReason::kOverload;
-    GiveUp(open, part, live ? full : ForwardReason::kNoTarget);
+    GiveUp(pending, part, live ? live_reason : ForwardReason::kNoTarget);
     return;
   }
-  part.retry_at = now + kNoPlacePause;
+  part.retry_at = now + kNoCapacityPause;
 }
 
-void Forwarder::Launch(PendingCall& open,
-                       std::size_t part_index,
-                       const TargetCriteria& need,
-                       TrackedTarget& target,
-                       bool paid,
-                       TimePoint now) {
-  CallPart& part = open.parts[part_index];
-  const AttemptReason reason = need.reason;
+void Forwarder::SendAttempt(PendingCall& pending,
+                            std::size_t part_index,
+                            const TargetCriteria& criteria,
+                            TrackedTarget& target,
+                            bool paid,
+                            TimePoint now) {
+  CallPart& part = pending.parts[part_index];
+  const AttemptReason reason = criteria.reason;
   const AttemptId id(m_next_attempt++);
   m_attempts.emplace(
-      id, PendingAttempt{open.call.id, part_index, &target, open.profile, now,
-                         reason, paid, open.fingerprint});
-  target.OnSend(id, open.profile->late_after(), need.needed, now);
+      id, PendingAttempt{pending.call.id, part_index, &target, pending.profile,
+                         now, reason, paid, pending.fingerprint});
+  target.OnSend(id, pending.profile->silence_timeout(), criteria.required, now);
   part.tried.push_back(target.entry().id);
   part.in_flight.push_back(id);
   ++part.runs;
@@ -155,50 +160,53 @@
     ++m_counters.attempts_other_domains[static_cast<std::size_t>(reason)];
   }
   part.hedge_at.reset();
-  if (MaySendAgain(open, part, now)) {
-    part.hedge_at = now + open.profile->hedge_delay();
+  if (MaySendAgain(pending, part, now)) {
+    part.hedge_at = now + pending.profile->hedge_delay();
   }
-  open.story.attempts.push_back(
+  pending.trace.attempts.push_back(
       AttemptTrace{.id = id,
                    .shard = static_cast<std::uint32_t>(part_index),
                    .target = target.entry().id,
                    .reason = reason,
-                   .sent = now - open.call.arrived});
+                   .sent = now - pending.call.arrived});
   m_port.Send(OutgoingAttempt{
-      id, target.entry(), open.call.request, open.call.deadline,
-      ConnectionLimit(open, part.service),
-      open.route->repeat == RepeatRule::kAtMostOnce, !m_has_share});
+      id, target.entry(), pending.call.request, pending.call.deadline,
+      ConnectionLimit(pending, part.service),
+      pending.route->repeat == RepeatRule::kAtMostOnce, !m_has_share});
 }
 
-bool Forwarder::MaySendAgain(const PendingCall& open,
+bool Forwarder::MaySendAgain(const PendingCall& pending,
                              const CallPart& part,
                              TimePoint now) const {
-  const bool repeatable =
-      open.route->repeat == RepeatRule::kIdempotent || part.runs == 0;
-  const bool endangers = open.lost > 0 && open.answered == 0 &&
-                         m_crashes.IsSuspect(open.fingerprint, now);
-  return repeatable && part.runs < open.route->max_attempts &&
-         part.sends < open.route->max_attempts + kSpareSends &&
-         now + open.profile->least_time() < open.final_at && !endangers;
+  const bool may_repeat =
+      pending.route->repeat == RepeatRule::kIdempotent || part.runs == 0;
+  const bool endangers_targets =
+      pending.lost > 0 && pending.answered == 0 &&
+      m_crash_guard.IsSuspect(pending.fingerprint, now);
+  return may_repeat && part.runs < pending.route->max_attempts &&
+         part.sends < pending.route->max_attempts + kSpareSends &&
+         now + pending.profile->min_useful_time() < pending.final_at &&
+         !endangers_targets;
 }
 
-void Forwarder::Retry(PendingCall& open,
-                      std::size_t part_index,
-                      TimePoint now) {
-  CallPart& part = open.parts[part_index];
+void Forwarder::RetryOrGiveUp(PendingCall& pending,
+                              std::size_t part_index,
+                              TimePoint now) {
+  CallPart& part = pending.parts[part_index];
   // A target that answers with a fault of the request's own would do so again
   // elsewhere.
   constexpr int kFirstServerError = 500;
-  const bool callers_fault =
+  const bool is_client_error =
       part.response && part.response->status < kFirstServerError;
-  if (!callers_fault && MaySendAgain(open, part, now)) {
-    SendPart(open, part_index,
-             part.arrivals == 0 ? AttemptReason::kFirst : AttemptReason::kRetry,
-             now);
+  if (!is_client_error && MaySendAgain(pending, part, now)) {
+    TrySendAttempt(
+        pending, part_index,
+        part.arrivals == 0 ? AttemptReason::kFirst : AttemptReason::kRetry,
+        now);
     return;
   }
   if (part.in_flight.empty()) {
-    GiveUp(open, part, part.reason);
+    GiveUp(pending, part, part.reason);
   }
 }
 
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -14,71 +14,71 @@
 
 //! Time that an attempt which lost to another may go on: its connection stays
 //! usable, and a target that wakes from a pause is known to be back.
-constexpr Duration kLoserGrace = milliseconds(350);
+constexpr Duration kSupersededGrace = milliseconds(350);
 
 }  // namespace
 
-void Forwarder::GiveUp(PendingCall& open,
+void Forwarder::GiveUp(PendingCall& pending,
                        CallPart& part,
                        ForwardReason reason) {
   part.phase = internal::PartPhase::kGivenUp;
   part.reason = reason;
   part.hedge_at.reset();
   part.retry_at.reset();
-  --open.unsettled;
+  --pending.open_parts;
 }
 
-void Forwarder::Settle(PendingCall& open, TimePoint now) {
-  const std::size_t reachable = open.answered + open.unsettled;
-  const bool hopeless = reachable < open.route->min_shards();
-  const bool partial =
-      now >= open.partial_at && open.answered >= open.route->min_shards();
-  if (open.unsettled == 0 || hopeless || partial) {
-    Finish(open, now);
+void Forwarder::FinishIfDone(PendingCall& pending, TimePoint now) {
+  const std::size_t reachable = pending.answered + pending.open_parts;
+  const bool hopeless = reachable < pending.route->min_shards();
+  const bool partial = now >= pending.partial_at &&
+                       pending.answered >= pending.route->min_shards();
+  if (pending.open_parts == 0 || hopeless || partial) {
+    Finish(pending, now);
     return;
   }
-  Rearm(open);
+  RearmTimer(pending);
 }
 
-void Forwarder::Finish(PendingCall& open, TimePoint now) {
-  ForwardAnswer answer = AnswerOf(open, now);
-  open.story.answered = static_cast<std::uint32_t>(open.answered);
-  for (std::size_t part = 0; part < open.parts.size(); ++part) {
-    if (open.parts[part].phase != internal::PartPhase::kAnswered) {
-      open.story.missing.push_back(static_cast<std::uint32_t>(part));
+void Forwarder::Finish(PendingCall& pending, TimePoint now) {
+  ForwardAnswer answer = MakeAnswer(pending, now);
+  pending.trace.answered = static_cast<std::uint32_t>(pending.answered);
+  for (std::size_t part = 0; part < pending.parts.size(); ++part) {
+    if (pending.parts[part].phase != internal::PartPhase::kAnswered) {
+      pending.trace.missing.push_back(static_cast<std::uint32_t>(part));
     }
   }
-  CountLosses(open, now);
-  m_port.Deliver(open.call.id, std::move(answer), open.story);
-  Close(open, now);
+  RecordLostCall(pending, now);
+  m_port.Deliver(pending.call.id, std::move(answer), pending.trace);
+  RemoveCall(pending, now);
 }
 
-void Forwarder::CountLosses(const PendingCall& open, TimePoint now) {
-  if (open.lost > 0 && open.answered == 0 &&
-      m_crashes.OnCallLost(open.fingerprint, now)) {
+void Forwarder::RecordLostCall(const PendingCall& pending, TimePoint now) {
+  if (pending.lost > 0 && pending.answered == 0 &&
+      m_crash_guard.OnCallLost(pending.fingerprint, now)) {
     ++m_counters.quarantines;
-    m_port.ShareQuarantine(open.fingerprint);
+    m_port.ShareQuarantine(pending.fingerprint);
   }
 }
 
-ForwardAnswer Forwarder::AnswerOf(PendingCall& open, TimePoint now) {
-  if (open.answered < open.route->min_shards()) {
-    return FailureOf(open, now);
+ForwardAnswer Forwarder::MakeAnswer(PendingCall& pending, TimePoint now) {
+  if (pending.answered < pending.route->min_shards()) {
+    return MakeFailureAnswer(pending, now);
   }
-  if (open.route->fans_out()) {
-    return Merge(open);
+  if (pending.route->fans_out()) {
+    return MakeMergedAnswer(pending);
   }
   ForwardAnswer answer;
   answer.kind = AnswerKind::kResponse;
-  answer.response = std::move(*open.parts.front().response);
+  answer.response = std::move(*pending.parts.front().response);
   return answer;
 }
 
-ForwardAnswer Forwarder::Merge(PendingCall& open) const {
+ForwardAnswer Forwarder::MakeMergedAnswer(PendingCall& pending) const {
   ForwardAnswer answer;
   answer.kind = AnswerKind::kMerged;
   std::vector<std::string_view> bodies;
-  for (const CallPart& part : open.parts) {
+  for (const CallPart& part : pending.parts) {
     if (part.phase != internal::PartPhase::kAnswered) {
       ++answer.missing_parts;
       continue;
@@ -86,29 +86,31 @@
     answer.part_stamps.push_back(part.response->stamp);
     bodies.push_back(part.response->body);
   }
-  answer.records = TopRecords(bodies, open.route->top_records);
+  answer.records = TopRecords(bodies, pending.route->top_records);
   answer.reason =
       answer.missing_parts > 0 ? ForwardReason::kLeftOut : ForwardReason::kNone;
   return answer;
 }
 
-ForwardAnswer Forwarder::FailureOf(PendingCall& open, TimePoint now) {
+ForwardAnswer Forwarder::MakeFailureAnswer(PendingCall& pending,
+                                           TimePoint now) {
   ForwardAnswer answer;
   const bool may_have_run = std::ranges::any_of(
-      open.parts, [](const CallPart& part) { return part.runs > 0; });
+      pending.parts, [](const CallPart& part) { return part.runs > 0; });
   const auto failed = std::ranges::find_if(
-      open.parts,
+      pending.parts,
       [](const CallPart& part) { return part.reason != ForwardReason::kNone; });
-  const bool late = now >= open.final_at;
-  answer.reason = late || failed == open.parts.end() ? ForwardReason::kDeadline
-                                                     : failed->reason;
+  const bool late = now >= pending.final_at;
+  answer.reason = late || failed == pending.parts.end()
+                      ? ForwardReason::kDeadline
+                      : failed->reason;
   if (!may_have_run) {
     answer.kind = AnswerKind::kNotRun;
-    answer.retry_after = ComeBackAfter(answer.reason, open);
+    answer.retry_after = RetryAfter(answer.reason, pending);
     return answer;
   }
-  CallPart& first = open.parts.front();
-  if (!open.route->fans_out() && first.response && first.in_flight.empty()) {
+  CallPart& first = pending.parts.front();
+  if (!pending.route->fans_out() && first.response && first.in_flight.empty()) {
     answer.kind = AnswerKind::kResponse;
     answer.response = std::move(*first.response);
     return answer;
@@ -123,7 +125,7 @@
     return;
   }
   ++m_counters.abandoned;
-  CountLosses(found->second, now);
+  RecordLostCall(found->second, now);
   for (const CallPart& part : found->second.parts) {
     for (const AttemptId attempt : std::vector<AttemptId>(part.in_flight)) {
       CancelAttempt(attempt, now);
@@ -133,11 +135,11 @@
   m_calls.erase(found);
 }
 
-void Forwarder::Close(PendingCall& open, TimePoint now) {
-  const CallId id = open.call.id;
-  for (const CallPart& part : open.parts) {
+void Forwarder::RemoveCall(PendingCall& pending, TimePoint now) {
+  const CallId id = pending.call.id;
+  for (const CallPart& part : pending.parts) {
     for (const AttemptId attempt : part.in_flight) {
-      m_stale_attempts.Set(attempt, now + kLoserGrace);
+      m_stale_attempts.Set(attempt, now + kSupersededGrace);
     }
   }
   m_timers.Remove(id);
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -8,7 +8,7 @@
 namespace {
 
 //! One in so many shards of a call are its last ones.
-constexpr std::size_t kLastShards = 10;
+constexpr std::size_t kLastShardsDivisor = 10;
 
 }  // namespace
 
@@ -21,16 +21,16 @@
   m_attempts.erase(found);
   m_stale_attempts.Remove(end.id);
   ++m_counters.outcomes[static_cast<std::size_t>(end.outcome)];
-  Learn(attempt, end, now);
-  const auto open = m_calls.find(attempt.call);
-  if (open != m_calls.end()) {
-    TakeEnd(open->second, attempt, end, now);
+  UpdateTarget(attempt, end, now);
+  const auto pending = m_calls.find(attempt.call);
+  if (pending != m_calls.end()) {
+    HandleAttemptEnd(pending->second, attempt, end, now);
   }
 }
 
-void Forwarder::Learn(const PendingAttempt& attempt,
-                      const AttemptEnd& end,
-                      TimePoint now) {
+void Forwarder::UpdateTarget(const PendingAttempt& attempt,
+                             const AttemptEnd& end,
+                             TimePoint now) {
   TrackedTarget& target = *attempt.target;
   switch (end.outcome) {
     case AttemptOutcome::kResponse:
@@ -60,30 +60,32 @@
   }
 }
 
-void Forwarder::Note(PendingCall& open, const AttemptEnd& end, TimePoint now) {
+void Forwarder::TraceEnd(PendingCall& pending,
+                         const AttemptEnd& end,
+                         TimePoint now) {
   const auto note =
-      std::ranges::find(open.story.attempts, end.id, &AttemptTrace::id);
-  if (note == open.story.attempts.end()) {
+      std::ranges::find(pending.trace.attempts, end.id, &AttemptTrace::id);
+  if (note == pending.trace.attempts.end()) {
     return;
   }
-  note->took = now - open.call.arrived - note->sent;
+  note->took = now - pending.call.arrived - note->sent;
   note->outcome = end.outcome;
   note->status = end.response.status;
 }
 
-void Forwarder::TakeEnd(PendingCall& open,
-                        const PendingAttempt& attempt,
-                        AttemptEnd& end,
-                        TimePoint now) {
-  Note(open, end, now);
-  CallPart& part = open.parts[attempt.part];
+void Forwarder::HandleAttemptEnd(PendingCall& pending,
+                                 const PendingAttempt& attempt,
+                                 AttemptEnd& end,
+                                 TimePoint now) {
+  TraceEnd(pending, end, now);
+  CallPart& part = pending.parts[attempt.part];
   std::erase(part.in_flight, end.id);
   if (part.phase != internal::PartPhase::kOpen) {
     return;
   }
   switch (end.outcome) {
     case AttemptOutcome::kResponse:
-      TakeResponse(open, part, end, now);
+      HandleResponse(pending, part, end, now);
       break;
     case AttemptOutcome::kNotSent:
       --part.arrivals;
@@ -100,27 +102,27 @@
       break;
     case AttemptOutcome::kBroken:
       part.reason = ForwardReason::kTargetsFailed;
-      open.lost += end.connection_lost ? 1 : 0;
+      pending.lost += end.connection_lost ? 1 : 0;
       break;
   }
   if (part.phase == internal::PartPhase::kOpen) {
-    Retry(open, attempt.part, now);
+    RetryOrGiveUp(pending, attempt.part, now);
   }
-  Settle(open, now);
+  FinishIfDone(pending, now);
 }
 
-void Forwarder::TakeResponse(PendingCall& open,
-                             CallPart& part,
-                             AttemptEnd& end,
-                             TimePoint now) {
-  const bool whole = !end.response.stamp.empty() && !end.response.encoded;
-  if (end.response.succeeded() && whole) {
+void Forwarder::HandleResponse(PendingCall& pending,
+                               CallPart& part,
+                               AttemptEnd& end,
+                               TimePoint now) {
+  const bool is_intact = !end.response.stamp.empty() && !end.response.encoded;
+  if (end.response.succeeded() && is_intact) {
     part.response = std::move(end.response);
     part.phase = internal::PartPhase::kAnswered;
-    ++open.answered;
-    --open.unsettled;
-    m_crashes.OnAnswered(open.fingerprint, now);
-    HedgeLastShards(open, now);
+    ++pending.answered;
+    --pending.open_parts;
+    m_crash_guard.OnAnswered(pending.fingerprint, now);
+    HedgeLastShards(pending, now);
     return;
   }
   part.reason = ForwardReason::kTargetsFailed;
@@ -133,17 +135,17 @@
 // waits for it and then for its hedge is late or lacks the shard. Once nearly
 // all shards are in, the rest are known to be late, and their hedges cost a few
 // attempts a call; hedges sent that early for all shards would cost many.
-void Forwarder::HedgeLastShards(PendingCall& open, TimePoint now) {
-  const std::size_t last = open.parts.size() / kLastShards;
-  if (open.unsettled == 0 || open.unsettled > last) {
+void Forwarder::HedgeLastShards(PendingCall& pending, TimePoint now) {
+  const std::size_t last = pending.parts.size() / kLastShardsDivisor;
+  if (pending.open_parts == 0 || pending.open_parts > last) {
     return;
   }
   const TimePoint from =
-      std::max(now, open.call.arrived + open.profile->mean());
-  for (CallPart& part : open.parts) {
-    const bool waits = part.phase == internal::PartPhase::kOpen &&
-                       part.arrivals == 1 && part.hedge_at.has_value();
-    if (waits) {
+      std::max(now, pending.call.arrived + pending.profile->mean());
+  for (CallPart& part : pending.parts) {
+    const bool is_unhedged = part.phase == internal::PartPhase::kOpen &&
+                             part.arrivals == 1 && part.hedge_at.has_value();
+    if (is_unhedged) {
       part.hedge_at = std::min(*part.hedge_at, from);
     }
   }
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -56,7 +56,7 @@
   return {.mean = m_mean, .samples = samples < kLeastSamples ? 0 : samples};
 }
 
-Duration LatencyProfile::least_time() const noexcept {
+Duration LatencyProfile::min_useful_time() const noexcept {
   return route_latency().is_measured() ? Scaled(m_mean, kLeastTimePart)
                                        : Duration::zero();
 }
--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -27,7 +27,7 @@
 
   /*! \brief Time below which an attempt is not worth its work; zero while the
    * mean is a guess, which must not end a call. */
-  [[nodiscard]] Duration least_time() const noexcept;
+  [[nodiscard]] Duration min_useful_time() const noexcept;
 
   /*! \brief Tells whether the mean was measured, and lately. */
   [[nodiscard]] bool IsFresh(TimePoint now) const noexcept;
@@ -36,7 +36,9 @@
   [[nodiscard]] Duration hedge_delay() const noexcept { return m_hedge_delay; }
 
   /*! \brief Time after which a target that answered nothing is held silent. */
-  [[nodiscard]] Duration late_after() const noexcept { return m_late_after; }
+  [[nodiscard]] Duration silence_timeout() const noexcept {
+    return m_late_after;
+  }
 
   /*! \brief Takes the latency of an answer. */
   void Add(Duration latency, TimePoint now);
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -57,12 +57,12 @@
   //! Connections that were lost while a target had the request.
   std::size_t lost = 0;
   //! Number of parts in phase kOpen.
-  std::size_t unsettled = 0;
+  std::size_t open_parts = 0;
   //! When it gets its final answer at the latest.
   TimePoint final_at;
   //! When an answer without all shards goes out if enough are in.
   TimePoint partial_at;
-  CallTrace story;
+  CallTrace trace;
 };
 
 /*! \brief An attempt without an end; it may outlive its call. */
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -41,24 +41,25 @@
   return std::ranges::find(ids, id) != ids.end();
 }
 
-[[nodiscard]] bool IsInGoodTime(Duration expected, const TargetCriteria& need) {
-  return expected * kGoodTimePart <= need.objective;
+[[nodiscard]] bool IsInGoodTime(Duration expected,
+                                const TargetCriteria& criteria) {
+  return expected * kGoodTimePart <= criteria.objective;
 }
 
 [[nodiscard]] bool SuitsHedge(const TrackedTarget& target,
-                              const TargetCriteria& need,
+                              const TargetCriteria& criteria,
                               TimePoint now) {
-  return !Contains(need.tried, target.entry().id) && !target.IsDoubtful(now) &&
-         target.Occupancy(now) < kHedgeOccupancy;
+  return !Contains(criteria.tried, target.entry().id) &&
+         !target.IsUnresponsive(now) && target.Occupancy(now) < kHedgeOccupancy;
 }
 
 //! Tells whether this host may have one more attempt at the target.
 [[nodiscard]] bool HasPlace(const TrackedTarget& target,
-                            const TargetCriteria& need) {
+                            const TargetCriteria& criteria) {
   const std::size_t like =
-      need.needed ? target.needed_in_flight() : target.in_flight();
-  return like < MaxInFlight(need.share, target.entry().slots) &&
-         target.in_flight() < std::max(need.share.connections, 1U);
+      criteria.required ? target.required_in_flight() : target.in_flight();
+  return like < MaxInFlight(criteria.share, target.entry().slots) &&
+         target.in_flight() < std::max(criteria.share.connections, 1U);
 }
 
 }  // namespace
@@ -66,7 +67,7 @@
 TargetSet::TargetSet(FailureDomain domain, std::uint64_t seed)
     : m_domain(std::move(domain)), m_random(seed) {}
 
-std::size_t TargetSet::Live(const ServiceId& service) const {
+std::size_t TargetSet::CountLive(const ServiceId& service) const {
   const auto found = m_by_service.find(service);
   if (found == m_by_service.end()) {
     return 0;
@@ -80,28 +81,29 @@
   return found == m_targets.end() ? nullptr : found->second.get();
 }
 
-TargetChoice TargetSet::Pick(const TargetCriteria& need, TimePoint now) {
-  const auto found = m_by_service.find(need.service);
+TargetChoice TargetSet::Pick(const TargetCriteria& criteria, TimePoint now) {
+  const auto found = m_by_service.find(criteria.service);
   if (found == m_by_service.end()) {
     return {};
   }
   TargetChoice best;
   double best_score = std::numeric_limits<double>::max();
   for (TrackedTarget* target : found->second) {
-    if (!target->TakesWork() || !HasPlace(*target, need) ||
-        !MayLoad(*target, need, now)) {
+    if (!target->TakesWork() || !HasPlace(*target, criteria) ||
+        !MayLoad(*target, criteria, now)) {
       continue;
     }
-    const Duration expected = target->ExpectedDelay(need.route_latency, now);
-    const bool hedge = need.reason == AttemptReason::kHedge;
-    if (hedge && !SuitsHedge(*target, need, now)) {
+    const Duration expected =
+        target->ExpectedDelay(criteria.route_latency, now);
+    const bool hedge = criteria.reason == AttemptReason::kHedge;
+    if (hedge && !SuitsHedge(*target, criteria, now)) {
       continue;
     }
     const Duration hoped = hedge ? expected / kHedgeHope : expected;
-    if (hoped > need.useful && (hedge || target->in_flight() > 0)) {
+    if (hoped > criteria.useful_time && (hedge || target->in_flight() > 0)) {
       continue;
     }
-    const double score = Score(*target, need, expected, now);
+    const double score = Score(*target, criteria, expected, now);
     if (score < best_score) {
       best_score = score;
       best = {target, expected};
@@ -155,28 +157,28 @@
 }
 
 bool TargetSet::MayLoad(const TrackedTarget& target,
-                        const TargetCriteria& need,
+                        const TargetCriteria& criteria,
                         TimePoint now) const {
-  return need.cold_rate <= 0 || !target.entry().IsCold(now) ||
-         m_cold_share.MaySend(target.entry().id, need.cold_rate,
+  return criteria.cold_rate <= 0 || !target.entry().IsCold(now) ||
+         m_cold_share.MaySend(target.entry().id, criteria.cold_rate,
                               target.last_sent(), now);
 }
 
 double TargetSet::Score(const TrackedTarget& target,
-                        const TargetCriteria& need,
+                        const TargetCriteria& criteria,
                         Duration expected,
                         TimePoint now) {
   const double mean = static_cast<double>(
-      std::max(need.route_latency.mean, Duration(1)).count());
+      std::max(criteria.route_latency.mean, Duration(1)).count());
   double score = static_cast<double>(expected.count()) / mean;
   score *= 1 + kJitter * m_random.Unit();
   if (target.entry().domain != m_domain) {
     score += kNeedlessCost;
-  } else if (!IsInGoodTime(expected, need)) {
+  } else if (!IsInGoodTime(expected, criteria)) {
     score += kNeedlessCost - kOtherDomainCost;
   }
-  score += target.IsDoubtful(now) ? kDoubtfulCost : 0;
-  score += Contains(need.tried, target.entry().id) ? kTriedCost : 0;
+  score += target.IsUnresponsive(now) ? kDoubtfulCost : 0;
+  score += Contains(criteria.tried, target.entry().id) ? kTriedCost : 0;
   return score;
 }
 
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -34,11 +34,11 @@
   //! without a shard, leave it places there. Else a call for one service alone
   //! would find the share taken by searches, and be refused. The connections
   //! bound both together.
-  bool needed = true;
+  bool required = true;
   //! Time in which an answer is of use. A target that is expected to take
   //! longer gets no hedge, and one attempt of this host at a time: enough to
   //! learn when it is fast again. Hedges so keep away from targets that shed.
-  Duration useful = Duration::max();
+  Duration useful_time = Duration::max();
   //! Requests a second that a cold target of the service bears from all hosts;
   //! 0: no bound.
   double cold_rate = 0;
@@ -70,7 +70,7 @@
   TargetSet(FailureDomain domain, std::uint64_t seed);
 
   /*! \brief Number of targets of a service that take work. */
-  [[nodiscard]] std::size_t Live(const ServiceId& service) const;
+  [[nodiscard]] std::size_t CountLive(const ServiceId& service) const;
 
   /*! \brief Finds a target by its id; null if it is unknown. */
   [[nodiscard]] TrackedTarget* Find(const TargetId& id);
@@ -83,7 +83,8 @@
    * \return No target if none takes work, has room, or suits the reason: a
    * hedge only goes where a slot is likely free.
    */
-  [[nodiscard]] TargetChoice Pick(const TargetCriteria& need, TimePoint now);
+  [[nodiscard]] TargetChoice Pick(const TargetCriteria& criteria,
+                                  TimePoint now);
 
   /**
    * \brief Usual latency of the requests that a service's targets answer.
@@ -107,10 +108,10 @@
   //! Tells whether the target is warm, or this host's share of what it bears
   //! while it is cold allows one more request.
   [[nodiscard]] bool MayLoad(const TrackedTarget& target,
-                             const TargetCriteria& need,
+                             const TargetCriteria& criteria,
                              TimePoint now) const;
   [[nodiscard]] double Score(const TrackedTarget& target,
-                             const TargetCriteria& need,
+                             const TargetCriteria& criteria,
                              Duration expected,
                              TimePoint now);
 
--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -52,12 +52,12 @@
       m_doubtful_until(now),
       m_load_at(now - kLoadLife) {}
 
-std::size_t TrackedTarget::needed_in_flight() const noexcept {
+std::size_t TrackedTarget::required_in_flight() const noexcept {
   return static_cast<std::size_t>(
-      std::ranges::count_if(m_in_flight, &InFlight::needed));
+      std::ranges::count_if(m_in_flight, &InFlight::required));
 }
 
-bool TrackedTarget::IsDoubtful(TimePoint now) const noexcept {
+bool TrackedTarget::IsUnresponsive(TimePoint now) const noexcept {
   if (now < m_doubtful_until || IsSilent(now)) {
     return true;
   }
@@ -116,10 +116,10 @@
 }
 
 void TrackedTarget::OnSend(AttemptId attempt,
-                           Duration late_after,
-                           bool needed,
+                           Duration silence_timeout,
+                           bool required,
                            TimePoint now) {
-  m_in_flight.push_back({attempt, now, late_after, needed});
+  m_in_flight.push_back({attempt, now, silence_timeout, required});
   m_last_sent = now;
 }
 
@@ -160,7 +160,8 @@
 
 void TrackedTarget::OnCancel(AttemptId attempt, TimePoint now) {
   const auto taken = Take(attempt);
-  if (taken && now - std::max(taken->sent, m_last_reply) > taken->late_after) {
+  if (taken &&
+      now - std::max(taken->sent, m_last_reply) > taken->silence_timeout) {
     OnUnanswered(now);
   }
 }
@@ -183,7 +184,7 @@
 
 bool TrackedTarget::IsSilent(TimePoint now) const noexcept {
   return std::ranges::any_of(m_in_flight, [&](const InFlight& attempt) {
-    return now - std::max(attempt.sent, m_last_reply) > attempt.late_after;
+    return now - std::max(attempt.sent, m_last_reply) > attempt.silence_timeout;
   });
 }
 
--- a/src/jacinthdeck/forward/tracked_target.h
+++ b/src/jacinthdeck/forward/tracked_target.h
@@ -33,7 +33,7 @@
   /*! \brief When an attempt was sent to it last. */
   [[nodiscard]] TimePoint last_sent() const noexcept { return m_last_sent; }
   /*! \brief Those whose calls cannot do without them. */
-  [[nodiscard]] std::size_t needed_in_flight() const noexcept;
+  [[nodiscard]] std::size_t required_in_flight() const noexcept;
 
   /*! \brief Tells whether it may get new work at all. */
   [[nodiscard]] bool TakesWork() const noexcept {
@@ -42,7 +42,7 @@
 
   /*! \brief Tells whether it has answered nothing for longer than its work
    * explains, or has lately left attempts unanswered. */
-  [[nodiscard]] bool IsDoubtful(TimePoint now) const noexcept;
+  [[nodiscard]] bool IsUnresponsive(TimePoint now) const noexcept;
 
   /*! \brief Usual latency of the requests that it answers, of whichever
    * route; zero while none of a measured route was answered. */
@@ -80,12 +80,12 @@
 
   /**
    * \brief Counts an attempt that is being sent.
-   * \param late_after Time after which silence is not explained by its work.
-   * \param needed Its call cannot be answered without it.
+   * \param silence_timeout Time after which silence is not explained by its
+   * work. \param required Its call cannot be answered without it.
    */
   void OnSend(AttemptId attempt,
-              Duration late_after,
-              bool needed,
+              Duration silence_timeout,
+              bool required,
               TimePoint now);
 
   /**
@@ -118,8 +118,8 @@
   struct InFlight {
     AttemptId id;
     TimePoint sent;
-    Duration late_after;
-    bool needed = true;
+    Duration silence_timeout;
+    bool required = true;
   };
 
   //! Takes an attempt off the list; nothing if it is not there.
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -27,7 +27,7 @@
   struct Delivered {
     CallId call;
     ForwardAnswer answer;
-    CallTrace story;
+    CallTrace trace;
   };
 
   std::vector<OutgoingAttempt> sent;
@@ -41,8 +41,8 @@
   void Cancel(AttemptId attempt) override { cancelled.push_back(attempt); }
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallTrace& story) override {
-    delivered.push_back({call, std::move(answer), story});
+               const CallTrace& trace) override {
+    delivered.push_back({call, std::move(answer), trace});
   }
   void ShareQuarantine(Fingerprint fingerprint) override {
     quarantines.push_back(fingerprint);
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -18,7 +18,7 @@
   TimePoint now{seconds(100)};
   TargetSet set{FailureDomain("fd-0"), 7};
   std::vector<TargetEntry> entries;
-  TargetCriteria need;
+  TargetCriteria criteria;
   std::uint64_t next = 1;
 
   TargetSetFixture() {
@@ -33,9 +33,9 @@
       entries.push_back(entry);
     }
     set.Replace(entries, now);
-    need.service = ServiceId("desk");
-    need.route_latency = {.mean = milliseconds(20), .samples = 64};
-    need.share.connections = 5;
+    criteria.service = ServiceId("desk");
+    criteria.route_latency = {.mean = milliseconds(20), .samples = 64};
+    criteria.share.connections = 5;
   }
 
   [[nodiscard]] TrackedTarget& Target(int index) {
@@ -44,18 +44,18 @@
 
   AttemptId Send(TrackedTarget& target) {
     const AttemptId id(next++);
-    target.OnSend(id, milliseconds(50), need.needed, now);
+    target.OnSend(id, milliseconds(50), criteria.required, now);
     return id;
   }
 
   void Answer(TrackedTarget& target, Duration latency) {
-    target.OnAnswer(Send(target), latency, need.route_latency, now);
+    target.OnAnswer(Send(target), latency, criteria.route_latency, now);
   }
 
   [[nodiscard]] std::map<std::string, int> Picks(int count) {
     std::map<std::string, int> picks;
     for (int i = 0; i < count; ++i) {
-      const TargetChoice choice = set.Pick(need, now);
+      const TargetChoice choice = set.Pick(criteria, now);
       ++picks[choice.target == nullptr ? "none"
                                        : choice.target->entry().id.raw()];
     }
@@ -97,7 +97,7 @@
 BOOST_AUTO_TEST_CASE(Pick_SilentTargetAnswers_IsUsedAgain) {
   const AttemptId id = Send(Target(0));
   now += milliseconds(200);
-  Target(0).OnAnswer(id, milliseconds(20), need.route_latency, now);
+  Target(0).OnAnswer(id, milliseconds(20), criteria.route_latency, now);
   BOOST_TEST(Picks(50)["t0"] > 0);
 }
 
@@ -119,14 +119,14 @@
   int failed = 0;
   for (int i = 0; i < kRequests; ++i) {
     now += milliseconds(5);
-    TrackedTarget& target = *set.Pick(need, now).target;
+    TrackedTarget& target = *set.Pick(criteria, now).target;
     const bool is_bad = (now.time_since_epoch() / seconds(1)) % 2 == 0;
     const AttemptId id = Send(target);
     if (is_bad && &target == &Target(0)) {
       target.OnFailure(id, now);
       ++failed;
     } else {
-      target.OnAnswer(id, milliseconds(20), need.route_latency, now);
+      target.OnAnswer(id, milliseconds(20), criteria.route_latency, now);
     }
   }
   BOOST_TEST(failed < kRequests / 50);
@@ -158,7 +158,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Pick_AllAreAtTheirLimit_ChoosesNone) {
-  need.share.connections = 1;
+  criteria.share.connections = 1;
   for (int i = 0; i < 3; ++i) {
     (void)Send(Target(i));
   }
@@ -167,7 +167,7 @@
 
 // A hedge that waits in a queue delays others and helps nobody.
 BOOST_AUTO_TEST_CASE(Pick_HedgeFindsNoFreeSlot_ChoosesNone) {
-  need.reason = AttemptReason::kHedge;
+  criteria.reason = AttemptReason::kHedge;
   for (int i = 0; i < 3; ++i) {
     Target(i).OnLoad(LoadReport{3, 0, 3, 1}, now);
   }
@@ -178,10 +178,10 @@
 // come after its answer is of use, spend the shard's last attempt and hold a
 // slot of the slow target.
 BOOST_AUTO_TEST_CASE(Pick_HedgeWouldComeTooLate_ChoosesNone) {
-  need.reason = AttemptReason::kHedge;
-  need.useful = milliseconds(60);
+  criteria.reason = AttemptReason::kHedge;
+  criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.route_latency.mean * 10);
+    Answer(Target(i), criteria.route_latency.mean * 10);
   }
   BOOST_TEST(Picks(1)["none"] == 1);
 }
@@ -192,12 +192,12 @@
 // hedges unspent.
 BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnceAmongManyAnswers_HedgeFindsOne) {
   constexpr int kAnswers = 7;
-  need.reason = AttemptReason::kHedge;
-  need.useful = milliseconds(30);
+  criteria.reason = AttemptReason::kHedge;
+  criteria.useful_time = milliseconds(30);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.route_latency.mean * 10);
+    Answer(Target(i), criteria.route_latency.mean * 10);
     for (int answer = 0; answer < kAnswers; ++answer) {
-      Answer(Target(i), need.route_latency.mean);
+      Answer(Target(i), criteria.route_latency.mean);
     }
   }
   BOOST_TEST(Picks(1).count("none") == 0U);
@@ -207,12 +207,12 @@
 // attempt at a time finds out when a target is fast again; more would fill its
 // queue, so that it answers late for a while longer.
 BOOST_AUTO_TEST_CASE(Pick_TargetsAnswerTooLate_EachGetsOneAttemptAtATime) {
-  need.useful = milliseconds(60);
+  criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.route_latency.mean * 10);
+    Answer(Target(i), criteria.route_latency.mean * 10);
   }
   for (int i = 0; i < 3; ++i) {
-    const TargetChoice choice = set.Pick(need, now);
+    const TargetChoice choice = set.Pick(criteria, now);
     BOOST_REQUIRE(choice.target != nullptr);
     BOOST_TEST(choice.target->in_flight() == 0U);
     (void)Send(*choice.target);
@@ -223,7 +223,7 @@
 // Guards against bytes between domains that bring no answer in time: the own
 // target is slower than the others, and soon enough.
 BOOST_AUTO_TEST_CASE(Pick_OwnTargetIsSlowerButInGoodTime_KeepsToTheOwnDomain) {
-  need.objective = milliseconds(120);
+  criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
     Answer(Target(0), milliseconds(44));
     Answer(Target(1), milliseconds(16));
@@ -234,7 +234,7 @@
 
 // Guards against late answers for the sake of bytes.
 BOOST_AUTO_TEST_CASE(Pick_OwnTargetTakesMostOfTheObjective_GoesElsewhere) {
-  need.objective = milliseconds(120);
+  criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
     Answer(Target(0), milliseconds(70));
     Answer(Target(1), milliseconds(16));
@@ -249,10 +249,10 @@
     entry.evacuated = entry.id != TargetId("t2");
   }
   set.Replace(entries, now);
-  BOOST_TEST(set.Live(need.service) == 1U);
+  BOOST_TEST(set.CountLive(criteria.service) == 1U);
   for (const AttemptReason reason :
        {AttemptReason::kFirst, AttemptReason::kHedge, AttemptReason::kRetry}) {
-    need.reason = reason;
+    criteria.reason = reason;
     BOOST_TEST(Picks(20)["t2"] == 20);
   }
 }
@@ -264,14 +264,14 @@
   }
   set.Replace(entries, now);
   set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h0")});
-  need.cold_rate = 5;
-  need.share.connections = 1000;
+  criteria.cold_rate = 5;
+  criteria.share.connections = 1000;
   int sent = 0;
   for (int i = 0; i < 3000; ++i) {
     now += milliseconds(1);
-    const TargetChoice choice = set.Pick(need, now);
+    const TargetChoice choice = set.Pick(criteria, now);
     if (choice.target != nullptr) {
-      Answer(*choice.target, need.route_latency.mean);
+      Answer(*choice.target, criteria.route_latency.mean);
       ++sent;
     }
   }
@@ -285,7 +285,7 @@
   entries[0].cold_until = now + seconds(4);
   set.Replace(entries, now);
   set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h1")});
-  need.cold_rate = 100;
+  criteria.cold_rate = 100;
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
@@ -307,7 +307,7 @@
   TrackedTarget* const gone = set.Find(TargetId("t0"));
   BOOST_REQUIRE(gone != nullptr);
   BOOST_TEST(!gone->TakesWork());
-  gone->OnAnswer(id, milliseconds(20), need.route_latency, now);
+  gone->OnAnswer(id, milliseconds(20), criteria.route_latency, now);
   set.Replace(rest, now);
   BOOST_TEST((set.Find(TargetId("t0")) == nullptr));
 }
