--- a/src/jacinthdeck/forward/attempt_budget.h
+++ b/src/jacinthdeck/forward/attempt_budget.h
@@ -46,7 +46,7 @@
   void OnRequest(TimePoint now);
 
   /*! \brief Tells whether one more extra attempt may be sent now. */
-  [[nodiscard]] bool HasRoom(TimePoint now);
+  [[nodiscard]] bool CanSpend(TimePoint now);
 
   /**
    * \brief Pays for one extra attempt.
@@ -58,7 +58,7 @@
   void Refund(TimePoint now);
 
   /*! \brief Extra attempts that could be sent now. */
-  [[nodiscard]] double Left(TimePoint now);
+  [[nodiscard]] double Available(TimePoint now);
 
  private:
   //! Buckets of a window; the sum covers one bucket more than the window, so
@@ -75,9 +75,9 @@
   AttemptBudgetOptions m_options;
   double m_share = 0;
   TimePoint m_share_since;
-  //! Ring; m_slot is the number of its newest bucket since the epoch.
+  //! Ring; m_newest is the number of its newest bucket since the epoch.
   std::array<Bucket, kBuckets + 1> m_ring{};
-  std::int64_t m_slot = 0;
+  std::int64_t m_newest = 0;
   //! Sums over the ring; requests leave out the oldest bucket, extras do not.
   std::uint32_t m_requests = 0;
   std::uint32_t m_extras = 0;
--- a/src/jacinthdeck/forward/cold_target_limiter.cc
+++ b/src/jacinthdeck/forward/cold_target_limiter.cc
@@ -21,11 +21,11 @@
 void ColdTargetLimiter::SetHosts(const NodeId& self,
                                  std::span<const NodeId> hosts) {
   m_self = HashOf(self.raw(), 0);
-  m_has_share = false;
+  m_is_listed = false;
   m_others.clear();
   for (const NodeId& host : hosts) {
     if (host == self) {
-      m_has_share = true;
+      m_is_listed = true;
     } else {
       m_others.push_back(HashOf(host.raw(), 0));
     }
@@ -33,7 +33,7 @@
 }
 
 double ColdTargetLimiter::RateOf(const TargetId& target, double bound) const {
-  return IsAppointed(target, bound) ? RateIfAppointed(bound) : 0;
+  return IsSelected(target, bound) ? RateIfSelected(bound) : 0;
 }
 
 bool ColdTargetLimiter::MaySend(const TargetId& target,
@@ -41,27 +41,26 @@
                                 TimePoint last,
                                 TimePoint now) const {
   const auto elapsed = std::chrono::duration<double>(now - last).count();
-  return elapsed * RateIfAppointed(bound) >= 1 && IsAppointed(target, bound);
+  return elapsed * RateIfSelected(bound) >= 1 && IsSelected(target, bound);
 }
 
-double ColdTargetLimiter::Appointed(double bound) const noexcept {
+double ColdTargetLimiter::SelectedHosts(double bound) const noexcept {
   const double hosts = static_cast<double>(m_others.size() + 1);
-  return std::clamp(std::floor(bound / kLeastRate), 1.0, hosts);
+  return std::clamp(std::floor(bound / kMinRate), 1.0, hosts);
 }
 
-double ColdTargetLimiter::RateIfAppointed(double bound) const noexcept {
-  return bound / Appointed(bound);
+double ColdTargetLimiter::RateIfSelected(double bound) const noexcept {
+  return bound / SelectedHosts(bound);
 }
 
-bool ColdTargetLimiter::IsAppointed(const TargetId& target,
-                                    double bound) const {
-  if (!m_has_share) {
+bool ColdTargetLimiter::IsSelected(const TargetId& target, double bound) const {
+  if (!m_is_listed) {
     return false;
   }
   const std::uint64_t own = HashOf(target.raw(), m_self);
-  auto places = static_cast<std::size_t>(Appointed(bound));
+  auto remaining = static_cast<std::size_t>(SelectedHosts(bound));
   for (const std::uint64_t host : m_others) {
-    if (HashOf(target.raw(), host) > own && --places == 0) {
+    if (HashOf(target.raw(), host) > own && --remaining == 0) {
       return false;
     }
   }
--- a/src/jacinthdeck/forward/cold_target_limiter.h
+++ b/src/jacinthdeck/forward/cold_target_limiter.h
@@ -27,7 +27,7 @@
  public:
   /*! \brief Least requests a second of an appointed host, if the bound allows
    * as many. */
-  static constexpr double kLeastRate = 2;
+  static constexpr double kMinRate = 2;
 
   /**
    * \brief Takes the hosts that callers are sent to.
@@ -53,12 +53,12 @@
 
  private:
   //! Number of hosts that share the bound; whole, 1 at least.
-  [[nodiscard]] double Appointed(double bound) const noexcept;
-  [[nodiscard]] double RateIfAppointed(double bound) const noexcept;
-  [[nodiscard]] bool IsAppointed(const TargetId& target, double bound) const;
+  [[nodiscard]] double SelectedHosts(double bound) const noexcept;
+  [[nodiscard]] double RateIfSelected(double bound) const noexcept;
+  [[nodiscard]] bool IsSelected(const TargetId& target, double bound) const;
 
   std::uint64_t m_self = 0;
-  bool m_has_share = false;
+  bool m_is_listed = false;
   //! Hashes of the other hosts' names.
   std::vector<std::uint64_t> m_others;
 };
--- a/src/jacinthdeck/forward/crash_guard.cc
+++ b/src/jacinthdeck/forward/crash_guard.cc
@@ -25,20 +25,20 @@
   const auto found = m_records.find(fingerprint);
   return found != m_records.end() &&
          found->second.calls >= kQuarantineThreshold &&
-         now - found->second.last < kMemory;
+         now - found->second.last < kRetention;
 }
 
 bool CrashGuard::IsSuspect(Fingerprint fingerprint, TimePoint now) const {
   const auto found = m_records.find(fingerprint);
-  return found != m_records.end() && now - found->second.last < kMemory;
+  return found != m_records.end() && now - found->second.last < kRetention;
 }
 
 bool CrashGuard::OnCallLost(Fingerprint fingerprint, TimePoint now) {
-  MakeRoom(now);
+  EvictIfFull(now);
   Record& record = m_records[fingerprint];
-  const bool again =
-      now - record.last < kMemory && !WasAnswered(fingerprint, now);
-  record.calls = again ? record.calls + 1 : 1;
+  const bool is_repeated =
+      now - record.last < kRetention && !WasAnswered(fingerprint, now);
+  record.calls = is_repeated ? record.calls + 1 : 1;
   record.last = now;
   return record.calls == kQuarantineThreshold;
 }
@@ -52,7 +52,7 @@
   if (WasAnswered(fingerprint, now)) {
     return;
   }
-  MakeRoom(now);
+  EvictIfFull(now);
   m_records[fingerprint] = {kQuarantineThreshold, now};
 }
 
@@ -63,17 +63,17 @@
 bool CrashGuard::WasAnswered(Fingerprint fingerprint, TimePoint now) {
   const Answer& answer = SlotOf(fingerprint);
   return answer.request == fingerprint && answer.at &&
-         now - *answer.at < kMemory;
+         now - *answer.at < kRetention;
 }
 
-void CrashGuard::MakeRoom(TimePoint now) {
-  if (m_records.size() < kMostHeld) {
+void CrashGuard::EvictIfFull(TimePoint now) {
+  if (m_records.size() < kMaxRecords) {
     return;
   }
   std::erase_if(m_records, [&](const auto& item) {
-    return now - item.second.last >= kMemory;
+    return now - item.second.last >= kRetention;
   });
-  if (m_records.size() >= kMostHeld) {
+  if (m_records.size() >= kMaxRecords) {
     // Full of fresh losses: half of the targets are failing, and no single
     // request is to blame.
     m_records.clear();
--- a/src/jacinthdeck/forward/crash_guard.h
+++ b/src/jacinthdeck/forward/crash_guard.h
@@ -38,9 +38,9 @@
   //! Calls that convict a request.
   static constexpr std::uint32_t kQuarantineThreshold = 2;
   //! How long losses and convictions are remembered.
-  static constexpr Duration kMemory = std::chrono::seconds(60);
+  static constexpr Duration kRetention = std::chrono::seconds(60);
   //! Fingerprints held at once; each is one failed request.
-  static constexpr std::size_t kMostHeld = 4096;
+  static constexpr std::size_t kMaxRecords = 4096;
   //! Answered requests that are remembered; popular ones come back to their
   //! slot at once when another took it.
   static constexpr std::size_t kAnsweredSlots = 1024;
@@ -77,7 +77,7 @@
 
   [[nodiscard]] Answer& SlotOf(Fingerprint fingerprint);
   [[nodiscard]] bool WasAnswered(Fingerprint fingerprint, TimePoint now);
-  void MakeRoom(TimePoint now);
+  void EvictIfFull(TimePoint now);
 
   std::unordered_map<Fingerprint, Record> m_records;
   //! The last answer of each slot.
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -134,8 +134,8 @@
                                            const ServiceId& service,
                                            const TargetShare& share) const;
   [[nodiscard]] Duration ExpectedDelay(PendingCall& pending, TimePoint now);
-  [[nodiscard]] Duration RetryAfter(ForwardReason reason,
-                                    const PendingCall& pending);
+  [[nodiscard]] Duration RetryAfterFor(ForwardReason reason,
+                                       const PendingCall& pending);
   [[nodiscard]] LatencyProfile& ProfileOf(const Route& route);
   void UpdateBudgetShare(AttemptBudget& budget) const;
   [[nodiscard]] AttemptBudget& BudgetOf(const ServiceId& service);
--- a/src/jacinthdeck/forward/forwarder_admission.cc
+++ b/src/jacinthdeck/forward/forwarder_admission.cc
@@ -27,15 +27,15 @@
 constexpr double kRetryAfterJitter = 1.0;
 //! Longest expected delay of a call, in objectives, by its priority: the
 //! urgent ones may use the queue that others must leave free.
-constexpr double kMaxDelay = 1.0;
+constexpr double kDelayLimit = 1.0;
 //! The same while at most half of the shards have a queue. The delay is an
 //! estimate from this host's view; a few crowded shards mostly answer sooner,
 //! by a hedge or another target, and a caller that is sent away finds the same
 //! shards when it comes back. Above capacity all shards have one, and the same
 //! patience there would fill the queues with calls that come too late.
-constexpr double kMaxLocalDelay = 1.5;
-constexpr double kDelayPriorityStep = 0.1;
-constexpr double kMinMaxDelay = 0.5;
+constexpr double kLocalDelayLimit = 1.5;
+constexpr double kDelayLimitStep = 0.1;
+constexpr double kMinDelayLimit = 0.5;
 //! Stands for the objective of a route without one.
 constexpr Duration kDefaultObjective = milliseconds(500);
 //! For an estimate without regard to this host's share of a target.
@@ -59,10 +59,11 @@
 }
 
 //! Longest delay with which a call is worth its work.
-[[nodiscard]] Duration MaxDelay(const Route& route, const CallTrace& trace) {
-  const double most = IsLocalOverload(trace) ? kMaxLocalDelay : kMaxDelay;
+[[nodiscard]] Duration DelayLimit(const Route& route, const CallTrace& trace) {
+  const double base_factor =
+      IsLocalOverload(trace) ? kLocalDelayLimit : kDelayLimit;
   const double part =
-      std::max(most - kDelayPriorityStep * route.priority, kMinMaxDelay);
+      std::max(base_factor - kDelayLimitStep * route.priority, kMinDelayLimit);
   return Duration(static_cast<Duration::rep>(
       part * static_cast<double>(ObjectiveOf(route).count())));
 }
@@ -78,7 +79,7 @@
   }
   if (const auto reason = ReasonToRefuse(pending, now)) {
     Refuse(pending.call, AnswerKind::kNotRun, *reason,
-           RetryAfter(*reason, pending), pending.trace);
+           RetryAfterFor(*reason, pending), pending.trace);
     return;
   }
   const CallId id = pending.call.id;
@@ -172,7 +173,7 @@
     return ForwardReason::kDeadline;
   }
   pending.trace.expected = ExpectedDelay(pending, now);
-  if (pending.trace.expected > MaxDelay(*pending.route, pending.trace)) {
+  if (pending.trace.expected > DelayLimit(*pending.route, pending.trace)) {
     return ForwardReason::kOverload;
   }
   return std::nullopt;
@@ -254,8 +255,8 @@
   return delays[pending.route->min_shards() - 1];
 }
 
-Duration Forwarder::RetryAfter(ForwardReason reason,
-                               const PendingCall& pending) {
+Duration Forwarder::RetryAfterFor(ForwardReason reason,
+                                  const PendingCall& pending) {
   switch (reason) {
     case ForwardReason::kNoTarget:
       return kNoTargetRetryAfter;
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -90,7 +90,7 @@
   CallPart& part = pending.parts[part_index];
   const bool extra = part.arrivals > 0;
   AttemptBudget& budget = BudgetOf(part.service);
-  if (extra && !budget.HasRoom(now)) {
+  if (extra && !budget.CanSpend(now)) {
     ++m_counters.budget_refusals;
     ++pending.trace.budget_refusals;
     if (part.in_flight.empty()) {
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -106,7 +106,7 @@
                       : failed->reason;
   if (!may_have_run) {
     answer.kind = AnswerKind::kNotRun;
-    answer.retry_after = RetryAfter(answer.reason, pending);
+    answer.retry_after = RetryAfterFor(answer.reason, pending);
     return answer;
   }
   CallPart& first = pending.parts.front();
--- a/src/jacinthdeck/forward/in_flight_limit.cc
+++ b/src/jacinthdeck/forward/in_flight_limit.cc
@@ -9,18 +9,18 @@
 
 //! Requests at a target that is full by all hosts' shares, over its slots:
 //! one turn that runs and three that wait.
-constexpr std::uint32_t kTurns = 4;
+constexpr std::uint32_t kRequestsPerSlot = 4;
 //! A smaller share leaves targets idle where calls overlap at one host.
-constexpr std::uint32_t kLeastShare = 2;
+constexpr std::uint32_t kMinInFlight = 2;
 
 }  // namespace
 
 std::uint32_t MaxInFlight(const TargetShare& share,
                           std::uint32_t slots) noexcept {
   const std::uint32_t hosts = std::max(share.hosts, 1U);
-  const std::uint32_t places = kTurns * std::max(slots, 1U);
-  const std::uint32_t fair = (places + hosts - 1) / hosts;
-  return std::clamp(std::max(fair, kLeastShare), 1U,
+  const std::uint32_t capacity = kRequestsPerSlot * std::max(slots, 1U);
+  const std::uint32_t equal_share = (capacity + hosts - 1) / hosts;
+  return std::clamp(std::max(equal_share, kMinInFlight), 1U,
                     std::max(share.connections, 1U));
 }
 
--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -37,14 +37,14 @@
 
   /*! \brief Time after which a target that answered nothing is held silent. */
   [[nodiscard]] Duration silence_timeout() const noexcept {
-    return m_late_after;
+    return m_silence_timeout;
   }
 
   /*! \brief Takes the latency of an answer. */
   void Add(Duration latency, TimePoint now);
 
  private:
-  void Learn();
+  void UpdateDelays();
 
   //! Zero if the route names none.
   Duration m_objective;
@@ -52,9 +52,9 @@
   DecayingAverage m_average;
   Duration m_mean{};
   Duration m_hedge_delay{};
-  Duration m_late_after{};
+  Duration m_silence_timeout{};
   //! Moment of the last answer.
-  TimePoint m_learned_at;
+  TimePoint m_last_answer;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/routing_config.cc
+++ b/src/jacinthdeck/forward/routing_config.cc
@@ -35,10 +35,10 @@
   }
   for (const ServiceConfig& service : services) {
     m_target_connections[service.id] = service.target_connections;
-    m_fewest_connections =
-        m_fewest_connections == 0
+    m_min_target_connections =
+        m_min_target_connections == 0
             ? service.target_connections
-            : std::min(m_fewest_connections, service.target_connections);
+            : std::min(m_min_target_connections, service.target_connections);
     if (service.cold_rate > 0) {
       m_cold_rates[service.id] = service.cold_rate;
     }
--- a/src/jacinthdeck/forward/routing_config.h
+++ b/src/jacinthdeck/forward/routing_config.h
@@ -69,7 +69,7 @@
   /*! \brief Fewest connections that a target of any service that a route
    * names accepts; 0 if there is none. */
   [[nodiscard]] std::uint32_t MinTargetConnections() const noexcept {
-    return m_fewest_connections;
+    return m_min_target_connections;
   }
 
   /*! \brief Connections that a target of a service accepts in all; 1 for an
@@ -89,7 +89,7 @@
   std::unordered_map<ServiceId, std::uint32_t> m_target_connections;
   //! Of services with a bound alone.
   std::unordered_map<ServiceId, double> m_cold_rates;
-  std::uint32_t m_fewest_connections = 0;
+  std::uint32_t m_min_target_connections = 0;
   CallerLimits m_limits;
 };
 
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -15,50 +15,51 @@
 constexpr double kOtherDomainCost = 1.5;
 //! The same compared with a target of the own domain that is expected to answer
 //! in good time: an answer that is sooner yet is worth nothing to its caller.
-constexpr double kNeedlessCost = 3.0;
+constexpr double kUnneededOtherDomainCost = 3.0;
 //! Part of the objective within which a target answers in good time. The rest
 //! is for the slowest shard and for a hedge.
-constexpr int kGoodTimePart = 2;
+constexpr int kFastEnoughPart = 2;
 //! Random part of a score: hosts with the same view must not all send to the
 //! same target.
 constexpr double kJitter = 0.1;
 //! Added to the score, in means: such a target is taken only if no other is
 //! left.
-constexpr double kDoubtfulCost = 1000;
+constexpr double kUnresponsiveCost = 1000;
 //! As above, for a target that had the request before.
 constexpr double kTriedCost = 10000;
 //! A hedge needs a free slot: an extra request that waits in a queue delays
 //! others and helps nobody.
-constexpr double kHedgeOccupancy = 1.0;
+constexpr double kMaxHedgeOccupancy = 1.0;
 
 //! A hedge is worth its load at a target whose expected delay is up to so many
 //! times the time that is left. The expectation remembers the last pause for
 //! some answers, and most answers come much sooner; held to it, a hedge would
 //! find no target where each of the others paused a moment ago.
-constexpr int kHedgeHope = 2;
+constexpr int kHedgeDelayTolerance = 2;
 
 [[nodiscard]] bool Contains(std::span<const TargetId> ids, const TargetId& id) {
   return std::ranges::find(ids, id) != ids.end();
 }
 
-[[nodiscard]] bool IsInGoodTime(Duration expected,
+[[nodiscard]] bool IsFastEnough(Duration expected,
                                 const TargetCriteria& criteria) {
-  return expected * kGoodTimePart <= criteria.objective;
+  return expected * kFastEnoughPart <= criteria.objective;
 }
 
 [[nodiscard]] bool SuitsHedge(const TrackedTarget& target,
                               const TargetCriteria& criteria,
                               TimePoint now) {
   return !Contains(criteria.tried, target.entry().id) &&
-         !target.IsUnresponsive(now) && target.Occupancy(now) < kHedgeOccupancy;
+         !target.IsUnresponsive(now) &&
+         target.Occupancy(now) < kMaxHedgeOccupancy;
 }
 
 //! Tells whether this host may have one more attempt at the target.
-[[nodiscard]] bool HasPlace(const TrackedTarget& target,
-                            const TargetCriteria& criteria) {
-  const std::size_t like =
+[[nodiscard]] bool HasCapacity(const TrackedTarget& target,
+                               const TargetCriteria& criteria) {
+  const std::size_t counted =
       criteria.required ? target.required_in_flight() : target.in_flight();
-  return like < MaxInFlight(criteria.share, target.entry().slots) &&
+  return counted < MaxInFlight(criteria.share, target.entry().slots) &&
          target.in_flight() < std::max(criteria.share.connections, 1U);
 }
 
@@ -89,8 +90,8 @@
   TargetChoice best;
   double best_score = std::numeric_limits<double>::max();
   for (TrackedTarget* target : found->second) {
-    if (!target->TakesWork() || !HasPlace(*target, criteria) ||
-        !MayLoad(*target, criteria, now)) {
+    if (!target->TakesWork() || !HasCapacity(*target, criteria) ||
+        !IsWithinColdLimit(*target, criteria, now)) {
       continue;
     }
     const Duration expected =
@@ -99,8 +100,10 @@
     if (hedge && !SuitsHedge(*target, criteria, now)) {
       continue;
     }
-    const Duration hoped = hedge ? expected / kHedgeHope : expected;
-    if (hoped > criteria.useful_time && (hedge || target->in_flight() > 0)) {
+    const Duration tolerated =
+        hedge ? expected / kHedgeDelayTolerance : expected;
+    if (tolerated > criteria.useful_time &&
+        (hedge || target->in_flight() > 0)) {
       continue;
     }
     const double score = Score(*target, criteria, expected, now);
@@ -115,7 +118,7 @@
 Duration TargetSet::MeanServedLatency(const ServiceId& service,
                                       Duration other) const {
   Duration sum{};
-  int known = 0;
+  int measured = 0;
   const auto found = m_by_service.find(service);
   if (found == m_by_service.end()) {
     return other;
@@ -124,10 +127,10 @@
     if (target->TakesWork() &&
         target->mean_served_latency() > Duration::zero()) {
       sum += target->mean_served_latency();
-      ++known;
+      ++measured;
     }
   }
-  return known == 0 ? other : sum / known;
+  return measured == 0 ? other : sum / measured;
 }
 
 void TargetSet::Replace(std::span<const TargetEntry> entries, TimePoint now) {
@@ -142,7 +145,7 @@
     }
   }
   m_by_service.clear();
-  m_live = 0;
+  m_available = 0;
   std::erase_if(m_targets, [&](const auto& item) {
     return !named.contains(item.first) && item.second->in_flight() == 0;
   });
@@ -152,16 +155,16 @@
       continue;
     }
     m_by_service[target->entry().service].push_back(target.get());
-    m_live += target->TakesWork() ? 1 : 0;
+    m_available += target->TakesWork() ? 1 : 0;
   }
 }
 
-bool TargetSet::MayLoad(const TrackedTarget& target,
-                        const TargetCriteria& criteria,
-                        TimePoint now) const {
+bool TargetSet::IsWithinColdLimit(const TrackedTarget& target,
+                                  const TargetCriteria& criteria,
+                                  TimePoint now) const {
   return criteria.cold_rate <= 0 || !target.entry().IsCold(now) ||
-         m_cold_share.MaySend(target.entry().id, criteria.cold_rate,
-                              target.last_sent(), now);
+         m_cold_limiter.MaySend(target.entry().id, criteria.cold_rate,
+                                target.last_sent(), now);
 }
 
 double TargetSet::Score(const TrackedTarget& target,
@@ -173,11 +176,11 @@
   double score = static_cast<double>(expected.count()) / mean;
   score *= 1 + kJitter * m_random.Unit();
   if (target.entry().domain != m_domain) {
-    score += kNeedlessCost;
-  } else if (!IsInGoodTime(expected, criteria)) {
-    score += kNeedlessCost - kOtherDomainCost;
+    score += kUnneededOtherDomainCost;
+  } else if (!IsFastEnough(expected, criteria)) {
+    score += kUnneededOtherDomainCost - kOtherDomainCost;
   }
-  score += target.IsUnresponsive(now) ? kDoubtfulCost : 0;
+  score += target.IsUnresponsive(now) ? kUnresponsiveCost : 0;
   score += Contains(criteria.tried, target.entry().id) ? kTriedCost : 0;
   return score;
 }
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -76,7 +76,7 @@
   [[nodiscard]] TrackedTarget* Find(const TargetId& id);
 
   /*! \brief Number of targets that take work, over all services. */
-  [[nodiscard]] std::size_t size() const noexcept { return m_live; }
+  [[nodiscard]] std::size_t size() const noexcept { return m_available; }
 
   /**
    * \brief Chooses a target.
@@ -95,7 +95,7 @@
 
   /*! \brief Takes the hosts that share what cold targets bear. */
   void SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
-    m_cold_share.SetHosts(self, hosts);
+    m_cold_limiter.SetHosts(self, hosts);
   }
 
   /**
@@ -107,21 +107,21 @@
  private:
   //! Tells whether the target is warm, or this host's share of what it bears
   //! while it is cold allows one more request.
-  [[nodiscard]] bool MayLoad(const TrackedTarget& target,
-                             const TargetCriteria& criteria,
-                             TimePoint now) const;
+  [[nodiscard]] bool IsWithinColdLimit(const TrackedTarget& target,
+                                       const TargetCriteria& criteria,
+                                       TimePoint now) const;
   [[nodiscard]] double Score(const TrackedTarget& target,
                              const TargetCriteria& criteria,
                              Duration expected,
                              TimePoint now);
 
   FailureDomain m_domain;
-  ColdTargetLimiter m_cold_share;
+  ColdTargetLimiter m_cold_limiter;
   Random m_random;
   std::unordered_map<TargetId, std::unique_ptr<TrackedTarget>> m_targets;
   //! Targets that are not gone.
   std::unordered_map<ServiceId, std::vector<TrackedTarget*>> m_by_service;
-  std::size_t m_live = 0;
+  std::size_t m_available = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -20,8 +20,8 @@
 constexpr std::uint32_t kServedLatencyMemory = 64;
 //! Bounds of one sample of slowness, so that one pause is not taken for a slow
 //! machine.
-constexpr double kMostSlowness = 8;
-constexpr double kLeastSlowness = 0.3;
+constexpr double kMaxSlowness = 8;
+constexpr double kMinSlowness = 0.3;
 //! Weight of one more failure in the rate.
 constexpr double kFailureWeight = 0.2;
 //! A shed says "full", which passes sooner than a fault.
@@ -32,14 +32,14 @@
 //! How much a failure rate of 1 adds to the expected delay, in service times.
 constexpr double kFailurePenalty = 12;
 //! A reported load is worth nothing after this time.
-constexpr Duration kLoadLife = milliseconds(400);
+constexpr Duration kLoadReportLifetime = milliseconds(400);
 //! Part of a service time that each busy slot is expected to cost: a slot that
 //! was free at the last report may be taken on arrival.
 constexpr double kBusyCost = 0.25;
 //! Pause after an attempt that was never answered, doubled each time.
-constexpr Duration kFirstDoubt = milliseconds(100);
-constexpr Duration kLongestDoubt = seconds(2);
-constexpr std::uint32_t kMostDoublings = 5;
+constexpr Duration kInitialBackoff = milliseconds(100);
+constexpr Duration kMaxBackoff = seconds(2);
+constexpr std::uint32_t kMaxDoublings = 5;
 
 }  // namespace
 
@@ -49,8 +49,8 @@
       m_slowness(kSlownessMemory),
       m_served_latency(kServedLatencyMemory),
       m_failed_at(now),
-      m_doubtful_until(now),
-      m_load_at(now - kLoadLife) {}
+      m_unresponsive_until(now),
+      m_load_at(now - kLoadReportLifetime) {}
 
 std::size_t TrackedTarget::required_in_flight() const noexcept {
   return static_cast<std::size_t>(
@@ -58,7 +58,7 @@
 }
 
 bool TrackedTarget::IsUnresponsive(TimePoint now) const noexcept {
-  if (now < m_doubtful_until || IsSilent(now)) {
+  if (now < m_unresponsive_until || IsSilent(now)) {
     return true;
   }
   // One request at a time finds out whether it is back.
@@ -68,10 +68,10 @@
 Duration TrackedTarget::ExpectedDelay(const LatencyEstimate& route_latency,
                                       TimePoint now) const {
   const double mean = static_cast<double>(route_latency.mean.count());
-  const double served =
+  const double served_mean =
       m_served_latency.samples() > 0 ? m_served_latency.value() : mean;
-  const double queued = std::min(mean, served);
-  const double own = route_latency.is_measured() ? mean : queued;
+  const double queued_work = std::min(mean, served_mean);
+  const double own = route_latency.is_measured() ? mean : queued_work;
   const double slowness = m_slowness.samples() > 0 ? m_slowness.value() : 1;
   const double busy = Occupancy(now);
   const double slots = std::max<double>(m_entry.slots, 1);
@@ -79,16 +79,16 @@
   const double work = slowness * (1 + kBusyCost * std::min(busy, 1.0)) +
                       kFailurePenalty * FailureRate(now);
   return Duration(
-      static_cast<Duration::rep>(own * work + queued * slowness * wait));
+      static_cast<Duration::rep>(own * work + queued_work * slowness * wait));
 }
 
 double TrackedTarget::Occupancy(TimePoint now) const noexcept {
   const auto age = static_cast<double>((now - m_load_at).count());
   const double fresh =
-      std::max(1 - age / static_cast<double>(kLoadLife.count()), 0.0);
+      std::max(1 - age / static_cast<double>(kLoadReportLifetime.count()), 0.0);
   const double reported = m_load.running + m_load.waiting;
   const double others =
-      std::max(reported - static_cast<double>(m_own_in_load), 0.0);
+      std::max(reported - static_cast<double>(m_own_in_report), 0.0);
   const double total = static_cast<double>(m_in_flight.size()) + fresh * others;
   return total / std::max<double>(m_entry.slots, 1);
 }
@@ -99,19 +99,19 @@
 }
 
 void TrackedTarget::SetEntry(const TargetEntry& entry, TimePoint now) {
-  const bool new_life = entry.started_ms != m_entry.started_ms ||
-                        entry.address != m_entry.address ||
-                        entry.port != m_entry.port;
+  const bool restarted = entry.started_ms != m_entry.started_ms ||
+                         entry.address != m_entry.address ||
+                         entry.port != m_entry.port;
   m_entry = entry;
   m_gone = false;
-  if (!new_life) {
+  if (!restarted) {
     return;
   }
   m_slowness.Reset();
   m_served_latency.Reset();
   m_failure_rate = 0;
   m_unanswered_in_row = 0;
-  m_doubtful_until = now;
+  m_unresponsive_until = now;
   m_last_reply = now;
 }
 
@@ -127,59 +127,60 @@
                              Duration latency,
                              const LatencyEstimate& route_latency,
                              TimePoint now) {
-  (void)Take(attempt);
-  OnAlive(now);
+  (void)RemoveInFlight(attempt);
+  MarkResponsive(now);
   const auto mean =
       static_cast<double>(std::max(route_latency.mean, Duration(1)).count());
   const double ratio = static_cast<double>(latency.count()) / mean;
   if (route_latency.is_measured()) {
     m_served_latency.Add(mean);
   }
-  m_slowness.Add(std::clamp(ratio, kLeastSlowness, kMostSlowness));
+  m_slowness.Add(std::clamp(ratio, kMinSlowness, kMaxSlowness));
   m_failure_rate = FailureRate(now) * (1 - kFailureWeight);
   m_failed_at = now;
 }
 
 void TrackedTarget::OnFailure(AttemptId attempt, TimePoint now) {
-  (void)Take(attempt);
-  OnAlive(now);
+  (void)RemoveInFlight(attempt);
+  MarkResponsive(now);
   AddFailure(kFailureWeight, now);
 }
 
 void TrackedTarget::OnShed(AttemptId attempt, TimePoint now) {
-  (void)Take(attempt);
-  OnAlive(now);
+  (void)RemoveInFlight(attempt);
+  MarkResponsive(now);
   AddFailure(kShedWeight, now);
 }
 
 void TrackedTarget::OnLost(AttemptId attempt, TimePoint now) {
-  (void)Take(attempt);
+  (void)RemoveInFlight(attempt);
   AddFailure(kFailureWeight, now);
-  OnUnanswered(now);
+  MarkUnresponsive(now);
 }
 
 void TrackedTarget::OnCancel(AttemptId attempt, TimePoint now) {
-  const auto taken = Take(attempt);
-  if (taken &&
-      now - std::max(taken->sent, m_last_reply) > taken->silence_timeout) {
-    OnUnanswered(now);
+  const auto removed = RemoveInFlight(attempt);
+  if (removed &&
+      now - std::max(removed->sent, m_last_reply) > removed->silence_timeout) {
+    MarkUnresponsive(now);
   }
 }
 
 void TrackedTarget::OnLoad(const LoadReport& report, TimePoint now) {
   m_load = report;
   m_load_at = now;
-  m_own_in_load = m_in_flight.size();
+  m_own_in_report = m_in_flight.size();
 }
 
-std::optional<TrackedTarget::InFlight> TrackedTarget::Take(AttemptId attempt) {
+std::optional<TrackedTarget::InFlight> TrackedTarget::RemoveInFlight(
+    AttemptId attempt) {
   const auto found = std::ranges::find(m_in_flight, attempt, &InFlight::id);
   if (found == m_in_flight.end()) {
     return std::nullopt;
   }
-  const InFlight taken = *found;
+  const InFlight removed = *found;
   m_in_flight.erase(found);
-  return taken;
+  return removed;
 }
 
 bool TrackedTarget::IsSilent(TimePoint now) const noexcept {
@@ -188,10 +189,10 @@
   });
 }
 
-void TrackedTarget::OnAlive(TimePoint now) noexcept {
+void TrackedTarget::MarkResponsive(TimePoint now) noexcept {
   m_last_reply = now;
   m_unanswered_in_row = 0;
-  m_doubtful_until = now;
+  m_unresponsive_until = now;
 }
 
 void TrackedTarget::AddFailure(double weight, TimePoint now) {
@@ -199,10 +200,10 @@
   m_failed_at = now;
 }
 
-void TrackedTarget::OnUnanswered(TimePoint now) {
-  const std::uint32_t doublings = std::min(m_unanswered_in_row, kMostDoublings);
-  m_doubtful_until =
-      now + std::min(kFirstDoubt * (1U << doublings), kLongestDoubt);
+void TrackedTarget::MarkUnresponsive(TimePoint now) {
+  const std::uint32_t doublings = std::min(m_unanswered_in_row, kMaxDoublings);
+  m_unresponsive_until =
+      now + std::min(kInitialBackoff * (1U << doublings), kMaxBackoff);
   ++m_unanswered_in_row;
 }
 
--- a/src/jacinthdeck/forward/tracked_target.h
+++ b/src/jacinthdeck/forward/tracked_target.h
@@ -123,11 +123,11 @@
   };
 
   //! Takes an attempt off the list; nothing if it is not there.
-  std::optional<InFlight> Take(AttemptId attempt);
+  std::optional<InFlight> RemoveInFlight(AttemptId attempt);
   [[nodiscard]] bool IsSilent(TimePoint now) const noexcept;
-  void OnAlive(TimePoint now) noexcept;
+  void MarkResponsive(TimePoint now) noexcept;
   void AddFailure(double weight, TimePoint now);
-  void OnUnanswered(TimePoint now);
+  void MarkUnresponsive(TimePoint now);
 
   TargetEntry m_entry;
   bool m_gone = false;
@@ -144,11 +144,11 @@
   double m_failure_rate = 0;
   TimePoint m_failed_at;
   std::uint32_t m_unanswered_in_row = 0;
-  TimePoint m_doubtful_until;
+  TimePoint m_unresponsive_until;
   LoadReport m_load;
   TimePoint m_load_at;
   //! Own attempts that the report counts too.
-  std::size_t m_own_in_load = 0;
+  std::size_t m_own_in_report = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/weighted_round_robin.cc
+++ b/src/jacinthdeck/forward/weighted_round_robin.cc
@@ -13,9 +13,9 @@
     m_credit[index] += services[index].weight;
     total += services[index].weight;
   }
-  const auto richest = std::ranges::max_element(m_credit);
-  *richest -= total;
-  return static_cast<std::size_t>(richest - m_credit.begin());
+  const auto chosen = std::ranges::max_element(m_credit);
+  *chosen -= total;
+  return static_cast<std::size_t>(chosen - m_credit.begin());
 }
 
 }  // namespace jacinthdeck
--- a/test/jacinthdeck/forward/crash_guard_test.cc
+++ b/test/jacinthdeck/forward/crash_guard_test.cc
@@ -31,7 +31,7 @@
   BOOST_TEST(LoseCalls(1));
   BOOST_TEST(guard.IsQuarantined(request, clock.Now()));
   BOOST_TEST(!LoseCalls(1));
-  clock.Advance(CrashGuard::kMemory);
+  clock.Advance(CrashGuard::kRetention);
   BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
 }
 
@@ -50,7 +50,7 @@
 
 BOOST_AUTO_TEST_CASE(Request_WasAnsweredLongAgo_CountsAsNeverAnswered) {
   guard.OnAnswered(request, clock.Now());
-  clock.Advance(CrashGuard::kMemory);
+  clock.Advance(CrashGuard::kRetention);
   BOOST_TEST(LoseCalls(2));
 }
 
