--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -70,8 +70,8 @@
   const double mean = static_cast<double>(route_latency.mean.count());
   const double served_mean =
       m_served_latency.samples() > 0 ? m_served_latency.value() : mean;
-  const double queued_work = std::min(mean, served_mean);
-  const double own = route_latency.is_measured() ? mean : queued_work;
+  const double queued_mean = std::min(mean, served_mean);
+  const double own = route_latency.is_measured() ? mean : queued_mean;
   const double slowness = m_slowness.samples() > 0 ? m_slowness.value() : 1;
   const double busy = Occupancy(now);
   const double slots = std::max<double>(m_entry.slots, 1);
@@ -79,7 +79,7 @@
   const double work = slowness * (1 + kBusyCost * std::min(busy, 1.0)) +
                       kFailurePenalty * FailureRate(now);
   return Duration(
-      static_cast<Duration::rep>(own * work + queued_work * slowness * wait));
+      static_cast<Duration::rep>(own * work + queued_mean * slowness * wait));
 }
 
 double TrackedTarget::Occupancy(TimePoint now) const noexcept {
--- a/test/jacinthdeck/forward/attempt_budget_test.cc
+++ b/test/jacinthdeck/forward/attempt_budget_test.cc
@@ -18,21 +18,21 @@
 constexpr double kRatio = 0.2;
 constexpr double kConstant = 52;
 
-struct Moment {
+struct Event {
   TimePoint at;
   bool extra = false;
 };
 
 //! Most extra attempts above the ratio in any window that ends at a moment.
-[[nodiscard]] double WorstExcess(const std::vector<Moment>& moments) {
+[[nodiscard]] double MaxExcess(const std::vector<Event>& events) {
   double worst = 0;
-  std::deque<Moment> window;
+  std::deque<Event> window;
   int requests = 0;
   int extras = 0;
-  for (const Moment& moment : moments) {
-    window.push_back(moment);
-    (moment.extra ? extras : requests) += 1;
-    while (window.front().at + kWindow < moment.at) {
+  for (const Event& event : events) {
+    window.push_back(event);
+    (event.extra ? extras : requests) += 1;
+    while (window.front().at + kWindow < event.at) {
       (window.front().extra ? extras : requests) -= 1;
       window.pop_front();
     }
@@ -48,7 +48,8 @@
 // Six hosts spend all they are granted, with traffic that swells and ebbs, and
 // do not hear of each other. In no sliding window may the sum of their extra
 // attempts pass ratio and constant: the targets see the sum only.
-BOOST_AUTO_TEST_CASE(AttemptBudget_SixHostsSpendAll_EverySlidingWindowHolds) {
+BOOST_AUTO_TEST_CASE(
+    AttemptBudget_SixHostsSpendAll_SumStaysWithinBudgetInEveryWindow) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Random random(seed);
     std::vector<AttemptBudget> hosts;
@@ -56,25 +57,25 @@
       hosts.emplace_back(AttemptBudgetOptions{kRatio, kConstant, kWindow});
       hosts.back().SetShare(1.0 / 6, TimePoint(seconds(0)));
     }
-    std::vector<Moment> moments;
+    std::vector<Event> events;
     TimePoint now(seconds(60));
     for (int step = 0; step < 30000; ++step) {
       const bool quiet = (step / 6000) % 2 == 1;
       now += milliseconds(quiet ? 20 : 2);
       AttemptBudget& host = hosts[random.Below(hosts.size())];
       host.OnRequest(now);
-      moments.push_back({now, false});
+      events.push_back({now, false});
       while (host.TrySpend(now)) {
-        moments.push_back({now, true});
+        events.push_back({now, true});
       }
     }
-    BOOST_TEST(WorstExcess(moments) <= kConstant);
+    BOOST_TEST(MaxExcess(events) <= kConstant);
   }
 }
 
 // A host that is killed and started again may have spent its share just before;
 // the new life must not spend the same share in the same window.
-BOOST_AUTO_TEST_CASE(AttemptBudget_FreshProcess_HasNoConstantYet) {
+BOOST_AUTO_TEST_CASE(AttemptBudget_ProcessRestarted_ConstantStartsAtZero) {
   const TimePoint start(seconds(100));
   AttemptBudget budget({kRatio, kConstant, kWindow});
   budget.SetShare(1, start);
@@ -82,7 +83,7 @@
   BOOST_TEST(budget.TrySpend(start + kWindow));
 }
 
-BOOST_AUTO_TEST_CASE(AttemptBudget_AttemptNeverLeft_PaymentIsTakenBack) {
+BOOST_AUTO_TEST_CASE(AttemptBudget_AttemptNotSent_RefundRestoresBudget) {
   const TimePoint now(seconds(100));
   AttemptBudget budget({0, 2, kWindow});
   budget.SetShare(1, TimePoint(seconds(0)));
--- a/test/jacinthdeck/forward/cold_target_limiter_test.cc
+++ b/test/jacinthdeck/forward/cold_target_limiter_test.cc
@@ -17,7 +17,7 @@
 using std::chrono::seconds;
 
 //! Hosts that each want to send to one target every few milliseconds.
-struct Senders {
+struct HostSimulation {
   struct Host {
     NodeId name;
     ColdTargetLimiter share;
@@ -32,16 +32,16 @@
   TimePoint now{seconds(100)};
   //! Of the last second.
   std::deque<TimePoint> arrivals;
-  std::size_t most = 0;
-  std::size_t sent = 0;
+  std::size_t max_per_second = 0;
+  std::size_t total_sent = 0;
 
-  Senders(std::uint64_t seed, std::size_t count, double requests)
+  HostSimulation(std::uint64_t seed, std::size_t count, double requests)
       : target("t" + std::to_string(seed)), bound(requests), random(seed) {
     for (std::size_t i = 0; i < count; ++i) {
       Add();
     }
     for (Host& host : hosts) {
-      Tell(host);
+      SendHostList(host);
     }
   }
 
@@ -50,7 +50,7 @@
   }
 
   //! Gives a host the list of those that live.
-  void Tell(Host& host) const {
+  void SendHostList(Host& host) const {
     std::vector<NodeId> names;
     for (const Host& other : hosts) {
       if (other.alive) {
@@ -63,17 +63,17 @@
   void Step() {
     now += milliseconds(2);
     for (Host& host : hosts) {
-      const bool wants = host.alive && random.Unit() < 0.5;
-      if (wants && host.share.MaySend(target, bound, host.last, now)) {
+      const bool has_request = host.alive && random.Unit() < 0.5;
+      if (has_request && host.share.MaySend(target, bound, host.last, now)) {
         host.last = now;
         arrivals.push_back(now);
-        ++sent;
+        ++total_sent;
       }
     }
     while (!arrivals.empty() && arrivals.front() + seconds(1) <= now) {
       arrivals.pop_front();
     }
-    most = std::max(most, arrivals.size());
+    max_per_second = std::max(max_per_second, arrivals.size());
   }
 
   void Run(Duration span) {
@@ -85,7 +85,7 @@
 };
 
 //! What a target bears in one second, of a bound.
-[[nodiscard]] double MostInASecond(double bound) {
+[[nodiscard]] double MaxPerSecond(double bound) {
   constexpr double kOvershoot = 1.5;
   constexpr double kSlack = 5;
   return bound * kOvershoot + kSlack;
@@ -96,14 +96,16 @@
 BOOST_AUTO_TEST_SUITE(ColdTargetLimiterTest)
 
 // Guards against a sum over many hosts that crashes a cold target.
-BOOST_AUTO_TEST_CASE(Rate_AnyNumberOfHosts_SumKeepsTheBoundAndUsesIt) {
+BOOST_AUTO_TEST_CASE(ColdRate_AnyNumberOfHosts_SumStaysNearBound) {
   for (const std::size_t count : {1, 6, 70, 300}) {
     for (const double bound : {0.5, 3.0, 20.0, 90.0}) {
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        Senders senders(seed, count, bound);
-        senders.Run(seconds(4));
-        BOOST_TEST(static_cast<double>(senders.most) <= MostInASecond(bound));
-        BOOST_TEST(static_cast<double>(senders.sent) >= 4 * bound * 0.75);
+        HostSimulation simulation(seed, count, bound);
+        simulation.Run(seconds(4));
+        BOOST_TEST(static_cast<double>(simulation.max_per_second) <=
+                   MaxPerSecond(bound));
+        BOOST_TEST(static_cast<double>(simulation.total_sent) >=
+                   4 * bound * 0.75);
       }
     }
   }
@@ -112,31 +114,32 @@
 // Guards against hosts that know different lists and all believe that they are
 // appointed: some are killed, others join, and each hears of it at its own
 // time.
-BOOST_AUTO_TEST_CASE(Rate_HostsJoinAndAreKilledMeanwhile_SumKeepsTheBound) {
+BOOST_AUTO_TEST_CASE(ColdRate_HostListsDiffer_SumStaysWithinBound) {
   for (const std::size_t count : {6, 70, 300}) {
     for (const double bound : {3.0, 20.0, 90.0}) {
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        Senders senders(seed, count, bound);
-        senders.Run(seconds(1));
+        HostSimulation simulation(seed, count, bound);
+        simulation.Run(seconds(1));
         for (std::size_t i = 0; i < count / 3; ++i) {
-          senders.hosts[3 * i].alive = false;
-          senders.Add();
+          simulation.hosts[3 * i].alive = false;
+          simulation.Add();
         }
-        for (int turn = 0; turn < 20; ++turn) {
-          for (Senders::Host& host : senders.hosts) {
-            if (senders.random.Unit() < 0.2) {
-              senders.Tell(host);
+        for (int round = 0; round < 20; ++round) {
+          for (HostSimulation::Host& host : simulation.hosts) {
+            if (simulation.random.Unit() < 0.2) {
+              simulation.SendHostList(host);
             }
           }
-          senders.Run(milliseconds(150));
+          simulation.Run(milliseconds(150));
         }
-        BOOST_TEST(static_cast<double>(senders.most) <= MostInASecond(bound));
+        BOOST_TEST(static_cast<double>(simulation.max_per_second) <=
+                   MaxPerSecond(bound));
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(Rate_HostIsNotInTheList_IsZero) {
+BOOST_AUTO_TEST_CASE(ColdRate_HostIsNotListed_IsZero) {
   ColdTargetLimiter share;
   share.SetHosts(NodeId("h1"), std::vector<NodeId>{NodeId("h2")});
   BOOST_TEST(share.RateOf(TargetId("t"), 50) == 0);
--- a/test/jacinthdeck/forward/crash_guard_test.cc
+++ b/test/jacinthdeck/forward/crash_guard_test.cc
@@ -14,23 +14,23 @@
   ManualClock clock;
   const Fingerprint request{7};
 
-  [[nodiscard]] bool LoseCalls(int calls) {
-    bool convicted = false;
+  [[nodiscard]] bool RecordLostCalls(int calls) {
+    bool quarantined = false;
     for (int call = 0; call < calls; ++call) {
-      convicted |= guard.OnCallLost(request, clock.Now());
+      quarantined |= guard.OnCallLost(request, clock.Now());
     }
-    return convicted;
+    return quarantined;
   }
 };
 
 BOOST_FIXTURE_TEST_SUITE(CrashGuardTest, CrashGuardFixture)
 
-BOOST_AUTO_TEST_CASE(Request_NeverAnsweredAndLostTwice_IsConvictedOnce) {
-  BOOST_TEST(!LoseCalls(1));
+BOOST_AUTO_TEST_CASE(Request_LostTwiceWithoutAnswer_IsQuarantinedOnce) {
+  BOOST_TEST(!RecordLostCalls(1));
   BOOST_TEST(guard.IsSuspect(request, clock.Now()));
-  BOOST_TEST(LoseCalls(1));
+  BOOST_TEST(RecordLostCalls(1));
   BOOST_TEST(guard.IsQuarantined(request, clock.Now()));
-  BOOST_TEST(!LoseCalls(1));
+  BOOST_TEST(!RecordLostCalls(1));
   clock.Advance(CrashGuard::kRetention);
   BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
 }
@@ -39,26 +39,26 @@
 // Targets answer it all the time; then some of them lose answers for a second,
 // and two calls in a row get none. It was taken for one that crashes targets,
 // and the other hosts were told so.
-BOOST_AUTO_TEST_CASE(Request_WasAnsweredLately_IsNotConvictedForLosses) {
+BOOST_AUTO_TEST_CASE(Request_AnsweredRecently_IsNotQuarantined) {
   guard.OnAnswered(request, clock.Now());
   clock.Advance(std::chrono::seconds(5));
-  BOOST_TEST(!LoseCalls(4));
+  BOOST_TEST(!RecordLostCalls(4));
   BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
   guard.QuarantineRequest(request, clock.Now());
   BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
 }
 
-BOOST_AUTO_TEST_CASE(Request_WasAnsweredLongAgo_CountsAsNeverAnswered) {
+BOOST_AUTO_TEST_CASE(Request_AnswerExpired_IsQuarantined) {
   guard.OnAnswered(request, clock.Now());
   clock.Advance(CrashGuard::kRetention);
-  BOOST_TEST(LoseCalls(2));
+  BOOST_TEST(RecordLostCalls(2));
 }
 
-BOOST_AUTO_TEST_CASE(Request_OthersWereAnswered_IsConvictedAllTheSame) {
+BOOST_AUTO_TEST_CASE(Request_OtherRequestsAnswered_IsQuarantined) {
   for (std::uint64_t other = 100; other < 5000; ++other) {
     guard.OnAnswered(Fingerprint(other), clock.Now());
   }
-  BOOST_TEST(LoseCalls(2));
+  BOOST_TEST(RecordLostCalls(2));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/forward/forwarder_fan_out_test.cc
+++ b/test/jacinthdeck/forward/forwarder_fan_out_test.cc
@@ -15,49 +15,49 @@
 
 BOOST_FIXTURE_TEST_SUITE(ForwarderFanOutTest, ForwarderFixture)
 
-BOOST_AUTO_TEST_CASE(FanOut_AllShardsAnswer_GreatestRecordsOfAll) {
+BOOST_AUTO_TEST_CASE(FanOut_AllShardsAnswer_MergesGreatestRecords) {
   (void)Submit("/fan/1");
   BOOST_REQUIRE_EQUAL(port.sent.size(), kShards);
   Answer(port.sent[0], Record('a') + Record('d'));
   Answer(port.sent[1], Record('c'));
   Answer(port.sent[2], Record('b'));
   Answer(port.sent[3], "");
-  BOOST_TEST(Only().answer.records == Record('d') + Record('c'));
-  BOOST_TEST(Only().answer.part_stamps.size() == kShards);
-  BOOST_TEST(Only().answer.missing_parts == 0U);
+  BOOST_TEST(OnlyAnswer().answer.records == Record('d') + Record('c'));
+  BOOST_TEST(OnlyAnswer().answer.part_stamps.size() == kShards);
+  BOOST_TEST(OnlyAnswer().answer.missing_parts == 0U);
 }
 
 // One shard's target hangs and its hedge too. Before the objective passes the
 // answer goes out without it, since the share of the rest is enough, and says
 // that one shard is missing.
-BOOST_AUTO_TEST_CASE(FanOut_OneShardHangs_PartialAnswerWithinTheObjective) {
+BOOST_AUTO_TEST_CASE(FanOut_OneShardHangs_PartialAnswerWithinObjective) {
   const TimePoint start = clock.Now();
   (void)Submit("/fan/1");
   Answer(port.sent[0]);
   Answer(port.sent[1]);
   Answer(port.sent[2]);
   Advance(kObjective);
-  BOOST_TEST((Only().answer.kind == AnswerKind::kMerged));
-  BOOST_TEST(Only().answer.missing_parts == 1U);
-  BOOST_TEST(Only().answer.part_stamps.size() == kShards - 1);
+  BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kMerged));
+  BOOST_TEST(OnlyAnswer().answer.missing_parts == 1U);
+  BOOST_TEST(OnlyAnswer().answer.part_stamps.size() == kShards - 1);
   BOOST_TEST((clock.Now() - start <= kObjective));
 }
 
 // Two of four shards are silent: half is too little for an answer, so it goes
 // out as soon as one more is in, also late.
-BOOST_AUTO_TEST_CASE(FanOut_TooFewShardsInTime_AnswersWithTheNextOne) {
+BOOST_AUTO_TEST_CASE(FanOut_TooFewShardsByObjective_AnswersWithNextShard) {
   (void)Submit("/fan/1");
   Answer(port.sent[0]);
   Answer(port.sent[1]);
   Advance(kObjective + milliseconds(50));
   BOOST_TEST(port.delivered.empty());
   Answer(port.sent[2]);
-  BOOST_TEST(Only().answer.missing_parts == 1U);
+  BOOST_TEST(OnlyAnswer().answer.missing_parts == 1U);
 }
 
 // All targets of two shards are gone. The rest cannot make an answer, so the
 // call is refused before any target works on it.
-BOOST_AUTO_TEST_CASE(FanOut_ShardsWithoutTargets_RefusedBeforeAnythingIsSent) {
+BOOST_AUTO_TEST_CASE(FanOut_TooManyShardsWithoutTargets_RefusedBeforeSending) {
   std::erase_if(targets, [](const TargetEntry& target) {
     return target.service == ServiceId("shard-0") ||
            target.service == ServiceId("shard-1");
@@ -65,11 +65,11 @@
   forwarder.SetTargets(targets, clock.Now());
   (void)Submit("/fan/1");
   BOOST_TEST(port.sent.empty());
-  BOOST_TEST((Only().answer.kind == AnswerKind::kNotRun));
-  BOOST_TEST((Only().answer.reason == ForwardReason::kNoTarget));
+  BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kNotRun));
+  BOOST_TEST((OnlyAnswer().answer.reason == ForwardReason::kNoTarget));
 }
 
-BOOST_AUTO_TEST_CASE(FanOut_OneShardWithoutTargets_AnswerNamesItAsMissing) {
+BOOST_AUTO_TEST_CASE(FanOut_OneShardWithoutTargets_CountsAsMissing) {
   std::erase_if(targets, [](const TargetEntry& target) {
     return target.service == ServiceId("shard-0");
   });
@@ -79,12 +79,12 @@
        std::vector<OutgoingAttempt>(port.sent)) {
     Answer(attempt);
   }
-  BOOST_TEST(Only().answer.missing_parts == 1U);
+  BOOST_TEST(OnlyAnswer().answer.missing_parts == 1U);
 }
 
 // The index is cut into other shards while a query is under way. Its parts all
 // come from the version that it began with; the next query uses the new one.
-BOOST_AUTO_TEST_CASE(FanOut_ConfigChangesMeanwhile_PartsAreOfOneVersion) {
+BOOST_AUTO_TEST_CASE(FanOut_ConfigChangesDuringCall_PartsUseOneVersion) {
   (void)Submit("/fan/1");
   std::vector<Route> routes = Routes();
   routes[0].shards = {ServiceId("plain")};
@@ -99,21 +99,21 @@
 }
 
 // A shard's failure is no part, though it bears the target's stamp.
-BOOST_AUTO_TEST_CASE(FanOut_ShardFailsTwice_IsMissingAndNotMerged) {
+BOOST_AUTO_TEST_CASE(FanOut_ShardFailsTwice_IsNotMerged) {
   (void)Submit("/fan/1");
   Fail(port.sent[0], 500);
   Fail(port.sent[4], 500);
   Answer(port.sent[1]);
   Answer(port.sent[2]);
   Answer(port.sent[3]);
-  BOOST_TEST(Only().answer.missing_parts == 1U);
-  BOOST_TEST(Only().answer.part_stamps.size() == kShards - 1);
+  BOOST_TEST(OnlyAnswer().answer.missing_parts == 1U);
+  BOOST_TEST(OnlyAnswer().answer.part_stamps.size() == kShards - 1);
 }
 
 // Many targets lose their connections at once, for a cause of their own. Quick
 // losses come in before the first answer; they must not be taken for the
 // request's fault and end it, since other targets of the shards answer.
-BOOST_AUTO_TEST_CASE(FanOut_LossesComeBeforeAnswers_OtherTargetsAreAsked) {
+BOOST_AUTO_TEST_CASE(FanOut_ConnectionsLostBeforeAnswers_OtherTargetsAreTried) {
   (void)Submit("/fan/1");
   const std::vector<OutgoingAttempt> first(port.sent);
   End(first[0], AttemptOutcome::kBroken, true);
@@ -124,33 +124,33 @@
   for (std::size_t at = 3; at < port.sent.size(); ++at) {
     Answer(port.sent[at]);
   }
-  BOOST_TEST(Only().answer.missing_parts == 0U);
+  BOOST_TEST(OnlyAnswer().answer.missing_parts == 0U);
   BOOST_TEST(port.quarantines.empty());
 }
 
 // Two shards have failed for good, so no answer is possible any more: the
 // caller learns it at once and not at its deadline.
-BOOST_AUTO_TEST_CASE(FanOut_HopelessCall_EndsAtOnce) {
+BOOST_AUTO_TEST_CASE(FanOut_TooManyShardsFailed_FailsImmediately) {
   (void)Submit("/fan/1");
   const std::vector<OutgoingAttempt> first(port.sent);
   Fail(first[0], 500);
   Fail(first[1], 500);
   Fail(port.sent[4], 500);
   Fail(port.sent[5], 500);
-  BOOST_TEST((Only().answer.kind == AnswerKind::kFailed));
+  BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kFailed));
 }
 
 // Nine of ten shards are in after the usual time, and the last one's target
 // stands still. Its hedge would be due after 40 ms of the caller's 100; it goes
 // out as soon as its shard is the last one.
-BOOST_AUTO_TEST_CASE(FanOut_LastShardOfTen_IsHedgedAtOnce) {
-  constexpr std::size_t kTen = 10;
+BOOST_AUTO_TEST_CASE(FanOut_LastShardOfTen_IsHedgedImmediately) {
+  constexpr std::size_t kWideShards = 10;
   Route wide = MakeRoute("wide", RepeatRule::kIdempotent);
   wide.top_records = 2;
   wide.min_share = 0.75;
   std::vector<ServiceConfig> services;
   targets.clear();
-  for (std::size_t shard = 0; shard < kTen; ++shard) {
+  for (std::size_t shard = 0; shard < kWideShards; ++shard) {
     const std::string name = "wide-" + std::to_string(shard);
     wide.shards.emplace_back(name);
     services.push_back({ServiceId(name), 30});
@@ -162,14 +162,14 @@
   WarmUp("/wide/1", milliseconds(20), 50);
   WarmUp("/wide/1", milliseconds(60), 14);
   (void)Submit("/wide/2");
-  BOOST_REQUIRE_EQUAL(port.sent.size(), kTen);
+  BOOST_REQUIRE_EQUAL(port.sent.size(), kWideShards);
   Advance(milliseconds(30));
-  for (std::size_t shard = 1; shard < kTen; ++shard) {
-    BOOST_TEST(port.sent.size() == kTen);
+  for (std::size_t shard = 1; shard < kWideShards; ++shard) {
+    BOOST_TEST(port.sent.size() == kWideShards);
     Answer(port.sent[shard]);
   }
   Advance(milliseconds(7));
-  BOOST_REQUIRE_EQUAL(port.sent.size(), kTen + 1);
+  BOOST_REQUIRE_EQUAL(port.sent.size(), kWideShards + 1);
   BOOST_TEST(port.sent.back().target.service == port.sent[0].target.service);
   BOOST_TEST(port.sent.back().target.id != port.sent[0].target.id);
 }
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -207,24 +207,24 @@
   }
 
   //! Leaves one target of the plain service that takes work.
-  void OfferOnly(const TargetId& id) {
-    std::vector<TargetEntry> offered = targets;
-    for (TargetEntry& entry : offered) {
+  void OfferOnlyTarget(const TargetId& id) {
+    std::vector<TargetEntry> entries = targets;
+    for (TargetEntry& entry : entries) {
       entry.draining = entry.service == ServiceId("plain") && entry.id != id;
     }
-    forwarder.SetTargets(offered, clock.Now());
+    forwarder.SetTargets(entries, clock.Now());
   }
 
   //! Each target of the plain service answers some calls after a time, and
   //! tells of its load with the last answer.
-  void TellLoadOfAll(const LoadReport& load, Duration latency) {
+  void ReportLoadOfAllTargets(const LoadReport& load, Duration latency) {
     constexpr int kCalls = 16;
     for (std::size_t i = 0; i < kReplicas; ++i) {
-      OfferOnly(TargetId("plain/" + std::to_string(i)));
+      OfferOnlyTarget(TargetId("plain/" + std::to_string(i)));
       WarmUp("/read/" + std::to_string(i), latency, kCalls);
     }
     for (std::size_t i = 0; i < kReplicas; ++i) {
-      OfferOnly(TargetId("plain/" + std::to_string(i)));
+      OfferOnlyTarget(TargetId("plain/" + std::to_string(i)));
       (void)Submit("/read/" + std::to_string(i));
       AttemptEnd end;
       end.id = port.sent.back().id;
@@ -239,7 +239,7 @@
     port.delivered.clear();
   }
 
-  [[nodiscard]] const RecordingPort::Delivered& Only() const {
+  [[nodiscard]] const RecordingPort::Delivered& OnlyAnswer() const {
     BOOST_REQUIRE_EQUAL(port.delivered.size(), 1U);
     return port.delivered.front();
   }
--- a/test/jacinthdeck/forward/forwarder_load_test.cc
+++ b/test/jacinthdeck/forward/forwarder_load_test.cc
@@ -10,19 +10,19 @@
 // Targets report long queues. A call that would wait beyond its objective is
 // refused at once with a time to come back, so that its caller can act, and
 // the targets keep to work that is still of use.
-BOOST_AUTO_TEST_CASE(Overload_QueuesAreLong_RefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(Overload_QueuesAreLong_RefusedImmediately) {
   WarmUp("/read/1", milliseconds(40));
-  TellLoadOfAll(LoadReport{3, 18, 3, 1}, milliseconds(40));
+  ReportLoadOfAllTargets(LoadReport{3, 18, 3, 1}, milliseconds(40));
   (void)Submit("/read/next");
   BOOST_TEST(port.sent.empty());
-  BOOST_TEST((Only().answer.reason == ForwardReason::kOverload));
-  BOOST_TEST((Only().answer.retry_after >= milliseconds(100)));
+  BOOST_TEST((OnlyAnswer().answer.reason == ForwardReason::kOverload));
+  BOOST_TEST((OnlyAnswer().answer.retry_after >= milliseconds(100)));
 }
 
 // After an overload all latencies that were learned are high, but the targets
 // are idle. Refusals would keep new latencies from being learned, and every
 // caller would be refused for as long as the process lives.
-BOOST_AUTO_TEST_CASE(Overload_IsOverButLatenciesWereHigh_CallsAreTakenAgain) {
+BOOST_AUTO_TEST_CASE(Overload_OverWithHighLatencies_CallsAreAdmitted) {
   WarmUp("/read/1", milliseconds(400));
   Advance(seconds(1));
   (void)Submit("/read/2");
@@ -34,7 +34,7 @@
 // "Too little time" is told to all of them on the word of past latencies, and a
 // route without a call under way never learns that it is fast again: its
 // callers would be refused for as long as the process lives.
-BOOST_AUTO_TEST_CASE(Overload_IsOverAndCallersAreHasty_OneAtATimeIsTried) {
+BOOST_AUTO_TEST_CASE(Overload_OverWithShortDeadlines_OneCallIsAdmittedAtATime) {
   WarmUp("/read/1", milliseconds(400));
   Advance(seconds(1));
   (void)Submit("/read/2", milliseconds(150));
@@ -42,14 +42,14 @@
   BOOST_TEST(port.delivered.empty());
   (void)Submit("/read/3", milliseconds(150));
   BOOST_TEST(port.sent.size() == 1U);
-  BOOST_TEST((Only().answer.reason == ForwardReason::kDeadline));
+  BOOST_TEST((OnlyAnswer().answer.reason == ForwardReason::kDeadline));
 }
 
 // A host that stands by has one connection a target, and has answered nothing
 // yet. Three calls hold those there are; a fourth comes. Told of a wait of 16
 // times a guess it would be refused at once, with a time to come back that
 // nobody has measured. It looks for a place, and one comes free.
-BOOST_AUTO_TEST_CASE(Overload_NothingIsMeasured_CallLooksForAPlace) {
+BOOST_AUTO_TEST_CASE(Overload_NoLatencyMeasured_CallWaitsForCapacity) {
   forwarder.SetHosts(6, false, clock.Now());
   for (int call = 0; call < 3; ++call) {
     (void)Submit("/read/" + std::to_string(call));
@@ -65,7 +65,7 @@
 
 // A host that stands by serves whoever comes, and gives each connection to a
 // target back; once callers are sent to it, it keeps them.
-BOOST_AUTO_TEST_CASE(Connections_HostStandsBy_AreGivenBackWithTheAnswer) {
+BOOST_AUTO_TEST_CASE(Connections_StandbyHost_ClosedAfterResponse) {
   forwarder.SetHosts(6, false, clock.Now());
   (void)Submit("/read/1");
   BOOST_TEST(port.sent.back().close_after_response);
@@ -78,9 +78,9 @@
 // answers. A hedge that looks for a free slot once leaves the call with that
 // one attempt to its end, though slots come free soon after; it must look
 // again.
-BOOST_AUTO_TEST_CASE(Hedge_NoSlotIsFreeWhenItIsDue_IsSentOnceOneIs) {
+BOOST_AUTO_TEST_CASE(Hedge_NoFreeSlotWhenDue_SentWhenSlotIsFree) {
   WarmUp("/read/1", milliseconds(20));
-  TellLoadOfAll(LoadReport{3, 3, 3, 1}, milliseconds(20));
+  ReportLoadOfAllTargets(LoadReport{3, 3, 3, 1}, milliseconds(20));
   (void)Submit("/read/next");
   Advance(milliseconds(150));
   BOOST_TEST(port.sent.size() == 1U);
@@ -89,16 +89,16 @@
   BOOST_REQUIRE_EQUAL(port.sent.size(), 2U);
   BOOST_TEST((port.sent[0].target.id != port.sent[1].target.id));
   Answer(port.sent[1]);
-  BOOST_TEST((Only().answer.kind == AnswerKind::kResponse));
+  BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kResponse));
 }
 
 // Every target is slow at once, and each call asks for a hedge. The extra
 // attempts of all hosts together must stay within the budget, or they become
 // the load that keeps the targets slow.
-BOOST_AUTO_TEST_CASE(Budget_AllTargetsSlow_ExtraAttemptsStayWithinIt) {
-  ForwardOptions tight = Options();
-  tight.budget = {0.2, 60, seconds(10)};
-  Forwarder bounded(tight, port, 1, clock.Now());
+BOOST_AUTO_TEST_CASE(Budget_AllTargetsSlow_ExtraAttemptsStayWithinBudget) {
+  ForwardOptions tight_options = Options();
+  tight_options.budget = {0.2, 60, seconds(10)};
+  Forwarder bounded(tight_options, port, 1, clock.Now());
   bounded.SetTargets(targets, clock.Now());
   BOOST_REQUIRE(bounded.SetConfig(Config(1)));
   bounded.SetHosts(6, true, clock.Now());
@@ -114,13 +114,13 @@
     clock.Advance(milliseconds(10));
     bounded.OnTimer(clock.Now());
     if (port.sent.size() > 2) {
-      Forwarder* const under_test = &bounded;
+      Forwarder* const forwarder_under_test = &bounded;
       AttemptEnd end;
       end.id = port.sent[port.sent.size() - 3].id;
       end.outcome = AttemptOutcome::kResponse;
       end.response.status = 200;
       end.response.stamp = "stamp";
-      under_test->OnAttemptEnd(end, clock.Now());
+      forwarder_under_test->OnAttemptEnd(end, clock.Now());
     }
   }
   const auto& attempts = bounded.counters().attempts;
@@ -135,10 +135,10 @@
 
 /*! \brief A shard with one target left, and a route to its service that was
  * added a moment ago. */
-struct AddedRouteFixture : ForwarderFixture {
+struct NewRouteFixture : ForwarderFixture {
   static constexpr Duration kWork = milliseconds(20);
 
-  AddedRouteFixture() {
+  NewRouteFixture() {
     std::erase_if(targets, [](const TargetEntry& entry) {
       return entry.service == ServiceId("shard-0") &&
              entry.id != TargetId("shard-0/0");
@@ -160,7 +160,7 @@
   }
 
   //! The target that is left tells of its load with an answer to a search.
-  void TellLoad(const LoadReport& load) {
+  void ReportLoad(const LoadReport& load) {
     (void)Submit("/fan/load");
     Advance(kWork);
     for (const OutgoingAttempt& attempt : port.sent) {
@@ -182,15 +182,15 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(AddedRouteTest, AddedRouteFixture)
+BOOST_FIXTURE_TEST_SUITE(NewRouteTest, NewRouteFixture)
 
 // A route is added whose only target has a queue of searches, 20 ms of work
 // each: some 150 ms to wait. Its callers, who would wait a second, are told
 // "not run" at once, each time they come: the wait is reckoned as if the queue
 // were made of the added route's own requests, and what those take is a guess
 // of 125 ms that nobody can correct while all of them are refused.
-BOOST_AUTO_TEST_CASE(Admission_QueueIsOfShorterWork_CallOfAnAddedRouteIsTaken) {
-  TellLoad(LoadReport{3, 18, 3, 1});
+BOOST_AUTO_TEST_CASE(Admission_QueueOfShorterWork_NewRouteCallIsAdmitted) {
+  ReportLoad(LoadReport{3, 18, 3, 1});
   (void)Submit("/added/1");
   BOOST_TEST(port.delivered.empty());
   BOOST_REQUIRE_EQUAL(port.sent.size(), 1U);
@@ -200,7 +200,8 @@
 // Nothing is known of an added route but that its operator allows ten seconds;
 // its callers wait for 300 ms, and the work takes some milliseconds. A guess of
 // an eighth of the ten seconds must not tell them that this is too little.
-BOOST_AUTO_TEST_CASE(Admission_LatencyIsAGuess_HastyCallsAreTaken) {
+BOOST_AUTO_TEST_CASE(
+    Admission_LatencyUnmeasured_ShortDeadlineCallsAreAdmitted) {
   AddRoute(seconds(10), 3);
   (void)Submit("/added/1", milliseconds(300));
   (void)Submit("/added/2", milliseconds(300));
@@ -211,7 +212,8 @@
 // A call of an added route waits for a place at its only target, and its caller
 // for 300 ms. One comes free after 10 ms. A guess of 1.25 s for the work, an
 // eighth of what the operator allows, must not end the wait before.
-BOOST_AUTO_TEST_CASE(Admission_LatencyIsAGuess_HastyCallWaitsForAPlace) {
+BOOST_AUTO_TEST_CASE(
+    Admission_LatencyUnmeasured_ShortDeadlineCallWaitsForCapacity) {
   AddRoute(seconds(10), 3);
   forwarder.SetHosts(6, true, clock.Now());
   (void)Submit("/added/1");
@@ -229,7 +231,8 @@
 // though three of four shards are enough for them. A call for that shard's
 // service has no other target: without a place it is told "not run" at once,
 // while searches go on being answered.
-BOOST_AUTO_TEST_CASE(Admission_SearchesHoldAllPlaces_CallForTheServiceIsTaken) {
+BOOST_AUTO_TEST_CASE(
+    Admission_SearchesUseAllCapacity_SingleServiceCallIsAdmitted) {
   forwarder.SetHosts(6, true, clock.Now());
   for (int search = 0; search < 4; ++search) {
     (void)Submit("/fan/" + std::to_string(search));
--- a/test/jacinthdeck/forward/in_flight_limit_test.cc
+++ b/test/jacinthdeck/forward/in_flight_limit_test.cc
@@ -10,21 +10,21 @@
 
 BOOST_AUTO_TEST_SUITE(InFlightLimitTest)
 
-BOOST_AUTO_TEST_CASE(MostInFlight_SixHosts_FourTurnsAreShared) {
+BOOST_AUTO_TEST_CASE(MaxInFlight_FewHosts_FourRequestsPerSlotAreShared) {
   BOOST_TEST(MaxInFlight({.connections = 10, .hosts = 6}, 3) == 2U);
   BOOST_TEST(MaxInFlight({.connections = 10, .hosts = 4}, 6) == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(MostInFlight_ManyHosts_TwoCallsMayOverlap) {
+BOOST_AUTO_TEST_CASE(MaxInFlight_ManyHosts_AllowsTwo) {
   BOOST_TEST(MaxInFlight({.connections = 5, .hosts = 58}, 4) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(MostInFlight_FewConnections_BoundIt) {
+BOOST_AUTO_TEST_CASE(MaxInFlight_FewConnections_LimitsToConnections) {
   BOOST_TEST(MaxInFlight({.connections = 1, .hosts = 58}, 4) == 1U);
   BOOST_TEST(MaxInFlight({.connections = 3, .hosts = 1}, 4) == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(MostInFlight_NothingKnown_OneIsAllowed) {
+BOOST_AUTO_TEST_CASE(MaxInFlight_NothingKnown_AllowsOne) {
   BOOST_TEST(MaxInFlight({.connections = 0, .hosts = 0}, 0) == 1U);
 }
 
@@ -33,7 +33,7 @@
 // were 60.9% of the calls; the slots could have served a third of the shards'
 // work in full, and partial answers stretch that. Half of the calls and a few
 // percent more must be answered in time, and the rest refused, not late.
-BOOST_AUTO_TEST_CASE(MostInFlight_CallersPressThreefold_LittleComesLate) {
+BOOST_AUTO_TEST_CASE(MaxInFlight_LoadIsThreeTimesCapacity_FewAnswersAreLate) {
   constexpr std::uint64_t kSeeds = 4;
   const auto result = bench::RunSeeds(bench::AboveCapacity(), kSeeds);
   const auto calls = static_cast<double>(result.calls);
--- a/test/jacinthdeck/forward/retry_storm_test.cc
+++ b/test/jacinthdeck/forward/retry_storm_test.cc
@@ -19,10 +19,10 @@
 constexpr Duration kTick = milliseconds(1);
 constexpr double kCapacity = 450;
 //! A refused caller that presses comes back after this time, so many times.
-constexpr Duration kPressAfter = milliseconds(5);
-constexpr int kMostPresses = 5;
+constexpr Duration kCallerRetryDelay = milliseconds(5);
+constexpr int kMaxCallerRetries = 5;
 
-struct PressingFixture : ForwarderFixture {
+struct RetryStormFixture : ForwarderFixture {
   struct Work {
     OutgoingAttempt attempt;
     TimePoint done;
@@ -32,31 +32,31 @@
     std::deque<OutgoingAttempt> waiting;
   };
   //! A caller that asks: when, and how often it has pressed before.
-  struct Comeback {
+  struct CallerAttempt {
     TimePoint at;
-    int presses = 0;
+    int retries = 0;
   };
 
   Random random{11};
   std::map<std::string, Queue> queues;
-  std::map<CallId, Comeback> asked;
-  std::deque<Comeback> comebacks;
-  std::size_t users = 0;
+  std::map<CallId, CallerAttempt> submitted;
+  std::deque<CallerAttempt> scheduled_retries;
+  std::size_t new_requests = 0;
   std::size_t served = 0;
   std::size_t refused = 0;
-  std::size_t longest_queue = 0;
-  Duration slowest_refusal{};
+  std::size_t max_queue = 0;
+  Duration max_refusal_latency{};
 
-  void Ask(int pressed) {
+  void SubmitRequest(int retries) {
     const TimePoint now = clock.Now();
-    asked[Submit("/read/" + std::to_string(next_call))] = {now, pressed};
+    submitted[Submit("/read/" + std::to_string(next_call))] = {now, retries};
   }
 
-  void TakeSent() {
+  void EnqueueSent() {
     for (const OutgoingAttempt& attempt : port.sent) {
       Queue& queue = queues[attempt.target.id.raw()];
       queue.waiting.push_back(attempt);
-      longest_queue = std::max(longest_queue, queue.waiting.size());
+      max_queue = std::max(max_queue, queue.waiting.size());
     }
     port.sent.clear();
   }
@@ -91,73 +91,76 @@
     forwarder.OnAttemptEnd(end, clock.Now());
   }
 
-  void TakeDelivered() {
+  void HandleDelivered() {
     for (const RecordingPort::Delivered& delivered : port.delivered) {
-      const Comeback caller = asked[delivered.call];
-      asked.erase(delivered.call);
+      const CallerAttempt caller = submitted[delivered.call];
+      submitted.erase(delivered.call);
       if (delivered.answer.kind == AnswerKind::kResponse) {
         ++served;
         continue;
       }
       ++refused;
-      slowest_refusal = std::max(slowest_refusal, clock.Now() - caller.at);
-      if (caller.presses < kMostPresses) {
-        comebacks.push_back({clock.Now() + kPressAfter, caller.presses + 1});
+      max_refusal_latency =
+          std::max(max_refusal_latency, clock.Now() - caller.at);
+      if (caller.retries < kMaxCallerRetries) {
+        scheduled_retries.push_back(
+            {clock.Now() + kCallerRetryDelay, caller.retries + 1});
       }
     }
     port.delivered.clear();
   }
 
   //! Users come at a rate a second; those that are refused press.
-  void Play(double rate, Duration length) {
-    users = served = refused = 0;
+  void RunLoad(double rate, Duration length) {
+    new_requests = served = refused = 0;
     const TimePoint end = clock.Now() + length;
     while (clock.Now() < end) {
       if (random.Unit() < rate * 0.001) {
-        ++users;
-        Ask(0);
+        ++new_requests;
+        SubmitRequest(0);
       }
-      while (!comebacks.empty() && comebacks.front().at <= clock.Now()) {
-        Ask(comebacks.front().presses);
-        comebacks.pop_front();
+      while (!scheduled_retries.empty() &&
+             scheduled_retries.front().at <= clock.Now()) {
+        SubmitRequest(scheduled_retries.front().retries);
+        scheduled_retries.pop_front();
       }
-      TakeSent();
+      EnqueueSent();
       Advance(kTick);
       RunTargets();
-      TakeSent();
-      TakeDelivered();
+      EnqueueSent();
+      HandleDelivered();
     }
   }
 
   [[nodiscard]] double ServedShare() const {
-    return static_cast<double>(served) / static_cast<double>(users);
+    return static_cast<double>(served) / static_cast<double>(new_requests);
   }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(PressingCallersTest, PressingFixture)
+BOOST_FIXTURE_TEST_SUITE(RetryStormTest, RetryStormFixture)
 
 // Callers that are refused come back within 5 ms, five times. Each of their
 // attempts is refused at once and without a target, so that the targets' time
 // goes to answers: twice the load, pressed into ten times, must not take more
 // than a tenth of what the targets can do.
-BOOST_AUTO_TEST_CASE(Load_IsTwiceCapacityAndPressed_TargetsStayOfUse) {
-  Play(0.6 * kCapacity, seconds(5));
+BOOST_AUTO_TEST_CASE(Load_TwiceCapacityWithRetries_TargetsStayProductive) {
+  RunLoad(0.6 * kCapacity, seconds(5));
   BOOST_TEST(ServedShare() > 0.98);
-  Play(2 * kCapacity, seconds(5));
+  RunLoad(2 * kCapacity, seconds(5));
   BOOST_TEST(static_cast<double>(served) > 0.9 * 5 * kCapacity);
   BOOST_TEST(refused > served);
-  BOOST_TEST((slowest_refusal <= 2 * kTick));
+  BOOST_TEST((max_refusal_latency <= 2 * kTick));
 }
 
 // Pressing must not outlast its cause: what is left of it a quarter of a second
 // after the load is back to usual is nothing.
-BOOST_AUTO_TEST_CASE(Load_IsBackToUsual_EveryoneIsServed) {
-  Play(0.6 * kCapacity, seconds(5));
-  Play(2 * kCapacity, seconds(5));
-  Play(0.6 * kCapacity, milliseconds(250));
-  Play(0.6 * kCapacity, seconds(3));
+BOOST_AUTO_TEST_CASE(Load_BackToNormal_AllRequestsAreServed) {
+  RunLoad(0.6 * kCapacity, seconds(5));
+  RunLoad(2 * kCapacity, seconds(5));
+  RunLoad(0.6 * kCapacity, milliseconds(250));
+  RunLoad(0.6 * kCapacity, seconds(3));
   BOOST_TEST(ServedShare() > 0.98);
 }
 
--- a/test/jacinthdeck/forward/shared_targets_test.cc
+++ b/test/jacinthdeck/forward/shared_targets_test.cc
@@ -19,7 +19,7 @@
 // slow target. Callers see answers with nine shards, worth 0.81 at most; hosts
 // that send to slow targets, or hedge once, wait beyond the objective for the
 // ninth. The users' aim is 0.74.
-BOOST_AUTO_TEST_CASE(Fleet_DarkShardAndSlowTargets_AnswersStayInTime) {
+BOOST_AUTO_TEST_CASE(Fleet_ShardDownAndSlowTargets_AnswersStayInTime) {
   const auto result = bench::RunSeeds(bench::DarkShardAndSlowTargets(), kSeeds);
   BOOST_TEST(result.value() >= 0.74);
   BOOST_TEST(result.budget_used <= 1.0);
@@ -28,7 +28,7 @@
 // Two of three targets in half of the shards refuse most requests at once. Each
 // refusal that is tried again is an extra request, so the budget is what binds:
 // the hosts together must stay within it.
-BOOST_AUTO_TEST_CASE(Fleet_TargetsShedWhileIdle_BudgetHolds) {
+BOOST_AUTO_TEST_CASE(Fleet_IdleTargetsShed_ExtraAttemptsStayWithinBudget) {
   const auto result = bench::RunSeeds(bench::SheddingTargets(), kSeeds);
   BOOST_TEST(result.budget_used <= 1.0);
   BOOST_TEST(result.value() >= 0.74);
@@ -36,7 +36,7 @@
 
 // Nothing is wrong but the usual pauses of each target. Nobody is refused, one
 // answer in a hundred may be late, and hedges stay far below the budget.
-BOOST_AUTO_TEST_CASE(Fleet_CalmDay_NobodyIsRefused) {
+BOOST_AUTO_TEST_CASE(Fleet_NormalLoad_NoCallIsRefused) {
   const auto result = bench::RunSeeds(bench::DeskSearch(180), kSeeds);
   BOOST_TEST(result.refused == 0U);
   BOOST_TEST(static_cast<double>(result.in_time) >=
@@ -49,7 +49,7 @@
 // target paused, and no hedge was sent, since the others had paused a moment
 // before. All targets are well and idle, so the users' aim holds: 99 of 100
 // answers in time, and so much of what whole ones would be worth.
-BOOST_AUTO_TEST_CASE(Fleet_ManyShardsThatPause_AnswersAreWholeAndInTime) {
+BOOST_AUTO_TEST_CASE(Fleet_ManyShardsWithPauses_AnswersAreCompleteAndInTime) {
   const auto result = bench::RunSeeds(bench::ManyShards(), 1);
   BOOST_TEST(static_cast<double>(result.in_time) >=
              0.99 * static_cast<double>(result.calls));
@@ -59,10 +59,10 @@
 
 // Guards against first attempts that leave the failure domain although its
 // target answers in good time; half of what they were is the users' aim.
-BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseNowAndThen_FirstAttemptsStayNear) {
-  constexpr double kFormerShare = 0.34;
+BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseOccasionally_FirstAttemptsStayInDomain) {
+  constexpr double kUnimprovedShare = 0.34;
   const auto result = bench::RunSeeds(bench::SearchesAndChecks(), kSeeds);
-  BOOST_TEST(result.crossing_share() <= kFormerShare / 2);
+  BOOST_TEST(result.crossing_share() <= kUnimprovedShare / 2);
   BOOST_TEST(result.refused == 0U);
   BOOST_TEST(static_cast<double>(result.in_time) >=
              0.99 * static_cast<double>(result.calls));
@@ -75,12 +75,12 @@
 // do without the shard, hold this host's places at the target, and the wait
 // for one is reckoned as if the target did the added route's work, of which
 // nothing is known. They must be served as often as the searches are.
-BOOST_AUTO_TEST_CASE(Fleet_LoneTargetOfAShard_CallsForItsServiceAreServed) {
+BOOST_AUTO_TEST_CASE(Fleet_ShardWithOneTarget_SingleServiceCallsAreServed) {
   constexpr std::size_t kSearch = 0;
-  constexpr std::size_t kForOneService = 2;
+  constexpr std::size_t kSingleService = 2;
   const auto result = bench::RunSeeds(bench::LoneTargetOfAShard(), kSeeds);
-  BOOST_TEST(result.kinds[kForOneService].calls > 100U);
-  BOOST_TEST(result.kinds[kForOneService].served_share() >=
+  BOOST_TEST(result.kinds[kSingleService].calls > 100U);
+  BOOST_TEST(result.kinds[kSingleService].served_share() >=
              0.95 * result.kinds[kSearch].served_share());
 }
 
@@ -88,17 +88,17 @@
 // search holds it for as long as it takes, so that a call for the service alone
 // must wait for it: it is admitted, since a place is free within a search's
 // time, and served as often as the searches are.
-BOOST_AUTO_TEST_CASE(Fleet_OneConnectionAHost_CallsForAServiceAreServed) {
+BOOST_AUTO_TEST_CASE(Fleet_OneConnectionPerHost_SingleServiceCallsAreServed) {
   constexpr std::size_t kSearch = 0;
-  constexpr std::size_t kForOneService = 2;
+  constexpr std::size_t kSingleService = 2;
   bench::ForwardCase load = bench::LoneTargetOfAShard();
   load.hosts = 58;
   load.shards = 36;
   load.slots = 4;
   load.connections = 61;
   const auto result = bench::RunSeeds(load, kSeeds);
-  BOOST_TEST(result.kinds[kForOneService].calls > 100U);
-  BOOST_TEST(result.kinds[kForOneService].served_share() >=
+  BOOST_TEST(result.kinds[kSingleService].calls > 100U);
+  BOOST_TEST(result.kinds[kSingleService].served_share() >=
              0.95 * result.kinds[kSearch].served_share());
 }
 
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -67,7 +67,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(TargetSetTest, TargetSetFixture)
 
-BOOST_AUTO_TEST_CASE(Pick_AllAreAlike_PrefersTheOwnFailureDomain) {
+BOOST_AUTO_TEST_CASE(Pick_EqualTargets_PrefersOwnFailureDomain) {
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
@@ -75,7 +75,8 @@
 // request of a route with long work of its own waits no longer than a search
 // does: reckoned in its own 160 ms, six turns of three slots would take a
 // second, and its caller would be turned away from a queue of 120 ms.
-BOOST_AUTO_TEST_CASE(ExpectedDelay_LongWorkBehindShortQueue_CountsTheQueue) {
+BOOST_AUTO_TEST_CASE(
+    ExpectedDelay_LongWorkBehindShortRequests_UsesQueueLatency) {
   for (int i = 0; i < 64; ++i) {
     Answer(Target(0), milliseconds(20));
   }
@@ -88,7 +89,7 @@
 
 // A target stands still. Every query that is sent to it waits for the whole
 // pause, so the first one that is late makes all others avoid it.
-BOOST_AUTO_TEST_CASE(Pick_TargetIsSilentBeyondItsWork_IsAvoidedByAll) {
+BOOST_AUTO_TEST_CASE(Pick_TargetIsSilent_IsAvoided) {
   (void)Send(Target(0));
   now += milliseconds(60);
   BOOST_TEST(Picks(50).count("t0") == 0U);
@@ -103,7 +104,7 @@
 
 // A target whose work fails looks idle; a choice by load would send it
 // everything.
-BOOST_AUTO_TEST_CASE(Pick_TargetFailsQuickly_OthersGetTheWork) {
+BOOST_AUTO_TEST_CASE(Pick_TargetFailsQuickly_IsAvoided) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
   }
@@ -114,7 +115,7 @@
 // which all is well. What it has just answered speaks for it again and again,
 // and each time some callers pay for the trial. Chosen blindly for its nearness
 // it would fail half of all work.
-BOOST_AUTO_TEST_CASE(Pick_NearestTargetFlaps_FewRequestsPayForIt) {
+BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetFlaps_FewRequestsFail) {
   constexpr int kRequests = 4000;
   int failed = 0;
   for (int i = 0; i < kRequests; ++i) {
@@ -132,7 +133,7 @@
   BOOST_TEST(failed < kRequests / 50);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_FailuresAreLongAgo_TargetIsTriedAgain) {
+BOOST_AUTO_TEST_CASE(Pick_FailuresAreOld_TargetIsUsedAgain) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
   }
@@ -140,24 +141,24 @@
   BOOST_TEST(Picks(50)["t0"] > 0);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_TargetReportsALongQueue_OthersGetTheWork) {
+BOOST_AUTO_TEST_CASE(Pick_TargetReportsLongQueue_IsAvoided) {
   Target(0).OnLoad(LoadReport{3, 9, 3, 1}, now);
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_ReportIsOld_CountsNoMore) {
+BOOST_AUTO_TEST_CASE(Pick_LoadReportIsOld_IsIgnored) {
   Target(0).OnLoad(LoadReport{3, 9, 3, 1}, now);
   now += seconds(5);
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_DrainingTarget_GetsNothing) {
+BOOST_AUTO_TEST_CASE(Pick_TargetIsDraining_IsNotChosen) {
   entries[0].draining = true;
   set.Replace(entries, now);
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_AllAreAtTheirLimit_ChoosesNone) {
+BOOST_AUTO_TEST_CASE(Pick_AllTargetsAtConnectionLimit_ChoosesNone) {
   criteria.share.connections = 1;
   for (int i = 0; i < 3; ++i) {
     (void)Send(Target(i));
@@ -166,7 +167,7 @@
 }
 
 // A hedge that waits in a queue delays others and helps nobody.
-BOOST_AUTO_TEST_CASE(Pick_HedgeFindsNoFreeSlot_ChoosesNone) {
+BOOST_AUTO_TEST_CASE(Pick_HedgeWithoutFreeSlot_ChoosesNone) {
   criteria.reason = AttemptReason::kHedge;
   for (int i = 0; i < 3; ++i) {
     Target(i).OnLoad(LoadReport{3, 0, 3, 1}, now);
@@ -177,7 +178,7 @@
 // A target is ten times slower than the route's answers. A hedge to it would
 // come after its answer is of use, spend the shard's last attempt and hold a
 // slot of the slow target.
-BOOST_AUTO_TEST_CASE(Pick_HedgeWouldComeTooLate_ChoosesNone) {
+BOOST_AUTO_TEST_CASE(Pick_HedgeWouldBeLate_ChoosesNone) {
   criteria.reason = AttemptReason::kHedge;
   criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
@@ -190,7 +191,7 @@
 // of their answers still come in time, so the hedge must find one of them; held
 // to the average with the pause in it, the shard was left out with a budget of
 // hedges unspent.
-BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnceAmongManyAnswers_HedgeFindsOne) {
+BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnce_HedgeIsChosen) {
   constexpr int kAnswers = 7;
   criteria.reason = AttemptReason::kHedge;
   criteria.useful_time = milliseconds(30);
@@ -206,7 +207,7 @@
 // All targets of a shard are slow, and the answer can do without the shard. One
 // attempt at a time finds out when a target is fast again; more would fill its
 // queue, so that it answers late for a while longer.
-BOOST_AUTO_TEST_CASE(Pick_TargetsAnswerTooLate_EachGetsOneAttemptAtATime) {
+BOOST_AUTO_TEST_CASE(Pick_AllTargetsTooSlow_EachGetsOneAttemptAtATime) {
   criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
     Answer(Target(i), criteria.route_latency.mean * 10);
@@ -222,7 +223,7 @@
 
 // Guards against bytes between domains that bring no answer in time: the own
 // target is slower than the others, and soon enough.
-BOOST_AUTO_TEST_CASE(Pick_OwnTargetIsSlowerButInGoodTime_KeepsToTheOwnDomain) {
+BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetIsFastEnough_StaysInDomain) {
   criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
     Answer(Target(0), milliseconds(44));
@@ -233,7 +234,7 @@
 }
 
 // Guards against late answers for the sake of bytes.
-BOOST_AUTO_TEST_CASE(Pick_OwnTargetTakesMostOfTheObjective_GoesElsewhere) {
+BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetIsTooSlow_LeavesDomain) {
   criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
     Answer(Target(0), milliseconds(70));
@@ -244,7 +245,7 @@
 }
 
 // Guards against work for the targets of an evacuated domain.
-BOOST_AUTO_TEST_CASE(Pick_TargetIsEvacuated_GetsNothingForWhateverReason) {
+BOOST_AUTO_TEST_CASE(Pick_TargetIsEvacuated_IsNeverChosen) {
   for (TargetEntry& entry : entries) {
     entry.evacuated = entry.id != TargetId("t2");
   }
@@ -258,7 +259,7 @@
 }
 
 // Guards against a crash of a cold target by requests beyond what it bears.
-BOOST_AUTO_TEST_CASE(Pick_ColdTargetHasABound_GetsNoMoreThanTheHostsShare) {
+BOOST_AUTO_TEST_CASE(Pick_ColdTargetsWithRateBound_StaysWithinHostShare) {
   for (TargetEntry& entry : entries) {
     entry.cold_until = now + seconds(4);
   }
@@ -281,7 +282,7 @@
   BOOST_TEST(Picks(50).count("none") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_HostTakesNoCallers_SendsNothingToABoundedColdTarget) {
+BOOST_AUTO_TEST_CASE(Pick_HostIsNotListed_SkipsColdTargetWithRateBound) {
   entries[0].cold_until = now + seconds(4);
   set.Replace(entries, now);
   set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h1")});
@@ -291,7 +292,7 @@
 
 // A target comes back under its id after a crash. What its former life failed
 // at says nothing of the new one.
-BOOST_AUTO_TEST_CASE(Replace_LaterStartUnderTheSameId_ForgetsTheFailures) {
+BOOST_AUTO_TEST_CASE(Replace_TargetRestartedWithSameId_ForgetsFailures) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
   }
@@ -300,7 +301,8 @@
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-BOOST_AUTO_TEST_CASE(Replace_TargetIsGoneWithWorkInFlight_StaysUntilItsEnd) {
+BOOST_AUTO_TEST_CASE(
+    Replace_TargetRemovedWithAttemptInFlight_KeptUntilAttemptEnds) {
   const AttemptId id = Send(Target(0));
   const std::vector<TargetEntry> rest(entries.begin() + 1, entries.end());
   set.Replace(rest, now);
--- a/test/jacinthdeck/forward/values_test.cc
+++ b/test/jacinthdeck/forward/values_test.cc
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(ForwardValuesTest)
 
-BOOST_AUTO_TEST_CASE(Find_SeveralPrefixesMatch_LongestWins) {
+BOOST_AUTO_TEST_CASE(Find_SeveralPrefixesMatch_ChoosesLongest) {
   const RoutingConfig config(
       1, {MakeRoute("a", "/x/"), MakeRoute("a", "/x/y/"), MakeRoute("b", "/")},
       {}, {});
@@ -37,7 +37,7 @@
   BOOST_TEST(config.Find("c", "/x/") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(MinShards_ShareIsAWholeNumber_NoRoundingUp) {
+BOOST_AUTO_TEST_CASE(MinShards_ShareIsExact_DoesNotRoundUp) {
   Route route;
   route.shards.resize(10);
   route.min_share = 0.9;
@@ -48,7 +48,8 @@
   BOOST_TEST(route.min_shards() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(TopRecords_RestAndEqualOnes_RestIsDroppedEqualOnesStay) {
+BOOST_AUTO_TEST_CASE(
+    TopRecords_TrailingBytesAndDuplicates_KeepsOnlyDuplicates) {
   const std::string low(16, '\x01');
   const std::string high(16, '\xff');
   const std::string first = low + high + "rest";
@@ -59,17 +60,18 @@
   BOOST_TEST(TopRecords({}, 2).empty());
 }
 
-BOOST_AUTO_TEST_CASE(WeightedTurn_AnyNumberOfRequests_SharesAreWithinOne) {
+BOOST_AUTO_TEST_CASE(
+    WeightedRoundRobin_AnyNumberOfRequests_SharesAreWithinOne) {
   const std::array<WeightedService, 3> services{
       WeightedService{ServiceId("a"), 70}, WeightedService{ServiceId("b"), 25},
       WeightedService{ServiceId("c"), 5}};
-  WeightedRoundRobin turn;
+  WeightedRoundRobin round_robin;
   std::array<int, 3> counts{};
   for (int i = 1; i <= 500; ++i) {
-    ++counts.at(turn.Next(services));
+    ++counts.at(round_robin.Next(services));
     for (std::size_t s = 0; s < counts.size(); ++s) {
-      const double owed = i * services.at(s).weight / 100;
-      BOOST_TEST(std::abs(counts.at(s) - owed) <= 1.0);
+      const double expected = i * services.at(s).weight / 100;
+      BOOST_TEST(std::abs(counts.at(s) - expected) <= 1.0);
     }
   }
 }
