--- a/src/jacinthdeck/forward/attempt_budget.cc
+++ b/src/jacinthdeck/forward/attempt_budget.cc
@@ -1,4 +1,5 @@
-// Counts in a ring of buckets; extras count a bucket longer than requests do.
+// Counts requests and extra attempts in a ring of buckets; extra attempts count
+// for one bucket longer than requests.
 #include "jacinthdeck/forward/attempt_budget.h"
 
 #include <algorithm>
@@ -7,8 +8,9 @@
 
 namespace {
 
-//! Part of the bound that is spent: requests counted here may be counted a
-//! moment apart by whoever checks the bound.
+//! Part of the limit that may be spent. Whoever checks the limit may count a
+//! request slightly earlier or later than this host does; the rest is the
+//! margin for that.
 constexpr double kUsableShare = 0.85;
 
 }  // namespace
--- a/src/jacinthdeck/forward/attempt_budget.h
+++ b/src/jacinthdeck/forward/attempt_budget.h
@@ -1,4 +1,5 @@
-// Bounds extra attempts at a service in a sliding window, over all hosts.
+// Limits the extra attempts (hedges and retries) at a service in a sliding
+// window, summed over all hosts.
 #ifndef JACINTHDECK_FORWARD_ATTEMPT_BUDGET_H_
 #define JACINTHDECK_FORWARD_ATTEMPT_BUDGET_H_
 
@@ -9,32 +10,34 @@
 
 namespace jacinthdeck {
 
-/*! \brief Bound on extra attempts that all hosts share. */
+/*! \brief Limit on extra attempts (hedges and retries), shared by all hosts. */
 struct AttemptBudgetOptions {
-  //! Extra attempts for each request in the window.
+  //! Extra attempts allowed per request in the window.
   double ratio = 0.1;
-  //! Extra attempts in the window beside the ratio, over all hosts.
+  //! Extra attempts allowed in the window in addition to the ratio, summed over
+  //! all hosts.
   double constant = 10;
   Duration window = std::chrono::seconds(10);
 };
 
 /**
- * \brief This host's part of the budget of one service.
+ * \brief This host's part of the extra-attempt budget of one service.
  *
- * Each host spends its own requests' ratio and an equal share of the constant,
- * so that the sum over the hosts keeps the bound without a message: also while
- * hosts are cut off from each other. A share that is new grows from zero over
- * one window, since the life before, or another host, may have spent it.
+ * Each host spends the ratio of its own requests and an equal share of the
+ * constant. The sum over all hosts therefore stays within the limit without
+ * messages between them, also during a network partition. A new share grows
+ * from zero over one window, because the previous process or another host may
+ * already have spent it in this window.
  */
 class AttemptBudget {
  public:
-  /*! \brief Makes a budget without a share of the constant. */
+  /*! \brief Creates a budget whose share of the constant is zero. */
   explicit AttemptBudget(const AttemptBudgetOptions& options);
 
   /**
-   * \brief Says which part of the constant is this host's.
-   * \param share Part, 0 to 1.
-   * \param since Since when it has one; the part grows from zero over one
+   * \brief Sets this host's share of the constant.
+   * \param share Fraction from 0 to 1.
+   * \param since When this host got the share; it grows from zero over one
    * window from then on.
    */
   void SetShare(double share, TimePoint since) noexcept {
@@ -42,27 +45,29 @@
     m_share_since = since;
   }
 
-  /*! \brief Counts a request whose first attempt is the service's. */
+  /*! \brief Counts a request whose first attempt goes to the service. */
   void OnRequest(TimePoint now);
 
-  /*! \brief Tells whether one more extra attempt may be sent now. */
+  /*! \brief Returns whether one more extra attempt may be sent now. */
   [[nodiscard]] bool CanSpend(TimePoint now);
 
   /**
-   * \brief Pays for one extra attempt.
-   * \return False, with nothing spent, if the window has no room.
+   * \brief Spends one extra attempt.
+   * \return False, with nothing spent, if the budget is exhausted.
    */
   [[nodiscard]] bool TrySpend(TimePoint now);
 
-  /*! \brief Takes back the payment of an attempt that never left this host. */
+  /*! \brief Gives back what was spent on an attempt of which no byte left this
+   * host. */
   void Refund(TimePoint now);
 
-  /*! \brief Extra attempts that could be sent now. */
+  /*! \brief Returns the number of extra attempts that may be sent now. */
   [[nodiscard]] double Available(TimePoint now);
 
  private:
-  //! Buckets of a window; the sum covers one bucket more than the window, so
-  //! that no sliding window of the exact length holds more than the bound.
+  //! Number of buckets per window. Extra attempts are summed over one bucket
+  //! more than the window, so that no sliding window of the exact length holds
+  //! more than the limit.
   static constexpr std::size_t kBuckets = 20;
 
   struct Bucket {
@@ -75,10 +80,12 @@
   AttemptBudgetOptions m_options;
   double m_share = 0;
   TimePoint m_share_since;
-  //! Ring; m_newest is the number of its newest bucket since the epoch.
+  //! Ring of buckets; m_newest is the number of the newest one, counted from
+  //! the epoch of the clock.
   std::array<Bucket, kBuckets + 1> m_ring{};
   std::int64_t m_newest = 0;
-  //! Sums over the ring; requests leave out the oldest bucket, extras do not.
+  //! Sums over the ring; m_requests leaves out the oldest bucket, m_extras
+  //! includes it.
   std::uint32_t m_requests = 0;
   std::uint32_t m_extras = 0;
 };
--- a/src/jacinthdeck/forward/attempt_end.h
+++ b/src/jacinthdeck/forward/attempt_end.h
@@ -1,4 +1,4 @@
-// What the forwarder asks of the transport and what it is told of attempts.
+// Attempts as the forwarder passes them to the transport, and how they end.
 #ifndef JACINTHDECK_FORWARD_ATTEMPT_END_H_
 #define JACINTHDECK_FORWARD_ATTEMPT_END_H_
 
@@ -18,15 +18,17 @@
 
 /*! \brief How an attempt ended. */
 enum class AttemptOutcome {
-  //! A complete response came; the target ran the request.
+  //! A complete response arrived; the target executed the request.
   kResponse,
-  //! The target said that it did not run it.
+  //! The target reported that it did not execute the request.
   kNotExecuted,
-  //! Another target, or another life of it, has the address; it did not run it.
+  //! The address belongs to another target, or to another process of the same
+  //! target; the request was not executed.
   kWrongTarget,
   //! No byte of the request left this host.
   kNotSent,
-  //! The connection ended before a complete response; it may have run.
+  //! The connection ended before a complete response arrived; the target may
+  //! have executed the request.
   kBroken,
 };
 
@@ -41,35 +43,36 @@
 inline constexpr NameTable<AttemptReason, 3> kAttemptReasonNames{
     {"first", "hedge", "retry"}};
 
-/*! \brief A request to one target. */
+/*! \brief One attempt: a request that is sent to one target. */
 struct OutgoingAttempt {
   AttemptId id;
   TargetEntry target;
   //! Shared by all attempts of a call.
   std::shared_ptr<const OpaqueRequest> request;
-  //! When the caller stops waiting; the target is told what is left.
+  //! When the caller stops waiting; the target is told the remaining time.
   TimePoint deadline;
-  //! Connections to the target that this host may hold.
+  //! Maximum number of connections to the target that this host may hold.
   std::uint32_t connection_limit = 1;
-  //! It must not run twice, so it must not be sent on a connection that the
-  //! target may be closing.
+  //! The request must not be executed twice, so it must not be sent on a
+  //! connection that the target may be closing.
   bool at_most_once = false;
-  //! Its connection ends with the answer. Hosts that stand by are many and have
-  //! no share of a target's connections: one kept by each of them takes the one
-  //! target that a shard has left past its limit, and it resets the next ones.
-  //! Held for a request alone, they are few at a time.
+  //! The connection is closed after the response. Standby hosts are many and
+  //! have no share of the connections of a target: if each of them kept one
+  //! open, the last target of a shard would exceed its connection limit and
+  //! reset further connections. Connections that are held only during a request
+  //! are few at any time.
   bool close_after_response = false;
 };
 
-/*! \brief The end of an attempt. */
+/*! \brief Result of an attempt. */
 struct AttemptEnd {
   AttemptId id;
   AttemptOutcome outcome = AttemptOutcome::kBroken;
-  //! With kResponse.
+  //! Valid with kResponse.
   TargetResponse response;
   std::optional<LoadReport> load;
-  //! The connection ended by itself while the target had the request: what a
-  //! crash of the target looks like.
+  //! The connection ended by itself while the target had the request, as it
+  //! does when the target crashes.
   bool connection_lost = false;
 };
 
--- a/src/jacinthdeck/forward/call_trace.h
+++ b/src/jacinthdeck/forward/call_trace.h
@@ -1,4 +1,4 @@
-// What happened to a call, for logs and metrics.
+// What the forwarder decided on a call, for logs and metrics.
 #ifndef JACINTHDECK_FORWARD_CALL_TRACE_H_
 #define JACINTHDECK_FORWARD_CALL_TRACE_H_
 
@@ -23,42 +23,44 @@
   std::uint32_t shard = 0;
   TargetId target;
   AttemptReason reason = AttemptReason::kFirst;
-  //! From the arrival of the call to the sending.
+  //! Time from the arrival of the call to the sending of the attempt.
   Duration sent{};
-  //! From the sending to the end; negative while it has not ended.
+  //! Time from the sending to the end of the attempt; negative until it ends.
   Duration took{-1};
-  //! Has a meaning once it has ended.
+  //! Valid once the attempt has ended.
   AttemptOutcome outcome = AttemptOutcome::kResponse;
-  //! Status of the response, with AttemptOutcome::kResponse.
+  //! HTTP status of the response, with AttemptOutcome::kResponse.
   int status = 0;
 };
 
-/*! \brief What was decided on a call, and on which knowledge. */
+/*! \brief Decisions on a call, and the data that they were based on. */
 struct CallTrace {
   //! Null if no configuration was known.
   std::shared_ptr<const RoutingConfig> config;
-  //! Null if no route matched; lies in config.
+  //! Null if no route matched; points into config.
   const Route* route = nullptr;
-  //! The same for all that ask the same: tells a request that comes again.
+  //! Equal for equal requests; identifies a request that is repeated.
   Fingerprint fingerprint;
   //! Service that the traffic split chose; empty for a fan-out.
   ServiceId service;
   std::uint32_t shards = 0;
   std::uint32_t answered = 0;
-  //! Delay that was expected when it was admitted.
+  //! Expected delay when the call was admitted or refused.
   Duration expected{};
-  //! Shards, or 1 for the service, of which no target had a slot free when it
-  //! was admitted or refused.
+  //! Number of shards without a target that had a free slot when the call was
+  //! admitted or refused; a call for one service counts as one shard.
   std::uint32_t full_shards = 0;
-  //! The same, of which no target had room for one more attempt of this host.
+  //! Number of shards without a target that had capacity for one more attempt
+  //! of this host at that time.
   std::uint32_t shards_without_capacity = 0;
-  //! Targets that take work, of the shard that has fewest.
+  //! Number of targets that accept requests, of the shard that has the fewest.
   std::uint32_t fewest_targets = 0;
-  //! Latency of the route that `expected` was reckoned with.
+  //! Latency of the route from which `expected` was computed.
   LatencyEstimate route_latency;
-  //! Positions of the shards that the answer lacks.
+  //! Positions in the route of the shards that are missing from the answer.
   std::vector<std::uint32_t> missing;
-  //! Extra attempts that the budget of a service refused.
+  //! Extra attempts that were not sent because the budget of a service was
+  //! exhausted.
   std::uint32_t budget_refusals = 0;
   std::vector<AttemptTrace> attempts;
 };
--- a/src/jacinthdeck/forward/cold_target_limiter.cc
+++ b/src/jacinthdeck/forward/cold_target_limiter.cc
@@ -1,5 +1,5 @@
 // Rendezvous hashing: the hosts with the highest weights for a target are
-// appointed.
+// selected.
 #include "jacinthdeck/forward/cold_target_limiter.h"
 
 #include <xxhash.h>
--- a/src/jacinthdeck/forward/cold_target_limiter.h
+++ b/src/jacinthdeck/forward/cold_target_limiter.h
@@ -1,4 +1,4 @@
-// Which hosts send to a cold target, and how often.
+// Limits the rate of requests that this host sends to a cold target.
 #ifndef JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
 #define JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
 
@@ -12,39 +12,43 @@
 namespace jacinthdeck {
 
 /**
- * \brief This host's share of the requests that a cold target bears.
+ * \brief Computes this host's share of the request rate that a cold target can
+ * handle.
  *
- * The bound holds for the sum over all hosts, which do not ask one another. A
- * few hosts are appointed to each target by rendezvous hashing over the hosts
- * that take callers, so few that each may send several requests a second. An
- * equal share for every host would be a fraction of a request a second, and the
- * requests of hundreds of hosts would now and then come together.
+ * The bound applies to the sum over all hosts, which do not coordinate.
+ * Rendezvous hashing over the hosts that serve callers selects a few hosts for
+ * each target, so few that each may send several requests a second. With an
+ * equal share for every host, each would send a fraction of a request a second,
+ * and the requests of hundreds of hosts would occasionally coincide.
  *
- * Hosts that know different lists appoint almost the same hosts: one that joins
- * or leaves changes the share of itself and of one other for each target.
+ * Hosts that know different host lists select almost the same hosts: one that
+ * joins or leaves changes only its own share and that of one other host for
+ * each target.
  */
 class ColdTargetLimiter {
  public:
-  /*! \brief Least requests a second of an appointed host, if the bound allows
-   * as many. */
+  /*! \brief Minimum rate of a selected host in requests a second, if the bound
+   * allows it. */
   static constexpr double kMinRate = 2;
 
   /**
-   * \brief Takes the hosts that callers are sent to.
-   * \param self This host; without a share if it is not among them.
+   * \brief Sets the hosts that callers are sent to.
+   * \param self This host; it has no share if it is not listed.
+   * \param hosts All hosts that callers are sent to.
    */
   void SetHosts(const NodeId& self, std::span<const NodeId> hosts);
 
   /**
-   * \brief Tells how often this host may send to a target while it is cold.
-   * \param bound Requests a second from all hosts; above 0.
-   * \return Requests a second; 0 if others are appointed.
+   * \brief Returns the rate at which this host may send to a target while it is
+   * cold.
+   * \param bound Requests a second allowed from all hosts together; above 0.
+   * \return Requests a second; 0 if only other hosts are selected.
    */
   [[nodiscard]] double RateOf(const TargetId& target, double bound) const;
 
   /**
-   * \brief Tells whether this host may send now.
-   * \param last When it sent to the target last.
+   * \brief Returns whether this host may send a request to the target now.
+   * \param last When this host last sent to the target.
    */
   [[nodiscard]] bool MaySend(const TargetId& target,
                              double bound,
@@ -52,14 +56,14 @@
                              TimePoint now) const;
 
  private:
-  //! Number of hosts that share the bound; whole, 1 at least.
+  //! Number of hosts that share the bound; a whole number, at least 1.
   [[nodiscard]] double SelectedHosts(double bound) const noexcept;
   [[nodiscard]] double RateIfSelected(double bound) const noexcept;
   [[nodiscard]] bool IsSelected(const TargetId& target, double bound) const;
 
   std::uint64_t m_self = 0;
   bool m_is_listed = false;
-  //! Hashes of the other hosts' names.
+  //! Hashes of the names of the other hosts.
   std::vector<std::uint64_t> m_others;
 };
 
--- a/src/jacinthdeck/forward/crash_guard.cc
+++ b/src/jacinthdeck/forward/crash_guard.cc
@@ -1,4 +1,4 @@
-// Failed calls by fingerprint, forgotten after a while.
+// Records failed calls by fingerprint and forgets them after kRetention.
 #include "jacinthdeck/forward/crash_guard.h"
 
 #include <xxhash.h>
@@ -74,8 +74,8 @@
     return now - item.second.last >= kRetention;
   });
   if (m_records.size() >= kMaxRecords) {
-    // Full of fresh losses: half of the targets are failing, and no single
-    // request is to blame.
+    // The table is full of recent failures: half of the targets are failing,
+    // and no single request is the cause.
     m_records.clear();
   }
 }
--- a/src/jacinthdeck/forward/crash_guard.h
+++ b/src/jacinthdeck/forward/crash_guard.h
@@ -1,4 +1,4 @@
-// Finds requests that crash the targets that run them.
+// Detects requests that crash the targets that execute them.
 #ifndef JACINTHDECK_FORWARD_CRASH_GUARD_H_
 #define JACINTHDECK_FORWARD_CRASH_GUARD_H_
 
@@ -14,54 +14,58 @@
 
 namespace jacinthdeck {
 
-/*! \brief Hashes what makes a request the same request when it comes again. */
+/*! \brief Hashes method, host, path with query, and body; equal requests have
+ * equal fingerprints. */
 [[nodiscard]] Fingerprint FingerprintOf(const OpaqueRequest& request);
 
 /**
- * \brief Counts the calls under which connections to targets were lost and no
- * target answered, by the fingerprint of their request.
+ * \brief Quarantines requests that crash their targets.
  *
- * A caller repeats a request that got no answer. If the request itself crashes
- * its targets, the repeats take down one target after the other until none is
- * left. A request whose call failed that way is a suspect: its next call risks
- * no second target before one has answered. If that one fails too, it is
- * refused for a while. Losses by other causes seldom take all targets of two
- * calls of one request; an answer clears it.
+ * Counts by request fingerprint the calls in which connections to targets were
+ * lost and no target answered. A caller repeats a request that got no answer.
+ * If the request itself crashes its targets, the repeats crash one target after
+ * another until none is left. A request with one such call is suspect: its next
+ * call is not sent to a second target before one has answered. If that call
+ * fails too, the request is quarantined, which means refused for kRetention.
+ * Connections that are lost for other reasons rarely affect all targets of two
+ * calls with the same request; an answer clears the request.
  *
- * A request that crashes its targets has no answers. One that was answered
- * lately is therefore never refused: without this, a popular request was
- * refused by all hosts for a minute after targets had lost two answers in a
- * row.
+ * A request that crashes its targets gets no answers. One that was answered
+ * within kRetention is therefore never quarantined: without this rule, all
+ * hosts refused a popular request for a minute after targets had lost two
+ * answers in a row.
  */
 class CrashGuard {
  public:
-  //! Calls that convict a request.
+  //! Number of failed calls after which a request is quarantined.
   static constexpr std::uint32_t kQuarantineThreshold = 2;
-  //! How long losses and convictions are remembered.
+  //! How long failed calls, quarantines and answers are remembered.
   static constexpr Duration kRetention = std::chrono::seconds(60);
-  //! Fingerprints held at once; each is one failed request.
+  //! Maximum number of fingerprints of failed requests held at once.
   static constexpr std::size_t kMaxRecords = 4096;
-  //! Answered requests that are remembered; popular ones come back to their
-  //! slot at once when another took it.
+  //! Number of slots for answered requests. A popular request whose slot
+  //! another one took gets it back with its next answer.
   static constexpr std::size_t kAnsweredSlots = 1024;
 
-  /*! \brief Tells whether a request is refused. */
+  /*! \brief Returns whether a request is refused. */
   [[nodiscard]] bool IsQuarantined(Fingerprint fingerprint,
                                    TimePoint now) const;
 
-  /*! \brief Tells whether a call of it failed by lost connections before. */
+  /*! \brief Returns whether a call with this request failed by lost
+   * connections. */
   [[nodiscard]] bool IsSuspect(Fingerprint fingerprint, TimePoint now) const;
 
   /**
-   * \brief Takes a call that failed by lost connections, without an answer.
-   * \return True if that newly convicts its request.
+   * \brief Records a call that failed by lost connections, without an answer.
+   * \return True if this call newly quarantines its request.
    */
   [[nodiscard]] bool OnCallLost(Fingerprint fingerprint, TimePoint now);
 
-  /*! \brief Takes an answer to a request. */
+  /*! \brief Records an answer to a request, which clears its failed calls. */
   void OnAnswered(Fingerprint fingerprint, TimePoint now);
 
-  /*! \brief Takes another host's conviction, unless an answer disproves it. */
+  /*! \brief Applies the quarantine of a request by another host, unless this
+   * host got an answer to the request within kRetention. */
   void QuarantineRequest(Fingerprint fingerprint, TimePoint now);
 
  private:
@@ -80,7 +84,7 @@
   void EvictIfFull(TimePoint now);
 
   std::unordered_map<Fingerprint, Record> m_records;
-  //! The last answer of each slot.
+  //! Last answered request of each slot.
   std::array<Answer, kAnsweredSlots> m_answers{};
 };
 
--- a/src/jacinthdeck/forward/forward_answer.h
+++ b/src/jacinthdeck/forward/forward_answer.h
@@ -1,4 +1,4 @@
-// The one answer to a forwarded call.
+// Final answer to a forwarded call.
 #ifndef JACINTHDECK_FORWARD_FORWARD_ANSWER_H_
 #define JACINTHDECK_FORWARD_FORWARD_ANSWER_H_
 
@@ -13,19 +13,19 @@
 
 namespace jacinthdeck {
 
-/*! \brief What a caller is told. */
+/*! \brief What the caller of a request is told. */
 enum class AnswerKind {
   //! A target's response, passed on unchanged.
   kResponse,
-  //! The greatest records of several shards.
+  //! Greatest records from the responses of several shards.
   kMerged,
-  //! No target ran any part of the request, and none will.
+  //! No target executed any part of the request, and none will.
   kNotRun,
-  //! It failed and may have run.
+  //! The call failed; targets may have executed the request.
   kFailed,
-  //! The time was up and it may have run.
+  //! The deadline passed; targets may have executed the request.
   kTimedOut,
-  //! No route takes it.
+  //! No route matches the request.
   kNoRoute,
 };
 
@@ -33,7 +33,7 @@
 inline constexpr NameTable<AnswerKind, 6> kAnswerKindNames{
     {"response", "merged", "not_run", "failed", "timed_out", "no_route"}};
 
-/*! \brief Why an answer is no success of all shards. */
+/*! \brief Why an answer is not a success of all shards. */
 enum class ForwardReason {
   kNone,
   kNoConfig,
@@ -43,7 +43,7 @@
   kDeadline,
   kTargetsFailed,
   kCrashesTargets,
-  //! Shards were left out so that the answer came in time.
+  //! Shards were left out so that the answer was in time.
   kLeftOut,
 };
 
@@ -56,15 +56,15 @@
 struct ForwardAnswer {
   AnswerKind kind = AnswerKind::kNotRun;
   ForwardReason reason = ForwardReason::kNone;
-  //! With kResponse.
+  //! Valid with kResponse.
   TargetResponse response;
-  //! With kMerged: stamps of the parts that are in.
+  //! With kMerged: stamps of the responses in the answer.
   std::vector<std::string> part_stamps;
-  //! With kMerged: shards that are left out.
+  //! With kMerged: number of shards missing from the answer.
   std::uint32_t missing_parts = 0;
-  //! With kMerged: the records.
+  //! With kMerged: the merged records.
   std::string records;
-  //! With kNotRun: when to come back.
+  //! With kNotRun: time after which the caller may send the request again.
   std::optional<Duration> retry_after;
 };
 
--- a/src/jacinthdeck/forward/forward_call.h
+++ b/src/jacinthdeck/forward/forward_call.h
@@ -1,4 +1,4 @@
-// A caller's request on its way through the forwarder.
+// A request that is submitted to the forwarder.
 #ifndef JACINTHDECK_FORWARD_FORWARD_CALL_H_
 #define JACINTHDECK_FORWARD_FORWARD_CALL_H_
 
@@ -16,7 +16,7 @@
   //! Never null.
   std::shared_ptr<const OpaqueRequest> request;
   TimePoint arrived;
-  //! When the caller stops waiting; TimePoint::max() if it did not say.
+  //! When the caller stops waiting; TimePoint::max() if it set no deadline.
   TimePoint deadline = TimePoint::max();
 };
 
--- a/src/jacinthdeck/forward/forward_counters.h
+++ b/src/jacinthdeck/forward/forward_counters.h
@@ -1,4 +1,4 @@
-// Totals of a forwarder.
+// Counters of a forwarder.
 #ifndef JACINTHDECK_FORWARD_FORWARD_COUNTERS_H_
 #define JACINTHDECK_FORWARD_FORWARD_COUNTERS_H_
 
@@ -7,22 +7,23 @@
 
 namespace jacinthdeck {
 
-/*! \brief Counts since the start. */
+/*! \brief Counts since the forwarder was created. */
 struct ForwardCounters {
   std::uint64_t calls = 0;
-  //! Calls that their callers left.
+  //! Calls whose callers disconnected.
   std::uint64_t abandoned = 0;
-  //! By AttemptReason.
+  //! Attempts sent, indexed by AttemptReason.
   std::array<std::uint64_t, 3> attempts{};
-  //! Those to targets of other failure domains, by AttemptReason.
+  //! Attempts sent to targets in other failure domains, indexed by
+  //! AttemptReason.
   std::array<std::uint64_t, 3> attempts_other_domains{};
-  //! By AttemptOutcome.
+  //! Attempts ended, indexed by AttemptOutcome.
   std::array<std::uint64_t, 5> outcomes{};
-  //! Attempts cancelled without an end.
+  //! Attempts cancelled before they ended.
   std::uint64_t cancelled = 0;
-  //! Extra attempts that the budget refused.
+  //! Extra attempts that were not sent because a budget was exhausted.
   std::uint64_t budget_refusals = 0;
-  //! Requests convicted of crashing targets.
+  //! Requests that this host quarantined because they crash targets.
   std::uint64_t quarantines = 0;
 };
 
--- a/src/jacinthdeck/forward/forward_options.h
+++ b/src/jacinthdeck/forward/forward_options.h
@@ -8,13 +8,13 @@
 
 namespace jacinthdeck {
 
-/*! \brief Bounds of a forwarder. */
+/*! \brief Settings of a forwarder. */
 struct ForwardOptions {
-  //! This host.
+  //! Id of this host.
   NodeId host;
   FailureDomain domain;
   AttemptBudgetOptions budget;
-  //! Time kept back for the way of an answer to its caller.
+  //! Time reserved for sending an answer to its caller.
   Duration answer_margin = std::chrono::milliseconds(12);
 };
 
--- a/src/jacinthdeck/forward/forward_port.h
+++ b/src/jacinthdeck/forward/forward_port.h
@@ -1,4 +1,4 @@
-// What the forwarder wants done.
+// Interface through which the forwarder acts.
 #ifndef JACINTHDECK_FORWARD_FORWARD_PORT_H_
 #define JACINTHDECK_FORWARD_FORWARD_PORT_H_
 
@@ -10,22 +10,22 @@
 namespace jacinthdeck {
 
 /**
- * \brief Receiver of the forwarder's decisions.
+ * \brief Carries out the decisions of a forwarder.
  *
- * None of these may call back into the forwarder before it returns.
+ * No function may call the forwarder before it returns.
  */
 class ForwardPort {
  public:
   virtual ~ForwardPort() = default;
 
-  /*! \brief Sends an attempt; its end must be reported exactly once, unless it
-   * is cancelled. */
+  /*! \brief Sends an attempt. Its end must be reported exactly once through
+   * Forwarder::OnAttemptEnd(), unless it is cancelled. */
   virtual void Send(const OutgoingAttempt& attempt) = 0;
 
-  /*! \brief Drops an attempt; its end is not reported any more. */
+  /*! \brief Cancels an attempt; its end is no longer reported. */
   virtual void Cancel(AttemptId attempt) = 0;
 
-  /*! \brief Gives a caller its final answer. */
+  /*! \brief Delivers the final answer to a caller. */
   virtual void Deliver(CallId call,
                        ForwardAnswer answer,
                        const CallTrace& trace) = 0;
--- a/src/jacinthdeck/forward/forwarder.cc
+++ b/src/jacinthdeck/forward/forwarder.cc
@@ -1,4 +1,4 @@
-// Knowledge and timers of the forwarder.
+// Configuration, targets, hosts and timers of the forwarder.
 #include "jacinthdeck/forward/forwarder.h"
 
 #include <algorithm>
@@ -98,8 +98,8 @@
 
 void Forwarder::RearmTimer(const PendingCall& pending) {
   TimePoint at = pending.final_at;
-  // With too few shards in, the moment at which one more makes an answer is
-  // the moment of its reply.
+  // With too few answered shards, the call can only be answered when another
+  // shard replies, so partial_at needs no timer.
   if (pending.answered >= pending.route->min_shards()) {
     at = std::min(at, pending.partial_at);
   }
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -1,4 +1,4 @@
-// Decides on opaque requests: which targets get them, when again, and what the
+// Decides which targets get an opaque request, when it is retried, and what the
 // caller is told.
 #ifndef JACINTHDECK_FORWARD_FORWARDER_H_
 #define JACINTHDECK_FORWARD_FORWARDER_H_
@@ -31,18 +31,19 @@
 namespace jacinthdeck {
 
 /**
- * \brief Passes opaque requests on to targets of the configured services.
+ * \brief Forwards opaque requests to targets of the configured services.
  *
- * Holds no socket, thread or clock: time is passed in, and effects go to a
- * port. Every submitted call gets exactly one Deliver(), unless it is abandoned
- * first. A call for one service is a call with one part; a fan-out has a part
- * for each shard, all of the configuration version in force at its start.
+ * Holds no socket, thread or clock: the time is passed in, and effects go to a
+ * ForwardPort. Every submitted call gets exactly one Deliver(), unless it is
+ * abandoned first. A call for one service has one part. A fan-out has one part
+ * for each shard, all from the configuration version in force when the call
+ * starts.
  */
 class Forwarder {
  public:
   /**
-   * \brief Makes a forwarder without configuration or targets.
-   * \param port Receiver of the decisions; outlives the forwarder.
+   * \brief Creates a forwarder without configuration or targets.
+   * \param port Carries out the decisions; must outlive the forwarder.
    */
   Forwarder(const ForwardOptions& options,
             ForwardPort& port,
@@ -63,13 +64,13 @@
   }
   [[nodiscard]] const TargetSet& targets() const noexcept { return m_targets; }
 
-  /*! \brief Moment at which OnTimer() is due; nothing while nothing is. */
+  /*! \brief Returns when OnTimer() is due next; empty if no timer is set. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /**
-   * \brief Takes a configuration for the calls from now on.
-   * \return False if the one in force is as new or newer: a host never goes
-   * back to an older version.
+   * \brief Sets the configuration for calls submitted from now on.
+   * \return False if the current version is the same or newer: a host never
+   * goes back to an older version.
    */
   bool SetConfig(std::shared_ptr<const RoutingConfig> config);
 
@@ -77,31 +78,33 @@
   void SetTargets(std::span<const TargetEntry> entries, TimePoint now);
 
   /**
-   * \brief Says among how many hosts budgets and connections are shared.
-   * \param hosts Hosts that callers are sent to; at least 1.
-   * \param self This host is one of them; else it has no share of the constant
-   * and one connection a target.
+   * \brief Sets the number of hosts that share budgets and connections.
+   * \param hosts Number of hosts that callers are sent to; at least 1.
+   * \param self Whether this host is one of them. Otherwise it has no share of
+   * the constant part of budgets, and one connection to each target.
    */
   void SetHosts(std::uint32_t hosts, bool self, TimePoint now);
 
-  /*! \brief Takes the names of the hosts that callers are sent to. */
+  /*! \brief Sets the names of the hosts that callers are sent to. */
   void SetHostNames(std::span<const NodeId> hosts) {
     m_targets.SetHosts(m_options.host, hosts);
   }
 
-  /*! \brief Takes another host's word that a request crashes its targets. */
+  /*! \brief Applies the quarantine of a request that another host found to
+   * crash its targets. */
   void QuarantineRequest(Fingerprint fingerprint, TimePoint now);
 
-  /*! \brief Starts a call, or refuses it at once. */
+  /*! \brief Starts a call, or refuses it immediately. */
   void Submit(ForwardCall call, TimePoint now);
 
-  /*! \brief Drops a call whose caller left; all its attempts are cancelled. */
+  /*! \brief Drops a call whose caller disconnected, and cancels all its
+   * attempts. */
   void Abandon(CallId call, TimePoint now);
 
-  /*! \brief Takes the end of an attempt. */
+  /*! \brief Processes the end of an attempt. */
   void OnAttemptEnd(AttemptEnd& end, TimePoint now);
 
-  /*! \brief Acts on whatever is due. */
+  /*! \brief Processes all timers that are due. */
   void OnTimer(TimePoint now);
 
  private:
@@ -120,16 +123,18 @@
   [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(
       PendingCall& pending,
       TimePoint now);
-  //! Shards with a target that takes work; notes the fewest in the story.
+  //! Counts the shards with a target that accepts requests, and records the
+  //! smallest number of such targets in the trace.
   [[nodiscard]] std::size_t CountLiveShards(PendingCall& pending) const;
-  //! Tells whether what time the call has left is known to be too little.
+  //! Returns whether the remaining time of the call is known to be too short.
   [[nodiscard]] bool IsTooLate(const PendingCall& pending, TimePoint now) const;
-  //! Delay by the queue of the chosen target, or by the want of one.
+  //! Returns the delay from the queue of the chosen target, or from waiting for
+  //! capacity if there is none.
   [[nodiscard]] Duration QueueDelay(const PendingCall& pending,
                                     const ServiceId& service,
                                     const TargetChoice& choice,
                                     TimePoint now) const;
-  //! What a first attempt needs, with this share of its target.
+  //! Returns the criteria for the target of a first attempt with this share.
   [[nodiscard]] TargetCriteria CriteriaFor(const PendingCall& pending,
                                            const ServiceId& service,
                                            const TargetShare& share) const;
@@ -151,7 +156,7 @@
                    TrackedTarget& target,
                    bool paid,
                    TimePoint now);
-  //! Tells whether a further shard that is given up leaves no answer.
+  //! Returns whether the call cannot be answered if one more shard is given up.
   [[nodiscard]] static bool NeedsEachShard(const PendingCall& pending);
   [[nodiscard]] Duration UsefulTime(const PendingCall& pending,
                                     AttemptReason reason,
@@ -179,7 +184,7 @@
                       CallPart& part,
                       AttemptEnd& end,
                       TimePoint now);
-  //! Hedges the last shards of a call at once.
+  //! Makes the hedges of the last unanswered shards of a call due immediately.
   static void HedgeLastShards(PendingCall& pending, TimePoint now);
   void CancelAttempt(AttemptId attempt, TimePoint now);
 
@@ -202,16 +207,17 @@
   ForwardPort& m_port;
   Random m_random;
   ForwardCounters m_counters;
-  //! Null until the first configuration; its version only rises.
+  //! Null until the first configuration; its version only increases.
   std::shared_ptr<const RoutingConfig> m_config;
   TargetSet m_targets;
   std::uint32_t m_hosts = 1;
   bool m_has_share = true;
-  //! Since when this host has a share.
+  //! When this host got its share.
   TimePoint m_share_since;
   CrashGuard m_crash_guard;
   std::uint64_t m_next_attempt = 1;
-  //! By route name; they outlive configurations. References stay valid.
+  //! Profiles by route name, kept when the configuration changes. References
+  //! stay valid.
   std::map<std::string, LatencyProfile> m_profiles;
   std::unordered_map<std::string, WeightedRoundRobin> m_round_robins;
   std::unordered_map<ServiceId, AttemptBudget> m_budgets;
@@ -220,7 +226,7 @@
   std::unordered_map<AttemptId, PendingAttempt> m_attempts;
   //! One timer for each element of m_calls.
   TimerQueue<CallId> m_timers;
-  //! When attempts that outlived their calls are cancelled.
+  //! Cancellation times of attempts that outlived their calls.
   TimerQueue<AttemptId> m_stale_attempts;
 };
 
--- a/src/jacinthdeck/forward/forwarder_admission.cc
+++ b/src/jacinthdeck/forward/forwarder_admission.cc
@@ -1,4 +1,5 @@
-// Which calls are taken, and what the others are told.
+// Admission control: which calls are accepted, and what refused callers are
+// told.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -12,36 +13,39 @@
 
 using std::chrono::milliseconds;
 
-//! A host that has just started, or was cut off, mostly knows the
+//! A host that has just started, or was disconnected, usually has the
 //! configuration again within this time.
 constexpr Duration kNoConfigRetryAfter = milliseconds(500);
-//! Targets that restart, or a resharding, mostly take about this long.
+//! Restarting targets or resharding usually takes about this long.
 constexpr Duration kNoTargetRetryAfter = milliseconds(600);
-//! A request that crashes its targets does so again for as long as the guard
-//! remembers it.
+//! A request that crashes its targets does so again, and is refused for as long
+//! as the crash guard remembers it.
 constexpr Duration kCrashRetryAfter = std::chrono::seconds(60);
 //! Bounds of the time after which an overload is expected to be over.
 constexpr Duration kMinRetryAfter = milliseconds(150);
 constexpr Duration kMaxRetryAfter = milliseconds(2000);
-//! Callers refused together must not come back together.
+//! Random part of the retry time, relative to it: callers refused at the same
+//! time must not return at the same time.
 constexpr double kRetryAfterJitter = 1.0;
-//! Longest expected delay of a call, in objectives, by its priority: the
-//! urgent ones may use the queue that others must leave free.
+//! Maximum expected delay of an admitted call in objectives, at priority 0. It
+//! decreases by kDelayLimitStep for each lower priority, so that urgent calls
+//! may use the part of the queue that the others must leave free.
 constexpr double kDelayLimit = 1.0;
 //! The same while at most half of the shards have a queue. The delay is an
-//! estimate from this host's view; a few crowded shards mostly answer sooner,
-//! by a hedge or another target, and a caller that is sent away finds the same
-//! shards when it comes back. Above capacity all shards have one, and the same
-//! patience there would fill the queues with calls that come too late.
+//! estimate from the view of this host: a few overloaded shards usually answer
+//! sooner, through a hedge or another target, and a refused caller finds the
+//! same shards when it returns. Above capacity all shards have a queue, and
+//! this higher limit would fill the queues with calls that are answered too
+//! late.
 constexpr double kLocalDelayLimit = 1.5;
 constexpr double kDelayLimitStep = 0.1;
 constexpr double kMinDelayLimit = 0.5;
-//! Stands for the objective of a route without one.
+//! Objective assumed for a route without one.
 constexpr Duration kDefaultObjective = milliseconds(500);
-//! For an estimate without regard to this host's share of a target.
+//! Share for an estimate that ignores this host's limits at a target.
 constexpr TargetShare kUnboundedShare{.connections = 1000, .hosts = 1};
-//! A target without a place is expected to have one after this many times the
-//! usual latency of what it answers.
+//! Expected time until a target without capacity has capacity again, as a
+//! multiple of the mean latency of what it answers.
 constexpr int kNoCapacityMeans = 16;
 
 [[nodiscard]] std::string_view PathOf(const OpaqueRequest& request) {
@@ -53,12 +57,12 @@
                                             : kDefaultObjective;
 }
 
-//! Tells whether at most half of the shards have a queue.
+//! Returns whether at most half of the shards have a queue.
 [[nodiscard]] bool IsLocalOverload(const CallTrace& trace) {
   return 2 * trace.full_shards <= trace.shards;
 }
 
-//! Longest delay with which a call is worth its work.
+//! Returns the maximum expected delay at which a call is worth its work.
 [[nodiscard]] Duration DelayLimit(const Route& route, const CallTrace& trace) {
   const double base_factor =
       IsLocalOverload(trace) ? kLocalDelayLimit : kDelayLimit;
@@ -179,11 +183,12 @@
   return std::nullopt;
 }
 
-// A guess tells nobody that it is too late, and a measured latency only while
-// it is fresh or attempts of the route are under way, which will correct it.
-// Else the callers of a route that was slow, or is new, would be refused for as
-// long as the process lives: those that are refused measure nothing. Of a route
-// that is slow still one call is tried at a time, so that little work is lost.
+// An assumed latency never refuses a call. A measured latency refuses one only
+// while it is fresh, or while attempts of the route are in flight, which will
+// correct it. Otherwise the callers of a route that was slow, or is new, would
+// be refused for the lifetime of the process, because refused calls measure
+// nothing. On a route that is still slow, one call at a time is admitted, so
+// that little work is lost.
 bool Forwarder::IsTooLate(const PendingCall& pending, TimePoint now) const {
   if (pending.final_at - now >= pending.profile->min_useful_time()) {
     return false;
@@ -194,16 +199,17 @@
          });
 }
 
-// None while a slot is free. Past latencies alone must not count: after a hard
-// time they are high, refusals would keep new ones from being learned, and a
-// tier with idle targets would refuse for ever.
+// The delay is zero while a slot is free. Past latencies alone must not count:
+// after an overload they are high, refusals would prevent new measurements, and
+// the hosts would refuse calls forever although the targets are idle.
 Duration Forwarder::QueueDelay(const PendingCall& pending,
                                const ServiceId& service,
                                const TargetChoice& choice,
                                TimePoint now) const {
   if (choice.target == nullptr) {
-    // Where neither a target nor the route was measured there is no wait to
-    // tell of: the call looks for a place, and is refused if it finds none.
+    // If neither a target nor the route was measured, no wait is known and it
+    // counts as zero: the call waits for capacity, and is refused if it finds
+    // none.
     const LatencyEstimate route_latency = pending.profile->route_latency();
     const Duration known =
         route_latency.is_measured() ? route_latency.mean : Duration::zero();
@@ -237,9 +243,10 @@
     pending.trace.shards_without_capacity += choice.target == nullptr ? 1 : 0;
   }
   if (IsLocalOverload(pending.trace)) {
-    // Calls that overlap at this host hold its share of a shard's targets, and
-    // a place is free within an answer's time: what counts is their queue.
-    // Else calm calls would be refused now and then.
+    // Concurrent calls at this host use up its share of the targets of a shard,
+    // but that capacity is free again within the time of one answer, so only
+    // the queue at the targets counts. Otherwise calls would occasionally be
+    // refused at low load.
     for (std::size_t index = 0; index < delays.size(); ++index) {
       if (delays[index] > Duration::zero()) {
         const ServiceId& service = pending.parts[index].service;
@@ -250,7 +257,7 @@
       }
     }
   }
-  // Shards that the answer can do without do not hold it up.
+  // Shards that the answer can do without do not delay it.
   std::ranges::sort(delays);
   return delays[pending.route->min_shards() - 1];
 }
@@ -265,7 +272,8 @@
     default:
       break;
   }
-  // The queue is gone about when the work that stands in it is done.
+  // The queue has drained about when the work in it is done, which takes the
+  // expected delay.
   const Duration over =
       std::clamp(pending.trace.expected, kMinRetryAfter, kMaxRetryAfter);
   const double spread = 1 + kRetryAfterJitter * m_random.Unit();
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -1,4 +1,4 @@
-// Attempts: sending, and whether there is another one.
+// Sends attempts, and decides whether a part gets another one.
 #include <algorithm>
 #include <utility>
 
@@ -10,24 +10,28 @@
 
 using std::chrono::milliseconds;
 
-//! Attempts of a part beyond those that may run: refusals and connections that
-//! could not be opened leave the next target free to be tried.
+//! Number of attempts that a part may send beyond max_attempts. An attempt that
+//! a target refused, or whose connection could not be opened, was not executed,
+//! so the next target may be tried.
 constexpr std::uint32_t kSpareSends = 3;
-//! A host that is stopping is no longer counted, but still holds its
-//! connections; beyond the limit a target resets them at random.
+//! Number of hosts added when the connections of a target are divided among the
+//! hosts. A host that is stopping is no longer counted but still holds its
+//! connections, and a target resets connections at random beyond its limit.
 constexpr std::uint32_t kUncountedHosts = 1;
-//! Pause before a target is looked for again when none has a place.
+//! Pause before a target is looked for again when none has capacity.
 constexpr Duration kNoCapacityPause = milliseconds(4);
-//! The same for a hedge. Looked for once, most shards that go missing would
-//! have no second attempt although the budget has room.
+//! Minimum pause before a target is looked for again for a hedge. With a single
+//! try, most shards that end up missing would have had no second attempt
+//! although the budget was not exhausted.
 constexpr Duration kHedgeRetryPause = milliseconds(6);
-//! Where work takes long, places come free that much more rarely.
+//! Divisor of the mean latency that gives a longer pause for hedges: where work
+//! takes long, capacity becomes free less often.
 constexpr int kHedgeRetryPauseMeans = 4;
-//! Part of the objective for which a call may look for a place; after that its
-//! caller is better off elsewhere.
+//! Divisor of the objective: for this part of it a call may wait for capacity.
+//! After that, its caller is better served elsewhere.
 constexpr int kCapacityWaitPart = 4;
 
-/*! \brief Time from its arrival for which a call may look for a place. */
+/*! \brief Returns how long after its arrival a call may wait for capacity. */
 [[nodiscard]] Duration CapacityWaitLimit(const internal::PendingCall& pending) {
   Duration limit = pending.partial_at - pending.call.arrived;
   if (pending.route->objective > Duration::zero()) {
@@ -37,11 +41,12 @@
 }
 
 /**
- * \brief Tells whether a target let this very call down a moment ago.
+ * \brief Returns whether the target recently left an attempt of this call
+ * unanswered.
  *
- * A killed target refuses a connection at once. Calls that asked again as fast
- * would spend all their attempts on closed ports, and miss the shard although
- * another target is free soon after.
+ * A killed target refuses connections immediately. Calls that retried it just
+ * as fast would spend all their attempts on closed ports, and miss the shard
+ * although another target is free soon after.
  */
 [[nodiscard]] bool HasFailedThisCall(const internal::CallPart& part,
                                      const TrackedTarget& target,
@@ -60,7 +65,8 @@
   if (reason == AttemptReason::kHedge) {
     return end - now;
   }
-  // A shard that the answer needs is waited for, also beyond the objective.
+  // The call waits for a shard that the answer needs, even beyond the
+  // objective.
   return NeedsEachShard(pending) ? Duration::max() : end - now;
 }
 
@@ -117,8 +123,8 @@
                            CallPart& part,
                            TimePoint now) {
   if (!part.in_flight.empty()) {
-    // The first attempt may still be answered, so the hedge can wait for a
-    // place instead of being given up.
+    // The first attempt may still be answered, so the hedge waits for capacity
+    // instead of being dropped.
     if (MaySendAgain(pending, part, now)) {
       part.hedge_at =
           now + std::max(kHedgeRetryPause,
@@ -193,8 +199,8 @@
                               std::size_t part_index,
                               TimePoint now) {
   CallPart& part = pending.parts[part_index];
-  // A target that answers with a fault of the request's own would do so again
-  // elsewhere.
+  // A status below 500 reports a fault of the request itself, which another
+  // target would report too.
   constexpr int kFirstServerError = 500;
   const bool is_client_error =
       part.response && part.response->status < kFirstServerError;
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -1,4 +1,4 @@
-// Ends of parts and calls, and the answers.
+// Ends parts and calls, and builds the answers.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -12,8 +12,9 @@
 
 using std::chrono::milliseconds;
 
-//! Time that an attempt which lost to another may go on: its connection stays
-//! usable, and a target that wakes from a pause is known to be back.
+//! How long an attempt continues after another one answered its call. If it
+//! ends in this time, its connection stays usable, and a target that resumes
+//! after a pause is known to be back.
 constexpr Duration kSupersededGrace = milliseconds(350);
 
 }  // namespace
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -1,4 +1,4 @@
-// How attempts end, and what is learned of their targets.
+// Processes the ends of attempts, and updates what is known of their targets.
 #include <algorithm>
 
 #include "jacinthdeck/forward/forwarder.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-//! One in so many shards of a call are its last ones.
+//! The last shards of a call are its shards divided by this number.
 constexpr std::size_t kLastShardsDivisor = 10;
 
 }  // namespace
@@ -46,7 +46,8 @@
       target.OnShed(end.id, now);
       break;
     case AttemptOutcome::kWrongTarget:
-      // Its address has a new owner; the registry will say so.
+      // The address belongs to another target now; the registry will report
+      // that.
       target.OnLost(end.id, now);
       target.SetGone();
       break;
@@ -131,10 +132,11 @@
   }
 }
 
-// Over dozens of shards some target always stands still, and an answer that
-// waits for it and then for its hedge is late or lacks the shard. Once nearly
-// all shards are in, the rest are known to be late, and their hedges cost a few
-// attempts a call; hedges sent that early for all shards would cost many.
+// With dozens of shards some target is always paused, and an answer that waits
+// for it and then for its hedge is late or lacks the shard. Once nearly all
+// shards have answered, the others are known to be late, and their hedges cost
+// a few attempts per call; hedges sent that early for all shards would cost
+// many.
 void Forwarder::HedgeLastShards(PendingCall& pending, TimePoint now) {
   const std::size_t last = pending.parts.size() / kLastShardsDivisor;
   if (pending.open_parts == 0 || pending.open_parts > last) {
--- a/src/jacinthdeck/forward/fwd.h
+++ b/src/jacinthdeck/forward/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the forward module: routes of opaque requests and the
-// decisions on each of them.
+// Forward declarations of the forward module, which forwards opaque requests to
+// targets.
 #ifndef JACINTHDECK_FORWARD_FWD_H_
 #define JACINTHDECK_FORWARD_FWD_H_
 
--- a/src/jacinthdeck/forward/in_flight_limit.cc
+++ b/src/jacinthdeck/forward/in_flight_limit.cc
@@ -1,4 +1,4 @@
-// An equal share of a few turns of the target's slots.
+// Each host gets an equal share of a few requests per slot of the target.
 #include "jacinthdeck/forward/in_flight_limit.h"
 
 #include <algorithm>
@@ -7,10 +7,10 @@
 
 namespace {
 
-//! Requests at a target that is full by all hosts' shares, over its slots:
-//! one turn that runs and three that wait.
+//! Requests per slot at a target that is full by the shares of all hosts: one
+//! that is executed and three that wait.
 constexpr std::uint32_t kRequestsPerSlot = 4;
-//! A smaller share leaves targets idle where calls overlap at one host.
+//! A smaller limit leaves targets idle where calls overlap at one host.
 constexpr std::uint32_t kMinInFlight = 2;
 
 }  // namespace
--- a/src/jacinthdeck/forward/in_flight_limit.h
+++ b/src/jacinthdeck/forward/in_flight_limit.h
@@ -1,4 +1,4 @@
-// How many attempts one host may have at a target at once.
+// Limits the attempts that one host may have in flight at a target.
 #ifndef JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
 #define JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
 
@@ -6,28 +6,28 @@
 
 namespace jacinthdeck {
 
-/*! \brief What a host knows of its share of a target. */
+/*! \brief This host's share of a target. */
 struct TargetShare {
-  //! Connections that this host may hold to it.
+  //! Connections to the target that this host may hold.
   std::uint32_t connections = 1;
-  //! Hosts that callers are sent to; at least 1.
+  //! Number of hosts that callers are sent to; at least 1.
   std::uint32_t hosts = 1;
 };
 
 /**
- * \brief Says how many attempts a host may have at a target at once.
+ * \brief Returns how many attempts a host may have in flight at a target.
  *
- * Hosts do not see one another's attempts, so a target that has lost its peers
- * gets the worst calls of all hosts at once. Bounded by connections alone, the
- * last of them waits for many others, comes after its objective, and the work
- * on it is lost. With this bound a full target holds the work of four turns,
- * about half of an objective that is eight times the work, and what does not
- * fit goes to another target or is refused while its caller can still ask
- * elsewhere.
- * \param share This host's share.
- * \param slots Requests that the target works on at once.
- * \return At least 1; at least 2 where connections allow it, since a host with
- * two calls at a time must not lose a target to the first.
+ * Hosts do not see the attempts of one another, so the last available target of
+ * a service gets the load of all hosts at the same time. Limited by connections
+ * alone, the last of these requests waits for many others and is answered after
+ * its objective, and the work on it is wasted. With this limit, a full target
+ * holds four requests per slot, about half of an objective that is eight times
+ * the service time. Requests beyond the limit go to another target, or are
+ * refused while their callers can still ask elsewhere.
+ * \param share This host's share of the target.
+ * \param slots Requests that the target executes at the same time.
+ * \return At least 1. At least 2 where the connections allow it, because a host
+ * with two concurrent calls must not lose a target to the first one.
  */
 [[nodiscard]] std::uint32_t MaxInFlight(const TargetShare& share,
                                         std::uint32_t slots) noexcept;
--- a/src/jacinthdeck/forward/latency_estimate.h
+++ b/src/jacinthdeck/forward/latency_estimate.h
@@ -1,4 +1,4 @@
-// What an answer of a route usually takes, and whether that is known.
+// Mean latency of the answers of a route, and whether it was measured.
 #ifndef JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
 #define JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
 
@@ -8,10 +8,10 @@
 
 namespace jacinthdeck {
 
-/*! \brief Average latency of a route's answers. */
+/*! \brief Mean latency of the answers of a route. */
 struct LatencyEstimate {
   Duration mean{};
-  //! Answers that it was measured on; 0: it is a guess.
+  //! Number of answers that the mean was measured on; 0 if it is assumed.
   std::uint64_t samples = 0;
 
   [[nodiscard]] bool is_measured() const noexcept { return samples > 0; }
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -1,4 +1,5 @@
-// Quantiles are costly to find, so they are renewed once in a while.
+// Quantiles are expensive to compute, so they are updated only once per
+// kQuantileInterval answers.
 #include "jacinthdeck/forward/latency_profile.h"
 
 #include <algorithm>
@@ -10,31 +11,34 @@
 
 using std::chrono::milliseconds;
 
-//! Samples that the average remembers.
+//! Number of answers that the mean remembers.
 constexpr std::uint32_t kMeanMemory = 256;
-//! Answers before the quantiles replace the guess.
+//! Number of answers before measured values replace the assumed ones.
 constexpr std::uint64_t kMinSamples = 32;
-//! Answers between two looks at the quantiles.
+//! Number of answers between two updates of the quantiles.
 constexpr std::uint64_t kQuantileInterval = 32;
-//! Objective of a route that names none.
+//! Objective assumed for a route without one.
 constexpr Duration kAssumedObjective = milliseconds(200);
-//! Part of the objective that work is guessed to take.
+//! Divisor of the objective that gives the assumed mean latency.
 constexpr int kInitialMeanPart = 8;
-//! An attempt above this quantile gets a hedge: one in ten, half of the usual
-//! budget of extra attempts.
+//! An attempt slower than this quantile gets a hedge: one in ten, half of the
+//! usual budget of extra attempts.
 constexpr double kHedgeQuantile = 0.9;
-//! A hedge is never sent before this multiple of the mean, where latencies lie
-//! close together.
+//! Minimum hedge delay as a multiple of the mean, for routes whose latencies
+//! are close together.
 constexpr double kMinHedgeMeans = 1.3;
-//! A hedge that is sent later can seldom answer within the objective.
+//! Maximum hedge delay as a fraction of the objective: a hedge that is sent
+//! later can rarely answer within the objective.
 constexpr double kMaxHedgePart = 0.4;
-//! Silence that work does not explain: this multiple of the hedge delay.
+//! Silence timeout as a multiple of the hedge delay; work does not explain a
+//! longer silence.
 constexpr double kSilenceFactor = 1.5;
 constexpr Duration kMinSilenceTimeout = milliseconds(10);
-//! With less than this part of the mean left nearly all answers come too late.
+//! Minimum useful time as a fraction of the mean: with less time left, nearly
+//! all answers arrive too late.
 constexpr double kMinUsefulPart = 0.5;
-//! Time for which the last answer vouches for the latencies: more than twice
-//! the longest pause of a target that users report.
+//! Time after the last answer during which the measured latency is fresh: more
+//! than twice the longest pause of a target that users report.
 constexpr Duration kFreshnessPeriod = milliseconds(500);
 
 [[nodiscard]] Duration Scaled(Duration duration, double factor) {
--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -1,4 +1,4 @@
-// What answers of a route take, and when an attempt is late.
+// Latency of the answers of a route, and the delays derived from it.
 #ifndef JACINTHDECK_FORWARD_LATENCY_PROFILE_H_
 #define JACINTHDECK_FORWARD_LATENCY_PROFILE_H_
 
@@ -12,48 +12,54 @@
 /**
  * \brief Latencies of single attempts on one route, over all its targets.
  *
- * Routes are kept apart since they ask for different work at the same targets.
+ * Each route has its own profile because routes request different work from the
+ * same targets.
  */
 class LatencyProfile {
  public:
-  /*! \brief Starts from a guess: a fixed part of the route's objective. */
+  /*! \brief Creates a profile whose mean is assumed to be a fixed part of the
+   * objective of the route. */
   explicit LatencyProfile(Duration objective);
 
-  /*! \brief Average latency of an answer; never zero. */
+  /*! \brief Mean latency of an answer; never zero. */
   [[nodiscard]] Duration mean() const noexcept { return m_mean; }
 
-  /*! \brief The mean, and whether it is more than a guess. */
+  /*! \brief Mean latency of an answer, with 0 samples while the mean is
+   * assumed. */
   [[nodiscard]] LatencyEstimate route_latency() const noexcept;
 
-  /*! \brief Time below which an attempt is not worth its work; zero while the
-   * mean is a guess, which must not end a call. */
+  /*! \brief Remaining time below which an attempt is not worth its work. Zero
+   * while the mean is assumed, because an assumption must not end a call. */
   [[nodiscard]] Duration min_useful_time() const noexcept;
 
-  /*! \brief Tells whether the mean was measured, and lately. */
+  /*! \brief Returns whether the mean was measured and an answer arrived
+   * recently. */
   [[nodiscard]] bool IsFresh(TimePoint now) const noexcept;
 
-  /*! \brief Time after which a second attempt is worth its load. */
+  /*! \brief Time without an answer after which a second attempt is worth its
+   * load. */
   [[nodiscard]] Duration hedge_delay() const noexcept { return m_hedge_delay; }
 
-  /*! \brief Time after which a target that answered nothing is held silent. */
+  /*! \brief Time after which a target that has not answered counts as silent.
+   * \brief Time after which a target that has not answered counts as silent. */
   [[nodiscard]] Duration silence_timeout() const noexcept {
     return m_silence_timeout;
   }
 
-  /*! \brief Takes the latency of an answer. */
+  /*! \brief Adds the latency of an answer. */
   void Add(Duration latency, TimePoint now);
 
  private:
   void UpdateDelays();
 
-  //! Zero if the route names none.
+  //! Objective of the route, or an assumed one if the route has none.
   Duration m_objective;
   LatencyHistogram m_histogram;
   DecayingAverage m_average;
   Duration m_mean{};
   Duration m_hedge_delay{};
   Duration m_silence_timeout{};
-  //! Moment of the last answer.
+  //! When the last answer arrived.
   TimePoint m_last_answer;
 };
 
--- a/src/jacinthdeck/forward/load_report.h
+++ b/src/jacinthdeck/forward/load_report.h
@@ -6,12 +6,12 @@
 
 namespace jacinthdeck {
 
-/*! \brief Requests at a target from all callers. */
+/*! \brief Load of a target by the requests of all callers. */
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 1;
-  //! Time that work takes there now, over its usual time.
+  //! Current time that work takes at the target, relative to its usual time.
   double slowdown = 1;
 };
 
--- a/src/jacinthdeck/forward/opaque_request.h
+++ b/src/jacinthdeck/forward/opaque_request.h
@@ -1,4 +1,5 @@
-// A caller's request that is passed on without being understood.
+// A request that is forwarded without being interpreted, and the response to
+// it.
 #ifndef JACINTHDECK_FORWARD_OPAQUE_REQUEST_H_
 #define JACINTHDECK_FORWARD_OPAQUE_REQUEST_H_
 
@@ -8,38 +9,39 @@
 
 namespace jacinthdeck {
 
-/*! \brief A header line; names keep the spelling of their sender. */
+/*! \brief Header field; the name keeps the spelling of the sender. */
 struct Header {
   std::string name;
   std::string value;
 };
 
-/*! \brief What is passed on unchanged. */
+/*! \brief Request that is forwarded unchanged. */
 struct OpaqueRequest {
   std::string method;
-  //! Path and query as they were sent.
+  //! Path and query as the caller sent them.
   std::string target;
-  //! Host header.
+  //! Value of the Host header.
   std::string host;
-  //! End-to-end headers without those that the system sets itself.
+  //! End-to-end headers, without those that the forwarding host sets itself.
   std::vector<Header> headers;
   std::string body;
-  //! The request came with a body, possibly an empty one.
+  //! Whether the request has a body, possibly an empty one.
   bool has_body = false;
-  //! Id of this attempt of the caller; empty if it sent none.
+  //! Id that the caller gave this attempt; empty if it sent none.
   std::string request_id;
 };
 
-/*! \brief A target's response. */
+/*! \brief Response of a target. */
 struct TargetResponse {
   int status = 0;
   std::string reason;
   //! End-to-end headers.
   std::vector<Header> headers;
   std::string body;
-  //! Proof of the target that the response is its own; empty if there is none.
+  //! Proof that the response comes from the target; empty if there is none.
   std::string stamp;
-  //! The body was encoded on the way, so it is not the target's body.
+  //! The body was encoded in transit, so it is not the body that the target
+  //! sent.
   bool encoded = false;
 
   [[nodiscard]] bool succeeded() const noexcept {
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -1,4 +1,4 @@
-// What the forwarder holds of each open call, shard and attempt.
+// State of the open calls of a forwarder, their parts and their attempts.
 #ifndef JACINTHDECK_FORWARD_PENDING_CALL_H_
 #define JACINTHDECK_FORWARD_PENDING_CALL_H_
 
@@ -17,64 +17,68 @@
 
 namespace jacinthdeck::internal {
 
-/*! \brief Where a part of an open call stands. */
+/*! \brief State of a part of a call. */
 enum class PartPhase { kOpen, kAnswered, kGivenUp };
 
-/*! \brief One shard of a fan-out, or the whole of another request. */
+/*! \brief One shard of a fan-out, or the only part of a call for one service.
+ * \brief One shard of a fan-out, or the only part of a call for one service. */
 struct CallPart {
   ServiceId service;
   PartPhase phase = PartPhase::kOpen;
-  //! Why it is given up, or its last failure while it is open.
+  //! Why the part was given up, or its last failure while it is open.
   ForwardReason reason = ForwardReason::kNone;
   std::vector<TargetId> tried;
-  //! Attempts without an end.
+  //! Attempts that have not ended.
   std::vector<AttemptId> in_flight;
-  //! Attempts that a target ran, may have run, or may yet run.
+  //! Attempts that a target executed, may have executed, or may still execute.
   std::uint32_t runs = 0;
-  //! Attempts that reached a target, or may yet: the first one is no extra.
+  //! Attempts that reached a target or may still reach one; all but the first
+  //! are extra attempts.
   std::uint32_t arrivals = 0;
   std::uint32_t sends = 0;
   //! When a hedge is due.
   std::optional<TimePoint> hedge_at;
-  //! When the next attempt is tried again that found no target with room.
+  //! When a target is looked for again after none had capacity.
   std::optional<TimePoint> retry_at;
-  //! The answer once answered, else the last failure that a target sent.
+  //! Response of the target if the part is answered, otherwise the last failure
+  //! that a target returned.
   std::optional<TargetResponse> response;
 };
 
-/*! \brief A call without an answer. */
+/*! \brief A call that has not been answered. */
 struct PendingCall {
   ForwardCall call;
-  //! Pinned for the whole answer; never null.
+  //! Configuration used for the whole call; never null.
   std::shared_ptr<const RoutingConfig> config;
-  //! Lies in config; never null.
+  //! Points into config; never null.
   const Route* route = nullptr;
-  //! Profile of the route; never null, outlives the call.
+  //! Latency profile of the route; never null, outlives the call.
   LatencyProfile* profile = nullptr;
   Fingerprint fingerprint;
   std::vector<CallPart> parts;
   std::size_t answered = 0;
-  //! Connections that were lost while a target had the request.
+  //! Number of connections lost while a target had the request.
   std::size_t lost = 0;
   //! Number of parts in phase kOpen.
   std::size_t open_parts = 0;
-  //! When it gets its final answer at the latest.
+  //! Latest time of the final answer.
   TimePoint final_at;
-  //! When an answer without all shards goes out if enough are in.
+  //! Time from which an answer without all shards is delivered if enough have
+  //! answered.
   TimePoint partial_at;
   CallTrace trace;
 };
 
-/*! \brief An attempt without an end; it may outlive its call. */
+/*! \brief An attempt that has not ended; it may outlive its call. */
 struct PendingAttempt {
   CallId call;
   std::size_t part = 0;
-  //! Never null; targets stay while attempts are in flight.
+  //! Never null; a target is kept while it has attempts in flight.
   TrackedTarget* target = nullptr;
   LatencyProfile* profile = nullptr;
   TimePoint sent;
   AttemptReason reason = AttemptReason::kFirst;
-  //! It was paid from the budget of extra attempts.
+  //! Whether the attempt was spent from the budget of extra attempts.
   bool paid = false;
   Fingerprint fingerprint;
 };
--- a/src/jacinthdeck/forward/route.cc
+++ b/src/jacinthdeck/forward/route.cc
@@ -1,4 +1,4 @@
-// The share that an answer needs, as a count.
+// Computes the number of shards that an answer needs.
 #include "jacinthdeck/forward/route.h"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 namespace jacinthdeck {
 
 std::size_t Route::min_shards() const noexcept {
-  // A share such as 0.9 of 10 must not ask for 10 shards by a rounding error.
+  // A share such as 0.9 of 10 shards must not require 10 shards because of a
+  // rounding error.
   constexpr double kRounding = 1e-9;
   const double wanted =
       std::ceil(min_share * static_cast<double>(shards.size()) - kRounding);
--- a/src/jacinthdeck/forward/route.h
+++ b/src/jacinthdeck/forward/route.h
@@ -1,5 +1,5 @@
-// A route: which requests it takes, which targets serve them, and how they may
-// be repeated.
+// A route: which requests it matches, which services handle them, and how they
+// may be repeated.
 #ifndef JACINTHDECK_FORWARD_ROUTE_H_
 #define JACINTHDECK_FORWARD_ROUTE_H_
 
@@ -13,17 +13,17 @@
 
 namespace jacinthdeck {
 
-/*! \brief Whether a request may run more than once. */
+/*! \brief Whether a request may be executed more than once. */
 enum class RepeatRule { kIdempotent, kAtMostOnce };
 
 //! Names of the rules, for logs.
 inline constexpr NameTable<RepeatRule, 2> kRepeatRuleNames{
     {"idempotent", "at_most_once"}};
 
-/*! \brief A service and its share of a route's requests. */
+/*! \brief A service and its share of the requests of a route. */
 struct WeightedService {
   ServiceId service;
-  //! Relative to the sum over the route; above zero.
+  //! Relative to the sum of the weights of the route; above zero.
   double weight = 1;
 
   [[nodiscard]] bool operator==(const WeightedService&) const = default;
@@ -34,30 +34,31 @@
   std::string name;
   //! Compared with the Host header without its port.
   std::string host;
-  //! Begins and ends with a slash.
+  //! Path prefix; begins and ends with a slash.
   std::string prefix;
   RepeatRule repeat = RepeatRule::kAtMostOnce;
-  //! Longest time that a caller is kept waiting; zero sets no bound.
+  //! Maximum time that a caller is kept waiting; zero for no limit.
   Duration timeout{};
   //! Time within which an answer is of full use to its caller; zero if unknown.
   Duration objective{};
-  //! 0 is the most urgent.
+  //! Priority of the calls; 0 is the most urgent.
   std::uint32_t priority = 0;
-  //! Most targets that one request, or one shard of it, may run on.
+  //! Maximum number of targets that may execute one request, or one shard of
+  //! it.
   std::uint32_t max_attempts = 1;
-  //! Alternatives among which whole requests are split; empty for a fan-out.
+  //! Services among which whole requests are split; empty for a fan-out.
   std::vector<WeightedService> services;
-  //! Services that all get the request, one target each; empty unless the route
-  //! fans out.
+  //! Services that all get the request, at one target each; empty unless the
+  //! route fans out.
   std::vector<ServiceId> shards;
-  //! Fan-out only: records in a merged answer.
+  //! Fan-out only: maximum number of records in a merged answer.
   std::uint32_t top_records = 0;
-  //! Fan-out only: least share of the shards that makes an answer.
+  //! Fan-out only: minimum share of the shards for an answer.
   double min_share = 1;
 
   [[nodiscard]] bool fans_out() const noexcept { return !shards.empty(); }
 
-  /*! \brief Least number of shards that makes an answer. */
+  /*! \brief Minimum number of shards for an answer. */
   [[nodiscard]] std::size_t min_shards() const noexcept;
 };
 
--- a/src/jacinthdeck/forward/routing_config.cc
+++ b/src/jacinthdeck/forward/routing_config.cc
@@ -1,4 +1,4 @@
-// Looks routes up by host and longest prefix.
+// Looks up routes by host and longest prefix.
 #include "jacinthdeck/forward/routing_config.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/forward/routing_config.h
+++ b/src/jacinthdeck/forward/routing_config.h
@@ -1,4 +1,4 @@
-// One version of the operators' configuration: routes, services, limits.
+// One version of the operators' configuration: routes, services and limits.
 #ifndef JACINTHDECK_FORWARD_ROUTING_CONFIG_H_
 #define JACINTHDECK_FORWARD_ROUTING_CONFIG_H_
 
@@ -14,33 +14,34 @@
 
 namespace jacinthdeck {
 
-/*! \brief What callers may send, and how long they may take. */
+/*! \brief Limits on the requests and connections of callers. */
 struct CallerLimits {
   std::uint32_t header_bytes = 16384;
   std::uint64_t body_bytes = 1048576;
-  //! From the first byte of a request to the end of its header.
+  //! Maximum time from the first byte of a request to the end of its header.
   Duration header_timeout = std::chrono::seconds(10);
-  //! Without a request under way.
+  //! Maximum time of a connection without a request.
   Duration idle_timeout = std::chrono::seconds(60);
 
   [[nodiscard]] bool operator==(const CallerLimits&) const = default;
 };
 
-/*! \brief What the configuration says of a service. */
+/*! \brief Configuration of a service. */
 struct ServiceConfig {
   ServiceId id;
-  //! Connections that each of its targets accepts from all callers together.
+  //! Connections that each target of the service accepts from all callers
+  //! together.
   std::uint32_t target_connections = 1;
-  //! Requests a second that each of its targets bears from all callers together
-  //! while it is cold; 0: no bound.
+  //! Requests a second that each target of the service can handle from all
+  //! callers together while it is cold; 0 for no limit.
   double cold_rate = 0;
 };
 
 /**
- * \brief An immutable configuration version.
+ * \brief Immutable configuration version.
  *
- * Calls keep the version that they began with, so that all shards of an answer
- * come from one version.
+ * Calls keep the version that they started with, so that all shards of an
+ * answer come from one version.
  */
 class RoutingConfig {
  public:
@@ -58,36 +59,36 @@
   }
 
   /**
-   * \brief Finds the route with the longest prefix.
-   * \param host Host header; a port after it is ignored.
+   * \brief Finds the matching route with the longest prefix.
+   * \param host Host header; a port in it is ignored.
    * \param path Path without its query.
    * \return Null if no route of that host matches.
    */
   [[nodiscard]] const Route* Find(std::string_view host,
                                   std::string_view path) const;
 
-  /*! \brief Fewest connections that a target of any service that a route
-   * names accepts; 0 if there is none. */
+  /*! \brief Smallest number of connections that a target of any configured
+   * service accepts; 0 if there is no service. */
   [[nodiscard]] std::uint32_t MinTargetConnections() const noexcept {
     return m_min_target_connections;
   }
 
-  /*! \brief Connections that a target of a service accepts in all; 1 for an
-   * unknown one. */
+  /*! \brief Connections that a target of a service accepts in total; 1 for an
+   * unknown service. */
   [[nodiscard]] std::uint32_t TargetConnections(const ServiceId& service) const;
 
-  /*! \brief Requests a second that a cold target of a service bears; 0: no
-   * bound. */
+  /*! \brief Requests a second that a cold target of a service can handle; 0 for
+   * no limit. */
   [[nodiscard]] double ColdRate(const ServiceId& service) const;
 
  private:
   std::uint64_t m_version;
-  //! Never changed after the constructor; pointers into it are handed out.
+  //! Not changed after construction; pointers into it are handed out.
   std::vector<Route> m_routes;
   //! Routes of each host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> m_by_host;
   std::unordered_map<ServiceId, std::uint32_t> m_target_connections;
-  //! Of services with a bound alone.
+  //! Only services with a limit.
   std::unordered_map<ServiceId, double> m_cold_rates;
   std::uint32_t m_min_target_connections = 0;
   CallerLimits m_limits;
--- a/src/jacinthdeck/forward/target_entry.h
+++ b/src/jacinthdeck/forward/target_entry.h
@@ -1,4 +1,4 @@
-// What the registry of targets says of one target.
+// Entry of a target in the registry.
 #ifndef JACINTHDECK_FORWARD_TARGET_ENTRY_H_
 #define JACINTHDECK_FORWARD_TARGET_ENTRY_H_
 
@@ -10,26 +10,27 @@
 
 namespace jacinthdeck {
 
-/*! \brief One registered target. */
+/*! \brief Registered target. */
 struct TargetEntry {
-  //! Names one life of the target at its address.
+  //! Identifies one process of the target at its address.
   TargetId id;
   ServiceId service;
-  //! IP number.
+  //! IP address.
   std::string address;
   std::uint16_t port = 0;
   FailureDomain domain;
-  //! Requests it works on at once.
+  //! Requests that the target executes at the same time.
   std::uint32_t slots = 1;
-  //! It finishes what it has and gets nothing new.
+  //! The target finishes its current requests and gets no new ones.
   bool draining = false;
-  //! Nothing may be sent to the targets of its failure domain.
+  //! The failure domain of the target is evacuated: nothing may be sent to it.
   bool evacuated = false;
-  //! Until then it is slow, and its service may bound its requests.
+  //! Until then the target is slow, and its service may limit the rate of
+  //! requests to it.
   TimePoint cold_until;
-  //! Start of this life in Unix milliseconds; 0 where the entry does not say.
-  //! A target may come back under its id: a later start is a new life, of which
-  //! nothing learned before holds.
+  //! Start of the process in Unix milliseconds; 0 if the entry does not contain
+  //! it. A target may restart under the same id: a later start is a new
+  //! process, and nothing learned of the previous one applies to it.
   std::uint64_t started_ms = 0;
 
   [[nodiscard]] bool TakesWork() const noexcept {
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -1,4 +1,5 @@
-// Scores every target of the service; services have a few to a few dozen.
+// Scores every target of the service; a service has a few to a few dozen
+// targets.
 #include "jacinthdeck/forward/target_set.h"
 
 #include <algorithm>
@@ -10,31 +11,33 @@
 
 namespace {
 
-//! Extra delay that a target outside the host's failure domain is charged, in
-//! parts of the mean: it costs a longer way and traffic between domains.
+//! Cost of a target outside the failure domain of this host, in mean latencies:
+//! its answers take longer and cause traffic between domains.
 constexpr double kOtherDomainCost = 1.5;
-//! The same compared with a target of the own domain that is expected to answer
-//! in good time: an answer that is sooner yet is worth nothing to its caller.
+//! The same, compared with a target in the own domain that is expected to
+//! answer fast enough: an even earlier answer has no value for the caller.
 constexpr double kUnneededOtherDomainCost = 3.0;
-//! Part of the objective within which a target answers in good time. The rest
-//! is for the slowest shard and for a hedge.
+//! Divisor of the objective: a target that answers within this part of it is
+//! fast enough. The rest is left for the slowest shard and for a hedge.
 constexpr int kFastEnoughPart = 2;
 //! Random part of a score: hosts with the same view must not all send to the
 //! same target.
 constexpr double kJitter = 0.1;
-//! Added to the score, in means: such a target is taken only if no other is
-//! left.
+//! Cost of an unresponsive target, in mean latencies: it is chosen only if no
+//! other target is left.
 constexpr double kUnresponsiveCost = 1000;
-//! As above, for a target that had the request before.
+//! Cost of a target that was already sent the request, in mean latencies.
 constexpr double kTriedCost = 10000;
-//! A hedge needs a free slot: an extra request that waits in a queue delays
-//! others and helps nobody.
+//! Maximum occupancy of the target of a hedge. A hedge needs a free slot: an
+//! extra request that waits in a queue delays others and does not help its own
+//! call.
 constexpr double kMaxHedgeOccupancy = 1.0;
 
-//! A hedge is worth its load at a target whose expected delay is up to so many
-//! times the time that is left. The expectation remembers the last pause for
-//! some answers, and most answers come much sooner; held to it, a hedge would
-//! find no target where each of the others paused a moment ago.
+//! A hedge is worth its load at a target whose expected delay is at most this
+//! multiple of the remaining time. The expected delay remembers the last pause
+//! for some answers, and most answers arrive much sooner; without this
+//! tolerance, a hedge would find no target when each of the others paused a
+//! moment ago.
 constexpr int kHedgeDelayTolerance = 2;
 
 [[nodiscard]] bool Contains(std::span<const TargetId> ids, const TargetId& id) {
@@ -54,7 +57,7 @@
          target.Occupancy(now) < kMaxHedgeOccupancy;
 }
 
-//! Tells whether this host may have one more attempt at the target.
+//! Returns whether this host may have one more attempt in flight at the target.
 [[nodiscard]] bool HasCapacity(const TrackedTarget& target,
                                const TargetCriteria& criteria) {
   const std::size_t counted =
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -1,4 +1,4 @@
-// All known targets, and the choice of one for an attempt.
+// Known targets, and the choice of one for an attempt.
 #ifndef JACINTHDECK_FORWARD_TARGET_SET_H_
 #define JACINTHDECK_FORWARD_TARGET_SET_H_
 
@@ -20,93 +20,96 @@
 
 namespace jacinthdeck {
 
-/*! \brief What an attempt needs of its target. */
+/*! \brief What an attempt requires of its target. */
 struct TargetCriteria {
   ServiceId service;
   //! Latency of the route.
   LatencyEstimate route_latency;
-  //! Targets that had this request before.
+  //! Targets that were already sent this request.
   std::span<const TargetId> tried;
   AttemptReason reason = AttemptReason::kFirst;
   TargetShare share;
-  //! The call cannot be answered without this attempt. It counts only its like
-  //! against the host's share of a target, so that searches, which can do
-  //! without a shard, leave it places there. Else a call for one service alone
-  //! would find the share taken by searches, and be refused. The connections
-  //! bound both together.
+  //! The call cannot be answered without this attempt. Only attempts of this
+  //! kind then count against this host's share of a target, so that searches
+  //! that can do without a shard leave capacity at it. Otherwise a call for one
+  //! service would find the share used up by searches and be refused. The
+  //! connection limit applies to both kinds together.
   bool required = true;
-  //! Time in which an answer is of use. A target that is expected to take
-  //! longer gets no hedge, and one attempt of this host at a time: enough to
-  //! learn when it is fast again. Hedges so keep away from targets that shed.
+  //! Time within which an answer is useful. A target that is expected to take
+  //! longer gets no hedge, and only one attempt of this host at a time, which
+  //! is enough to detect that it is fast again. This also keeps hedges away
+  //! from targets that shed requests.
   Duration useful_time = Duration::max();
-  //! Requests a second that a cold target of the service bears from all hosts;
-  //! 0: no bound.
+  //! Requests a second that a cold target of the service can handle from all
+  //! hosts; 0 for no limit.
   double cold_rate = 0;
-  //! Of the route; zero: none.
+  //! Objective of the route; zero if it has none.
   Duration objective{};
 };
 
-/*! \brief A chosen target. */
+/*! \brief Chosen target. */
 struct TargetChoice {
   //! Null if no target may get the attempt.
   TrackedTarget* target = nullptr;
-  //! Estimate for the attempt; has a meaning if there is a target.
+  //! Expected delay of the attempt; valid if there is a target.
   Duration expected{};
 };
 
 /**
- * \brief Holds the targets by service and picks the one that is expected to
+ * \brief Holds the targets by service and chooses the one that is expected to
  * answer first.
  *
- * States stay while attempts are in flight, also once a target is gone.
+ * A target that was removed from the registry is kept while it has attempts in
+ * flight.
  */
 class TargetSet {
  public:
   /**
-   * \brief Makes an empty set.
+   * \brief Creates an empty set.
    * \param domain Failure domain of this host; targets in it are preferred as
-   * long as they are about as fast.
+   * long as they are about as fast as others.
    */
   TargetSet(FailureDomain domain, std::uint64_t seed);
 
-  /*! \brief Number of targets of a service that take work. */
+  /*! \brief Number of targets of a service that accept requests. */
   [[nodiscard]] std::size_t CountLive(const ServiceId& service) const;
 
   /*! \brief Finds a target by its id; null if it is unknown. */
   [[nodiscard]] TrackedTarget* Find(const TargetId& id);
 
-  /*! \brief Number of targets that take work, over all services. */
+  /*! \brief Number of targets of all services that accept requests. */
   [[nodiscard]] std::size_t size() const noexcept { return m_available; }
 
   /**
    * \brief Chooses a target.
-   * \return No target if none takes work, has room, or suits the reason: a
-   * hedge only goes where a slot is likely free.
+   * \return No target if none accepts requests, has capacity, and suits the
+   * reason: a hedge is sent only where a slot is likely free.
    */
   [[nodiscard]] TargetChoice Pick(const TargetCriteria& criteria,
                                   TimePoint now);
 
   /**
-   * \brief Usual latency of the requests that a service's targets answer.
-   * \param other Stands in while none of them has answered.
+   * \brief Mean latency of the requests that the targets of a service answer.
+   * \param other Returned if no target has a measured latency yet.
    */
   [[nodiscard]] Duration MeanServedLatency(const ServiceId& service,
                                            Duration other) const;
 
-  /*! \brief Takes the hosts that share what cold targets bear. */
+  /*! \brief Sets the hosts that share the request rate of cold targets. */
   void SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
     m_cold_limiter.SetHosts(self, hosts);
   }
 
   /**
    * \brief Replaces the known targets.
-   * \param entries All targets of all services; of equal ids the last counts.
+   * \param entries All targets of all services; of entries with equal ids the
+   * last one counts.
    */
   void Replace(std::span<const TargetEntry> entries, TimePoint now);
 
  private:
-  //! Tells whether the target is warm, or this host's share of what it bears
-  //! while it is cold allows one more request.
+  //! Returns whether the target is not cold, or this host's share of its
+  //! request rate allows one more request.
   [[nodiscard]] bool IsWithinColdLimit(const TrackedTarget& target,
                                        const TargetCriteria& criteria,
                                        TimePoint now) const;
@@ -119,7 +122,7 @@
   ColdTargetLimiter m_cold_limiter;
   Random m_random;
   std::unordered_map<TargetId, std::unique_ptr<TrackedTarget>> m_targets;
-  //! Targets that are not gone.
+  //! Targets in the registry.
   std::unordered_map<ServiceId, std::vector<TrackedTarget*>> m_by_service;
   std::size_t m_available = 0;
 };
--- a/src/jacinthdeck/forward/top_records.cc
+++ b/src/jacinthdeck/forward/top_records.cc
@@ -1,4 +1,5 @@
-// A partial sort over views: no record is copied before the result.
+// Partial sort over views, so that no record is copied before the result is
+// built.
 #include "jacinthdeck/forward/top_records.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/forward/top_records.h
+++ b/src/jacinthdeck/forward/top_records.h
@@ -1,4 +1,4 @@
-// Merges the records of several shards into the greatest ones.
+// Merges the records of several shards and keeps the greatest ones.
 #ifndef JACINTHDECK_FORWARD_TOP_RECORDS_H_
 #define JACINTHDECK_FORWARD_TOP_RECORDS_H_
 
@@ -9,15 +9,15 @@
 
 namespace jacinthdeck {
 
-//! Length of a record in bytes; a shorter rest of a part is no record.
+//! Length of a record in bytes; a shorter remainder of a part is ignored.
 inline constexpr std::size_t kRecordBytes = 16;
 
 /**
  * \brief Finds the greatest records of all parts.
- * \param parts Bodies of the shards, records in any order.
- * \param count Most records to return.
- * \return The records, greatest first, compared byte by byte; equal ones all
- * count.
+ * \param parts Response bodies of the shards, with records in any order.
+ * \param count Maximum number of records to return.
+ * \return The records, greatest first, compared byte by byte; equal records are
+ * all kept.
  */
 [[nodiscard]] std::string TopRecords(std::span<const std::string_view> parts,
                                      std::size_t count);
--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -1,4 +1,4 @@
-// Learns from the ends of attempts.
+// Updates load, latency and failures from the ends of attempts.
 #include "jacinthdeck/forward/tracked_target.h"
 
 #include <algorithm>
@@ -12,31 +12,32 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! Answers that the slowness remembers: a target that turns slow is found
-//! within a few answers, and a single slow one does not condemn it.
+//! Number of answers that the slowness remembers: a target that becomes slow is
+//! detected within a few answers, and a single slow answer is not enough.
 constexpr std::uint32_t kSlownessMemory = 8;
-//! Answers over which the requests that a target gets are averaged: enough that
-//! its kinds of request are all among them.
+//! Number of answers over which the latency of the served requests is averaged:
+//! enough to include all kinds of requests that the target gets.
 constexpr std::uint32_t kServedLatencyMemory = 64;
-//! Bounds of one sample of slowness, so that one pause is not taken for a slow
-//! machine.
+//! Bounds of one sample of slowness, so that a single pause does not make a
+//! target count as a slow machine.
 constexpr double kMaxSlowness = 8;
 constexpr double kMinSlowness = 0.3;
-//! Weight of one more failure in the rate.
+//! Weight of one more failure in the failure rate.
 constexpr double kFailureWeight = 0.2;
-//! A shed says "full", which passes sooner than a fault.
+//! Weight of a shed request in the failure rate: it means that the target is
+//! full, which passes sooner than a fault.
 constexpr double kShedWeight = 0.1;
-//! Time in which the failure rate halves: a target that is left alone for its
+//! Half-life of the failure rate: a target that is avoided because of its
 //! failures must be tried again.
 constexpr double kFailureHalfLifeMicroseconds = 2e6;
-//! How much a failure rate of 1 adds to the expected delay, in service times.
+//! Delay that a failure rate of 1 adds to the expected delay, in service times.
 constexpr double kFailurePenalty = 12;
-//! A reported load is worth nothing after this time.
+//! Age at which a load report no longer counts.
 constexpr Duration kLoadReportLifetime = milliseconds(400);
 //! Part of a service time that each busy slot is expected to cost: a slot that
-//! was free at the last report may be taken on arrival.
+//! was free in the last report may be busy when the request arrives.
 constexpr double kBusyCost = 0.25;
-//! Pause after an attempt that was never answered, doubled each time.
+//! Backoff after an attempt that was never answered, doubled each time.
 constexpr Duration kInitialBackoff = milliseconds(100);
 constexpr Duration kMaxBackoff = seconds(2);
 constexpr std::uint32_t kMaxDoublings = 5;
@@ -61,7 +62,7 @@
   if (now < m_unresponsive_until || IsSilent(now)) {
     return true;
   }
-  // One request at a time finds out whether it is back.
+  // One request at a time tests whether the target is back.
   return m_unanswered_in_row > 0 && !m_in_flight.empty();
 }
 
--- a/src/jacinthdeck/forward/tracked_target.h
+++ b/src/jacinthdeck/forward/tracked_target.h
@@ -1,4 +1,4 @@
-// What this host has learned of one target.
+// Load, latency and failures of one target as observed by this host.
 #ifndef JACINTHDECK_FORWARD_TRACKED_TARGET_H_
 #define JACINTHDECK_FORWARD_TRACKED_TARGET_H_
 
@@ -16,10 +16,11 @@
 namespace jacinthdeck {
 
 /**
- * \brief Load, speed and trouble of a target, from own attempts only.
+ * \brief Tracks load, latency and failures of a target from this host's own
+ * attempts.
  *
- * Health checks are not asked: they lag, lie, and take a slot. What counts is
- * how the target's own work ends.
+ * Health checks are not used: they lag, can be wrong, and occupy a slot of the
+ * target. What counts is how attempts at the target end.
  */
 class TrackedTarget {
  public:
@@ -30,22 +31,23 @@
   [[nodiscard]] std::size_t in_flight() const noexcept {
     return m_in_flight.size();
   }
-  /*! \brief When an attempt was sent to it last. */
+  /*! \brief When the last attempt was sent to the target. */
   [[nodiscard]] TimePoint last_sent() const noexcept { return m_last_sent; }
-  /*! \brief Those whose calls cannot do without them. */
+  /*! \brief Number of attempts in flight whose calls cannot be answered without
+   * them. */
   [[nodiscard]] std::size_t required_in_flight() const noexcept;
 
-  /*! \brief Tells whether it may get new work at all. */
+  /*! \brief Returns whether the target may get new requests. */
   [[nodiscard]] bool TakesWork() const noexcept {
     return !m_gone && m_entry.TakesWork();
   }
 
-  /*! \brief Tells whether it has answered nothing for longer than its work
-   * explains, or has lately left attempts unanswered. */
+  /*! \brief Returns whether the target has not answered for longer than its
+   * work explains, or has recently left attempts unanswered. */
   [[nodiscard]] bool IsUnresponsive(TimePoint now) const noexcept;
 
-  /*! \brief Usual latency of the requests that it answers, of whichever
-   * route; zero while none of a measured route was answered. */
+  /*! \brief Mean latency of the routes whose requests the target answers. Zero
+   * until it has answered a request of a route with a measured latency. */
   [[nodiscard]] Duration mean_served_latency() const noexcept {
     return Duration(static_cast<Duration::rep>(m_served_latency.value()));
   }
@@ -53,35 +55,40 @@
   /**
    * \brief Estimates how long a request sent now would take.
    *
-   * Its own work is reckoned in its route's latency, the queue before it in
-   * what the target usually answers, if that is less. Reckoned in its own, a
-   * queue of short searches would look long to a route of which nothing was
-   * measured; its calls would be refused, and a route that is refused is never
-   * measured. Where the queue's work is the longer, the route's own stands for
-   * it: usual latencies have a wait in them already, and short calls would be
-   * refused for it.
-   * \param route_latency Latency of its route; a guess counts for no more than
-   * what the target usually takes. \param now Present time.
+   * The work of the request is estimated by the latency of its route, and each
+   * request queued before it by the mean latency of what the target answers, if
+   * that is lower. With the latency of its route for both, a queue of short
+   * requests would look long to a route without measurements: its calls would
+   * be refused, and a route whose calls are refused is never measured. If the
+   * queued work is longer, the latency of the route stands for it, because mean
+   * latencies already include waiting, and short calls would be refused because
+   * of it.
+   * \param route_latency Latency of the route; an assumed one counts for no
+   * more than the mean latency of what the target answers.
+   * \param now Present time.
    */
   [[nodiscard]] Duration ExpectedDelay(const LatencyEstimate& route_latency,
                                        TimePoint now) const;
 
-  /*! \brief Estimates the requests at it from all callers, over its slots. */
+  /*! \brief Estimates the number of requests at the target from all callers,
+   * divided by its slots. */
   [[nodiscard]] double Occupancy(TimePoint now) const noexcept;
 
-  /*! \brief Share of its recent attempts that failed, faded by time. */
+  /*! \brief Share of recent attempts that failed; it decays over time. */
   [[nodiscard]] double FailureRate(TimePoint now) const noexcept;
 
-  /*! \brief Takes a newer entry; a later life forgets what was learned. */
+  /*! \brief Sets a newer registry entry; if the target restarted, the latencies
+   * and failures learned so far are discarded. */
   void SetEntry(const TargetEntry& entry, TimePoint now);
 
-  /*! \brief Marks it as gone from the registry. */
+  /*! \brief Marks the target as removed from the registry. */
   void SetGone() noexcept { m_gone = true; }
 
   /**
-   * \brief Counts an attempt that is being sent.
-   * \param silence_timeout Time after which silence is not explained by its
-   * work. \param required Its call cannot be answered without it.
+   * \brief Records an attempt that is being sent.
+   * \param silence_timeout Time after which silence is not explained by the
+   * work of the attempt.
+   * \param required Whether the call cannot be answered without this attempt.
    */
   void OnSend(AttemptId attempt,
               Duration silence_timeout,
@@ -89,8 +96,8 @@
               TimePoint now);
 
   /**
-   * \brief Takes an answer.
-   * \param latency From sending to the answer.
+   * \brief Records an answer.
+   * \param latency Time from sending to the answer.
    * \param route_latency Latency of the route.
    */
   void OnAnswer(AttemptId attempt,
@@ -98,20 +105,20 @@
                 const LatencyEstimate& route_latency,
                 TimePoint now);
 
-  /*! \brief Takes a failure that proves that it is alive. */
+  /*! \brief Records a failure that shows that the target is alive. */
   void OnFailure(AttemptId attempt, TimePoint now);
 
-  /*! \brief Takes a refusal to run a request. */
+  /*! \brief Records that the target refused to execute a request. */
   void OnShed(AttemptId attempt, TimePoint now);
 
-  /*! \brief Takes the end of an attempt by a lost or refused connection. */
+  /*! \brief Records an attempt that ended with a lost or refused connection. */
   void OnLost(AttemptId attempt, TimePoint now);
 
-  /*! \brief Forgets an attempt that was cancelled; one that was late counts
-   * against it. */
+  /*! \brief Removes a cancelled attempt; if it exceeded its silence timeout, it
+   * counts against the target. */
   void OnCancel(AttemptId attempt, TimePoint now);
 
-  /*! \brief Takes a reported load. */
+  /*! \brief Records a load report. */
   void OnLoad(const LoadReport& report, TimePoint now);
 
  private:
@@ -122,7 +129,7 @@
     bool required = true;
   };
 
-  //! Takes an attempt off the list; nothing if it is not there.
+  //! Removes an attempt from the list; returns nothing if it is not in it.
   std::optional<InFlight> RemoveInFlight(AttemptId attempt);
   [[nodiscard]] bool IsSilent(TimePoint now) const noexcept;
   void MarkResponsive(TimePoint now) noexcept;
@@ -131,23 +138,24 @@
 
   TargetEntry m_entry;
   bool m_gone = false;
-  //! Oldest first.
+  //! Attempts in flight, oldest first.
   std::vector<InFlight> m_in_flight;
   TimePoint m_last_sent;
-  //! Last sign of life.
+  //! When the target last replied.
   TimePoint m_last_reply;
-  //! Latency over the mean of its route.
+  //! Latency of answers relative to the mean of their routes.
   DecayingAverage m_slowness;
-  //! Mean of the route of each answer, in microseconds; measured ones alone.
+  //! Mean latency of the route of each answer in microseconds; only routes with
+  //! a measured latency count.
   DecayingAverage m_served_latency;
-  //! Failures less their fading, as of m_failed_at.
+  //! Failure rate at m_failed_at; it decays from then on.
   double m_failure_rate = 0;
   TimePoint m_failed_at;
   std::uint32_t m_unanswered_in_row = 0;
   TimePoint m_unresponsive_until;
   LoadReport m_load;
   TimePoint m_load_at;
-  //! Own attempts that the report counts too.
+  //! Attempts of this host that the load report includes.
   std::size_t m_own_in_report = 0;
 };
 
--- a/src/jacinthdeck/forward/weighted_round_robin.cc
+++ b/src/jacinthdeck/forward/weighted_round_robin.cc
@@ -1,4 +1,5 @@
-// Each service earns its weight a request; the richest one pays the sum.
+// Each request adds its weight to the credit of every service; the service with
+// the most credit is chosen and pays the sum of the weights.
 #include "jacinthdeck/forward/weighted_round_robin.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/forward/weighted_round_robin.h
+++ b/src/jacinthdeck/forward/weighted_round_robin.h
@@ -1,4 +1,4 @@
-// Splits whole requests among the services of a route.
+// Distributes whole requests among the services of a route by weight.
 #ifndef JACINTHDECK_FORWARD_WEIGHTED_ROUND_ROBIN_H_
 #define JACINTHDECK_FORWARD_WEIGHTED_ROUND_ROBIN_H_
 
@@ -14,20 +14,20 @@
  * \brief Smooth weighted round robin: after any number of requests each service
  * is less than one request away from its share.
  *
- * A random draw would leave a service of few requests far from its weight, and
- * a caller of a canary would see that.
+ * A random choice would leave a service with few requests far from its weight,
+ * and a caller of a canary would notice that.
  */
 class WeightedRoundRobin {
  public:
   /**
-   * \brief Picks the next service.
-   * \param services At least one; the same on each call between two resets.
+   * \brief Chooses the next service.
+   * \param services At least one; the same in each call on this object.
    * \return Index into the services.
    */
   [[nodiscard]] std::size_t Next(std::span<const WeightedService> services);
 
  private:
-  //! What each service is owed; sums to zero.
+  //! Credit of each service; the sum is zero.
   std::vector<double> m_credit;
 };
 
