--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -26,7 +26,7 @@
                              TimePoint now) {
   const bool bounded = knowledge.config() != nullptr &&
                        knowledge.config()->ColdRate(entry.service) > 0;
-  return !entry.TakesWork() || (bounded && entry.IsCold(now));
+  return !entry.AcceptsRequests() || (bounded && entry.IsCold(now));
 }
 
 //! The registry's targets in the terms of typed calls.
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -118,8 +118,8 @@
               ForwardReason reason,
               std::optional<Duration> retry_after,
               const CallTrace& trace);
-  [[nodiscard]] bool Prepare(PendingCall& pending);
-  void SetTimes(PendingCall& pending) const;
+  [[nodiscard]] bool PrepareCall(PendingCall& pending);
+  void SetDeadlines(PendingCall& pending) const;
   [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(
       PendingCall& pending,
       TimePoint now);
--- a/src/jacinthdeck/forward/forwarder_admission.cc
+++ b/src/jacinthdeck/forward/forwarder_admission.cc
@@ -46,7 +46,7 @@
 constexpr TargetShare kUnboundedShare{.connections = 1000, .hosts = 1};
 //! Expected time until a target without capacity has capacity again, as a
 //! multiple of the mean latency of what it answers.
-constexpr int kNoCapacityMeans = 16;
+constexpr int kNoCapacityMeanFactor = 16;
 
 [[nodiscard]] std::string_view PathOf(const OpaqueRequest& request) {
   return std::string_view(request.target).substr(0, request.target.find('?'));
@@ -78,7 +78,7 @@
   ++m_counters.calls;
   PendingCall pending;
   pending.call = std::move(call);
-  if (!Prepare(pending)) {
+  if (!PrepareCall(pending)) {
     return;
   }
   if (const auto reason = ReasonToRefuse(pending, now)) {
@@ -95,7 +95,7 @@
   FinishIfDone(placed, now);
 }
 
-bool Forwarder::Prepare(PendingCall& pending) {
+bool Forwarder::PrepareCall(PendingCall& pending) {
   pending.trace.config = m_config;
   if (m_config == nullptr) {
     Refuse(pending.call, AnswerKind::kNotRun, ForwardReason::kNoConfig,
@@ -128,11 +128,11 @@
   }
   pending.open_parts = pending.parts.size();
   pending.trace.shards = static_cast<std::uint32_t>(pending.parts.size());
-  SetTimes(pending);
+  SetDeadlines(pending);
   return true;
 }
 
-void Forwarder::SetTimes(PendingCall& pending) const {
+void Forwarder::SetDeadlines(PendingCall& pending) const {
   TimePoint end = pending.call.deadline;
   if (pending.route->timeout > Duration::zero()) {
     end = std::min(end, pending.call.arrived + pending.route->timeout);
@@ -213,7 +213,7 @@
     const LatencyEstimate route_latency = pending.profile->route_latency();
     const Duration known =
         route_latency.is_measured() ? route_latency.mean : Duration::zero();
-    return m_targets.MeanServedLatency(service, known) * kNoCapacityMeans;
+    return m_targets.MeanServedLatency(service, known) * kNoCapacityMeanFactor;
   }
   return choice.target->Occupancy(now) < 1 ? Duration::zero() : choice.expected;
 }
@@ -274,11 +274,11 @@
   }
   // The queue has drained about when the work in it is done, which takes the
   // expected delay.
-  const Duration over =
+  const Duration drain_time =
       std::clamp(pending.trace.expected, kMinRetryAfter, kMaxRetryAfter);
-  const double spread = 1 + kRetryAfterJitter * m_random.Unit();
-  return Duration(
-      static_cast<Duration::rep>(static_cast<double>(over.count()) * spread));
+  const double jitter = 1 + kRetryAfterJitter * m_random.Unit();
+  return Duration(static_cast<Duration::rep>(
+      static_cast<double>(drain_time.count()) * jitter));
 }
 
 void Forwarder::Refuse(const ForwardCall& call,
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -13,7 +13,7 @@
 //! Number of attempts that a part may send beyond max_attempts. An attempt that
 //! a target refused, or whose connection could not be opened, was not executed,
 //! so the next target may be tried.
-constexpr std::uint32_t kSpareSends = 3;
+constexpr std::uint32_t kMaxUnexecutedAttempts = 3;
 //! Number of hosts added when the connections of a target are divided among the
 //! hosts. A host that is stopping is no longer counted but still holds its
 //! connections, and a target resets connections at random beyond its limit.
@@ -26,10 +26,10 @@
 constexpr Duration kHedgeRetryPause = milliseconds(6);
 //! Divisor of the mean latency that gives a longer pause for hedges: where work
 //! takes long, capacity becomes free less often.
-constexpr int kHedgeRetryPauseMeans = 4;
+constexpr int kHedgeRetryMeanDivisor = 4;
 //! Divisor of the objective: for this part of it a call may wait for capacity.
 //! After that, its caller is better served elsewhere.
-constexpr int kCapacityWaitPart = 4;
+constexpr int kCapacityWaitDivisor = 4;
 
 /*! \brief Returns how long after its arrival a call may wait for capacity. */
 [[nodiscard]] Duration CapacityWaitLimit(const internal::PendingCall& pending) {
@@ -37,7 +37,7 @@
   if (pending.route->objective > Duration::zero()) {
     limit = std::min(limit, pending.route->objective);
   }
-  return limit / kCapacityWaitPart;
+  return limit / kCapacityWaitDivisor;
 }
 
 /**
@@ -71,8 +71,8 @@
 }
 
 bool Forwarder::NeedsEachShard(const PendingCall& pending) {
-  const std::size_t hopeful = pending.answered + pending.open_parts;
-  return hopeful <= pending.route->min_shards();
+  const std::size_t possible = pending.answered + pending.open_parts;
+  return possible <= pending.route->min_shards();
 }
 
 TargetShare Forwarder::ShareOf(const PendingCall& pending,
@@ -94,7 +94,7 @@
                                AttemptReason reason,
                                TimePoint now) {
   CallPart& part = pending.parts[part_index];
-  const bool extra = part.arrivals > 0;
+  const bool extra = part.reached > 0;
   AttemptBudget& budget = BudgetOf(part.service);
   if (extra && !budget.CanSpend(now)) {
     ++m_counters.budget_refusals;
@@ -128,7 +128,7 @@
     if (MaySendAgain(pending, part, now)) {
       part.hedge_at =
           now + std::max(kHedgeRetryPause,
-                         pending.profile->mean() / kHedgeRetryPauseMeans);
+                         pending.profile->mean() / kHedgeRetryMeanDivisor);
     }
     return;
   }
@@ -159,8 +159,8 @@
   part.tried.push_back(target.entry().id);
   part.in_flight.push_back(id);
   ++part.runs;
-  ++part.arrivals;
-  ++part.sends;
+  ++part.reached;
+  ++part.sent;
   ++m_counters.attempts[static_cast<std::size_t>(reason)];
   if (target.entry().domain != m_options.domain) {
     ++m_counters.attempts_other_domains[static_cast<std::size_t>(reason)];
@@ -190,7 +190,7 @@
       pending.lost > 0 && pending.answered == 0 &&
       m_crash_guard.IsSuspect(pending.fingerprint, now);
   return may_repeat && part.runs < pending.route->max_attempts &&
-         part.sends < pending.route->max_attempts + kSpareSends &&
+         part.sent < pending.route->max_attempts + kMaxUnexecutedAttempts &&
          now + pending.profile->min_useful_time() < pending.final_at &&
          !endangers_targets;
 }
@@ -207,8 +207,7 @@
   if (!is_client_error && MaySendAgain(pending, part, now)) {
     TrySendAttempt(
         pending, part_index,
-        part.arrivals == 0 ? AttemptReason::kFirst : AttemptReason::kRetry,
-        now);
+        part.reached == 0 ? AttemptReason::kFirst : AttemptReason::kRetry, now);
     return;
   }
   if (part.in_flight.empty()) {
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -15,7 +15,7 @@
 //! How long an attempt continues after another one answered its call. If it
 //! ends in this time, its connection stays usable, and a target that resumes
 //! after a pause is known to be back.
-constexpr Duration kSupersededGrace = milliseconds(350);
+constexpr Duration kRemainingAttemptGrace = milliseconds(350);
 
 }  // namespace
 
@@ -31,10 +31,10 @@
 
 void Forwarder::FinishIfDone(PendingCall& pending, TimePoint now) {
   const std::size_t reachable = pending.answered + pending.open_parts;
-  const bool hopeless = reachable < pending.route->min_shards();
+  const bool cannot_succeed = reachable < pending.route->min_shards();
   const bool partial = now >= pending.partial_at &&
                        pending.answered >= pending.route->min_shards();
-  if (pending.open_parts == 0 || hopeless || partial) {
+  if (pending.open_parts == 0 || cannot_succeed || partial) {
     Finish(pending, now);
     return;
   }
@@ -140,7 +140,7 @@
   const CallId id = pending.call.id;
   for (const CallPart& part : pending.parts) {
     for (const AttemptId attempt : part.in_flight) {
-      m_stale_attempts.Set(attempt, now + kSupersededGrace);
+      m_stale_attempts.Set(attempt, now + kRemainingAttemptGrace);
     }
   }
   m_timers.Remove(id);
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -49,7 +49,7 @@
       // The address belongs to another target now; the registry will report
       // that.
       target.OnLost(end.id, now);
-      target.SetGone();
+      target.MarkRemoved();
       break;
     case AttemptOutcome::kNotSent:
     case AttemptOutcome::kBroken:
@@ -89,7 +89,7 @@
       HandleResponse(pending, part, end, now);
       break;
     case AttemptOutcome::kNotSent:
-      --part.arrivals;
+      --part.reached;
       --part.runs;
       if (attempt.paid) {
         BudgetOf(part.service).Refund(now);
@@ -146,7 +146,7 @@
       std::max(now, pending.call.arrived + pending.profile->mean());
   for (CallPart& part : pending.parts) {
     const bool is_unhedged = part.phase == internal::PartPhase::kOpen &&
-                             part.arrivals == 1 && part.hedge_at.has_value();
+                             part.reached == 1 && part.hedge_at.has_value();
     if (is_unhedged) {
       part.hedge_at = std::min(*part.hedge_at, from);
     }
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -20,23 +20,23 @@
 //! Objective assumed for a route without one.
 constexpr Duration kAssumedObjective = milliseconds(200);
 //! Divisor of the objective that gives the assumed mean latency.
-constexpr int kInitialMeanPart = 8;
+constexpr int kInitialMeanDivisor = 8;
 //! An attempt slower than this quantile gets a hedge: one in ten, half of the
 //! usual budget of extra attempts.
 constexpr double kHedgeQuantile = 0.9;
 //! Minimum hedge delay as a multiple of the mean, for routes whose latencies
 //! are close together.
-constexpr double kMinHedgeMeans = 1.3;
+constexpr double kMinHedgeMeanFactor = 1.3;
 //! Maximum hedge delay as a fraction of the objective: a hedge that is sent
 //! later can rarely answer within the objective.
-constexpr double kMaxHedgePart = 0.4;
+constexpr double kMaxHedgeObjectiveFraction = 0.4;
 //! Silence timeout as a multiple of the hedge delay; work does not explain a
 //! longer silence.
 constexpr double kSilenceFactor = 1.5;
 constexpr Duration kMinSilenceTimeout = milliseconds(10);
 //! Minimum useful time as a fraction of the mean: with less time left, nearly
 //! all answers arrive too late.
-constexpr double kMinUsefulPart = 0.5;
+constexpr double kMinUsefulMeanFraction = 0.5;
 //! Time after the last answer during which the measured latency is fresh: more
 //! than twice the longest pause of a target that users report.
 constexpr Duration kFreshnessPeriod = milliseconds(500);
@@ -51,8 +51,8 @@
 LatencyProfile::LatencyProfile(Duration objective)
     : m_objective(objective > Duration::zero() ? objective : kAssumedObjective),
       m_average(kMeanMemory),
-      m_mean(m_objective / kInitialMeanPart),
-      m_hedge_delay(Scaled(m_objective, kMaxHedgePart)),
+      m_mean(m_objective / kInitialMeanDivisor),
+      m_hedge_delay(Scaled(m_objective, kMaxHedgeObjectiveFraction)),
       m_silence_timeout(Scaled(m_hedge_delay, kSilenceFactor)) {}
 
 LatencyEstimate LatencyProfile::route_latency() const noexcept {
@@ -61,7 +61,7 @@
 }
 
 Duration LatencyProfile::min_useful_time() const noexcept {
-  return route_latency().is_measured() ? Scaled(m_mean, kMinUsefulPart)
+  return route_latency().is_measured() ? Scaled(m_mean, kMinUsefulMeanFraction)
                                        : Duration::zero();
 }
 
@@ -83,8 +83,8 @@
 void LatencyProfile::UpdateDelays() {
   m_mean = std::max(Duration(static_cast<Duration::rep>(m_average.value())),
                     Duration(1));
-  const Duration least = Scaled(m_mean, kMinHedgeMeans);
-  const Duration latest = Scaled(m_objective, kMaxHedgePart);
+  const Duration least = Scaled(m_mean, kMinHedgeMeanFactor);
+  const Duration latest = Scaled(m_objective, kMaxHedgeObjectiveFraction);
   const Duration quantile = m_histogram.Quantile(kHedgeQuantile);
   m_hedge_delay = std::max(std::min(quantile, latest), std::min(least, latest));
   m_silence_timeout =
--- a/src/jacinthdeck/forward/target_entry.h
+++ b/src/jacinthdeck/forward/target_entry.h
@@ -33,7 +33,7 @@
   //! process, and nothing learned of the previous one applies to it.
   std::uint64_t started_ms = 0;
 
-  [[nodiscard]] bool TakesWork() const noexcept {
+  [[nodiscard]] bool AcceptsRequests() const noexcept {
     return !draining && !evacuated;
   }
   [[nodiscard]] bool IsCold(TimePoint now) const noexcept {
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -19,7 +19,7 @@
 constexpr double kUnneededOtherDomainCost = 3.0;
 //! Divisor of the objective: a target that answers within this part of it is
 //! fast enough. The rest is left for the slowest shard and for a hedge.
-constexpr int kFastEnoughPart = 2;
+constexpr int kFastEnoughDivisor = 2;
 //! Random part of a score: hosts with the same view must not all send to the
 //! same target.
 constexpr double kJitter = 0.1;
@@ -46,7 +46,7 @@
 
 [[nodiscard]] bool IsFastEnough(Duration expected,
                                 const TargetCriteria& criteria) {
-  return expected * kFastEnoughPart <= criteria.objective;
+  return expected * kFastEnoughDivisor <= criteria.objective;
 }
 
 [[nodiscard]] bool SuitsHedge(const TrackedTarget& target,
@@ -77,7 +77,7 @@
     return 0;
   }
   return static_cast<std::size_t>(
-      std::ranges::count_if(found->second, &TrackedTarget::TakesWork));
+      std::ranges::count_if(found->second, &TrackedTarget::AcceptsRequests));
 }
 
 TrackedTarget* TargetSet::Find(const TargetId& id) {
@@ -93,7 +93,7 @@
   TargetChoice best;
   double best_score = std::numeric_limits<double>::max();
   for (TrackedTarget* target : found->second) {
-    if (!target->TakesWork() || !HasCapacity(*target, criteria) ||
+    if (!target->AcceptsRequests() || !HasCapacity(*target, criteria) ||
         !IsWithinColdLimit(*target, criteria, now)) {
       continue;
     }
@@ -127,7 +127,7 @@
     return other;
   }
   for (const TrackedTarget* target : found->second) {
-    if (target->TakesWork() &&
+    if (target->AcceptsRequests() &&
         target->mean_served_latency() > Duration::zero()) {
       sum += target->mean_served_latency();
       ++measured;
@@ -154,11 +154,11 @@
   });
   for (auto& [id, target] : m_targets) {
     if (!named.contains(id)) {
-      target->SetGone();
+      target->MarkRemoved();
       continue;
     }
     m_by_service[target->entry().service].push_back(target.get());
-    m_available += target->TakesWork() ? 1 : 0;
+    m_available += target->AcceptsRequests() ? 1 : 0;
   }
 }
 
--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/tracked_target.cc
@@ -74,10 +74,10 @@
   const double queued_mean = std::min(mean, served_mean);
   const double own = route_latency.is_measured() ? mean : queued_mean;
   const double slowness = m_slowness.samples() > 0 ? m_slowness.value() : 1;
-  const double busy = Occupancy(now);
+  const double occupancy = Occupancy(now);
   const double slots = std::max<double>(m_entry.slots, 1);
-  const double wait = std::max(busy - 1 + 1 / slots, 0.0);
-  const double work = slowness * (1 + kBusyCost * std::min(busy, 1.0)) +
+  const double wait = std::max(occupancy - 1 + 1 / slots, 0.0);
+  const double work = slowness * (1 + kBusyCost * std::min(occupancy, 1.0)) +
                       kFailurePenalty * FailureRate(now);
   return Duration(
       static_cast<Duration::rep>(own * work + queued_mean * slowness * wait));
@@ -85,12 +85,13 @@
 
 double TrackedTarget::Occupancy(TimePoint now) const noexcept {
   const auto age = static_cast<double>((now - m_load_at).count());
-  const double fresh =
+  const double report_weight =
       std::max(1 - age / static_cast<double>(kLoadReportLifetime.count()), 0.0);
   const double reported = m_load.running + m_load.waiting;
   const double others =
       std::max(reported - static_cast<double>(m_own_in_report), 0.0);
-  const double total = static_cast<double>(m_in_flight.size()) + fresh * others;
+  const double total =
+      static_cast<double>(m_in_flight.size()) + report_weight * others;
   return total / std::max<double>(m_entry.slots, 1);
 }
 
@@ -104,7 +105,7 @@
                          entry.address != m_entry.address ||
                          entry.port != m_entry.port;
   m_entry = entry;
-  m_gone = false;
+  m_removed = false;
   if (!restarted) {
     return;
   }
--- a/src/jacinthdeck/forward/tracked_target.h
+++ b/src/jacinthdeck/forward/tracked_target.h
@@ -27,7 +27,7 @@
   explicit TrackedTarget(TargetEntry entry, TimePoint now);
 
   [[nodiscard]] const TargetEntry& entry() const noexcept { return m_entry; }
-  [[nodiscard]] bool gone() const noexcept { return m_gone; }
+  [[nodiscard]] bool is_removed() const noexcept { return m_removed; }
   [[nodiscard]] std::size_t in_flight() const noexcept {
     return m_in_flight.size();
   }
@@ -38,8 +38,8 @@
   [[nodiscard]] std::size_t required_in_flight() const noexcept;
 
   /*! \brief Returns whether the target may get new requests. */
-  [[nodiscard]] bool TakesWork() const noexcept {
-    return !m_gone && m_entry.TakesWork();
+  [[nodiscard]] bool AcceptsRequests() const noexcept {
+    return !m_removed && m_entry.AcceptsRequests();
   }
 
   /*! \brief Returns whether the target has not answered for longer than its
@@ -82,7 +82,7 @@
   void SetEntry(const TargetEntry& entry, TimePoint now);
 
   /*! \brief Marks the target as removed from the registry. */
-  void SetGone() noexcept { m_gone = true; }
+  void MarkRemoved() noexcept { m_removed = true; }
 
   /**
    * \brief Records an attempt that is being sent.
@@ -137,7 +137,7 @@
   void MarkUnresponsive(TimePoint now);
 
   TargetEntry m_entry;
-  bool m_gone = false;
+  bool m_removed = false;
   //! Attempts in flight, oldest first.
   std::vector<InFlight> m_in_flight;
   TimePoint m_last_sent;
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -56,7 +56,7 @@
   [[nodiscard]] std::size_t InUse() const {
     const std::vector<TargetEntry> all = knowledge.Targets();
     return static_cast<std::size_t>(
-        std::ranges::count_if(all, &TargetEntry::TakesWork));
+        std::ranges::count_if(all, &TargetEntry::AcceptsRequests));
   }
 
   [[nodiscard]] std::size_t targets() const { return knowledge.target_count(); }
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -308,7 +308,7 @@
   set.Replace(rest, now);
   TrackedTarget* const gone = set.Find(TargetId("t0"));
   BOOST_REQUIRE(gone != nullptr);
-  BOOST_TEST(!gone->TakesWork());
+  BOOST_TEST(!gone->AcceptsRequests());
   gone->OnAnswer(id, milliseconds(20), criteria.route_latency, now);
   set.Replace(rest, now);
   BOOST_TEST((set.Find(TargetId("t0")) == nullptr));
