--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -94,7 +94,7 @@
                                AttemptReason reason,
                                TimePoint now) {
   CallPart& part = pending.parts[part_index];
-  const bool extra = part.reached > 0;
+  const bool extra = part.attempts_reached > 0;
   AttemptBudget& budget = BudgetOf(part.service);
   if (extra && !budget.CanSpend(now)) {
     ++m_counters.budget_refusals;
@@ -159,8 +159,8 @@
   part.tried.push_back(target.entry().id);
   part.in_flight.push_back(id);
   ++part.runs;
-  ++part.reached;
-  ++part.sent;
+  ++part.attempts_reached;
+  ++part.attempts_sent;
   ++m_counters.attempts[static_cast<std::size_t>(reason)];
   if (target.entry().domain != m_options.domain) {
     ++m_counters.attempts_other_domains[static_cast<std::size_t>(reason)];
@@ -190,7 +190,8 @@
       pending.lost > 0 && pending.answered == 0 &&
       m_crash_guard.IsSuspect(pending.fingerprint, now);
   return may_repeat && part.runs < pending.route->max_attempts &&
-         part.sent < pending.route->max_attempts + kMaxUnexecutedAttempts &&
+         part.attempts_sent <
+             pending.route->max_attempts + kMaxUnexecutedAttempts &&
          now + pending.profile->min_useful_time() < pending.final_at &&
          !endangers_targets;
 }
@@ -205,9 +206,10 @@
   const bool is_client_error =
       part.response && part.response->status < kFirstServerError;
   if (!is_client_error && MaySendAgain(pending, part, now)) {
-    TrySendAttempt(
-        pending, part_index,
-        part.reached == 0 ? AttemptReason::kFirst : AttemptReason::kRetry, now);
+    TrySendAttempt(pending, part_index,
+                   part.attempts_reached == 0 ? AttemptReason::kFirst
+                                              : AttemptReason::kRetry,
+                   now);
     return;
   }
   if (part.in_flight.empty()) {
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -89,7 +89,7 @@
       HandleResponse(pending, part, end, now);
       break;
     case AttemptOutcome::kNotSent:
-      --part.reached;
+      --part.attempts_reached;
       --part.runs;
       if (attempt.paid) {
         BudgetOf(part.service).Refund(now);
@@ -146,7 +146,8 @@
       std::max(now, pending.call.arrived + pending.profile->mean());
   for (CallPart& part : pending.parts) {
     const bool is_unhedged = part.phase == internal::PartPhase::kOpen &&
-                             part.reached == 1 && part.hedge_at.has_value();
+                             part.attempts_reached == 1 &&
+                             part.hedge_at.has_value();
     if (is_unhedged) {
       part.hedge_at = std::min(*part.hedge_at, from);
     }
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -34,8 +34,8 @@
   std::uint32_t runs = 0;
   //! Attempts that reached a target or may still reach one; all but the first
   //! are extra attempts.
-  std::uint32_t reached = 0;
-  std::uint32_t sent = 0;
+  std::uint32_t attempts_reached = 0;
+  std::uint32_t attempts_sent = 0;
   //! When a hedge is due.
   std::optional<TimePoint> hedge_at;
   //! When a target is looked for again after none had capacity.
