--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -118,6 +118,8 @@
               ForwardReason reason,
               std::optional<Duration> retry_after,
               const CallTrace& trace);
+  //! Finds the route and the parts of a call; refuses the call and returns
+  //! false if there is no configuration or no route.
   [[nodiscard]] bool PrepareCall(PendingCall& pending);
   void SetDeadlines(PendingCall& pending) const;
   [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(
@@ -146,6 +148,7 @@
   [[nodiscard]] AttemptBudget& BudgetOf(const ServiceId& service);
 
   // Attempts, in forwarder_attempts.cc.
+  //! Chooses a target and sends an attempt, if budget and targets allow it.
   void TrySendAttempt(PendingCall& pending,
                       std::size_t part,
                       AttemptReason reason,
@@ -168,6 +171,7 @@
   [[nodiscard]] bool MaySendAgain(const PendingCall& pending,
                                   const CallPart& part,
                                   TimePoint now) const;
+  //! Looks for a target again later, or gives the part up.
   void OnNoTarget(PendingCall& pending, CallPart& part, TimePoint now);
   void RetryOrGiveUp(PendingCall& pending, std::size_t part, TimePoint now);
 
@@ -190,6 +194,7 @@
 
   // Ends of calls, in forwarder_finish.cc.
   void GiveUp(PendingCall& pending, CallPart& part, ForwardReason reason);
+  //! Answers the call if it can be answered now or never; else sets its timer.
   void FinishIfDone(PendingCall& pending, TimePoint now);
   void Finish(PendingCall& pending, TimePoint now);
   [[nodiscard]] ForwardAnswer MakeAnswer(PendingCall& pending, TimePoint now);
@@ -197,6 +202,7 @@
   [[nodiscard]] ForwardAnswer MakeFailureAnswer(PendingCall& pending,
                                                 TimePoint now);
   void RemoveCall(PendingCall& pending, TimePoint now);
+  //! Reports a call that lost connections and got no answer to the crash guard.
   void RecordLostCall(const PendingCall& pending, TimePoint now);
 
   // Timers, in forwarder.cc.
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -12,9 +12,9 @@
 
 using std::chrono::milliseconds;
 
-//! How long an attempt continues after another one answered its call. If it
-//! ends in this time, its connection stays usable, and a target that resumes
-//! after a pause is known to be back.
+//! How long the remaining attempts of an answered call may continue. The
+//! connection of one that ends in this time stays usable, and a target that
+//! resumes after a pause is known to be back.
 constexpr Duration kRemainingAttemptGrace = milliseconds(350);
 
 }  // namespace
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-//! The last shards of a call are its shards divided by this number.
+//! One in this many shards of a call is hedged early when it is among the last
+//! to answer.
 constexpr std::size_t kLastShardsDivisor = 10;
 
 }  // namespace
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-//! Number of answers that the mean remembers.
+//! Memory of the decaying mean, in answers.
 constexpr std::uint32_t kMeanMemory = 256;
 //! Number of answers before measured values replace the assumed ones.
 constexpr std::uint64_t kMinSamples = 32;
