--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -30,9 +30,9 @@
   AttemptReason reason = AttemptReason::kFirst;
   TargetShare share;
   //! The call cannot be answered without this attempt. Only attempts of this
-  //! kind then count against this host's share of a target, so that searches
+  //! kind then count against this host's share of a target, so that fan-outs
   //! that can do without a shard leave capacity at it. Otherwise a call for one
-  //! service would find the share used up by searches and be refused. The
+  //! service would find the share used up by fan-outs and be refused. The
   //! connection limit applies to both kinds together.
   bool required = true;
   //! Time within which an answer is useful. A target that is expected to take
--- a/test/jacinthdeck/forward/attempt_budget_test.cc
+++ b/test/jacinthdeck/forward/attempt_budget_test.cc
@@ -1,4 +1,4 @@
-// Tests of the shared budget of extra attempts.
+// Tests of the budget of extra attempts.
 #include "jacinthdeck/forward/attempt_budget.h"
 
 #include <boost/test/unit_test.hpp>
@@ -23,7 +23,8 @@
   bool extra = false;
 };
 
-//! Most extra attempts above the ratio in any window that ends at a moment.
+//! Maximum number of extra attempts above the ratio in any window that ends at
+//! an event.
 [[nodiscard]] double MaxExcess(const std::vector<Event>& events) {
   double worst = 0;
   std::deque<Event> window;
@@ -45,9 +46,9 @@
 
 BOOST_AUTO_TEST_SUITE(AttemptBudgetTest)
 
-// Six hosts spend all they are granted, with traffic that swells and ebbs, and
-// do not hear of each other. In no sliding window may the sum of their extra
-// attempts pass ratio and constant: the targets see the sum only.
+// Guards against a sum of extra attempts above ratio and constant in any
+// sliding window, since targets see only the sum. Six hosts spend all that
+// their budgets allow, under changing load and without communication.
 BOOST_AUTO_TEST_CASE(
     AttemptBudget_SixHostsSpendAll_SumStaysWithinBudgetInEveryWindow) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -73,8 +74,8 @@
   }
 }
 
-// A host that is killed and started again may have spent its share just before;
-// the new life must not spend the same share in the same window.
+// Guards against a restarted host that spends the same share twice in one
+// window: the previous process may have spent it just before.
 BOOST_AUTO_TEST_CASE(AttemptBudget_ProcessRestarted_ConstantStartsAtZero) {
   const TimePoint start(seconds(100));
   AttemptBudget budget({kRatio, kConstant, kWindow});
--- a/test/jacinthdeck/forward/cold_target_limiter_test.cc
+++ b/test/jacinthdeck/forward/cold_target_limiter_test.cc
@@ -1,4 +1,4 @@
-// Tests of the share of hosts that do not ask one another.
+// Tests of the request rate that several hosts send to a cold target.
 #include "jacinthdeck/forward/cold_target_limiter.h"
 
 #include <algorithm>
@@ -16,7 +16,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! Hosts that each want to send to one target every few milliseconds.
+//! Simulates hosts that each have a request for one target every few
+//! milliseconds.
 struct HostSimulation {
   struct Host {
     NodeId name;
@@ -30,7 +31,7 @@
   Random random;
   std::vector<Host> hosts;
   TimePoint now{seconds(100)};
-  //! Of the last second.
+  //! Arrivals at the target in the last second.
   std::deque<TimePoint> arrivals;
   std::size_t max_per_second = 0;
   std::size_t total_sent = 0;
@@ -49,7 +50,7 @@
     hosts.push_back({NodeId("h" + std::to_string(hosts.size())), {}, {}, true});
   }
 
-  //! Gives a host the list of those that live.
+  //! Gives a host the list of the hosts that are alive.
   void SendHostList(Host& host) const {
     std::vector<NodeId> names;
     for (const Host& other : hosts) {
@@ -84,7 +85,8 @@
   }
 };
 
-//! What a target bears in one second, of a bound.
+//! Maximum number of requests that a target can handle in one second, for a
+//! bound.
 [[nodiscard]] double MaxPerSecond(double bound) {
   constexpr double kOvershoot = 1.5;
   constexpr double kSlack = 5;
@@ -95,7 +97,7 @@
 
 BOOST_AUTO_TEST_SUITE(ColdTargetLimiterTest)
 
-// Guards against a sum over many hosts that crashes a cold target.
+// Guards against a sum of requests from many hosts that crashes a cold target.
 BOOST_AUTO_TEST_CASE(ColdRate_AnyNumberOfHosts_SumStaysNearBound) {
   for (const std::size_t count : {1, 6, 70, 300}) {
     for (const double bound : {0.5, 3.0, 20.0, 90.0}) {
@@ -111,9 +113,9 @@
   }
 }
 
-// Guards against hosts that know different lists and all believe that they are
-// appointed: some are killed, others join, and each hears of it at its own
-// time.
+// Guards against hosts with different host lists that all consider themselves
+// selected: hosts are killed, others join, and each host learns of it at a
+// different time.
 BOOST_AUTO_TEST_CASE(ColdRate_HostListsDiffer_SumStaysWithinBound) {
   for (const std::size_t count : {6, 70, 300}) {
     for (const double bound : {3.0, 20.0, 90.0}) {
--- a/test/jacinthdeck/forward/crash_guard_test.cc
+++ b/test/jacinthdeck/forward/crash_guard_test.cc
@@ -1,4 +1,4 @@
-// Tests of the guard against requests that crash their targets.
+// Tests of the quarantine of requests that crash their targets.
 #include "jacinthdeck/forward/crash_guard.h"
 
 #include <boost/test/unit_test.hpp>
@@ -35,10 +35,10 @@
   BOOST_TEST(!guard.IsQuarantined(request, clock.Now()));
 }
 
-// All callers of a popular request are refused for a minute.
-// Targets answer it all the time; then some of them lose answers for a second,
-// and two calls in a row get none. It was taken for one that crashes targets,
-// and the other hosts were told so.
+// Guards against a quarantine of a popular request, whose callers would all be
+// refused for a minute. Targets answer it all the time; then some of them lose
+// answers for a second, and two calls in a row get none. It was taken for a
+// request that crashes targets, and the other hosts were told so.
 BOOST_AUTO_TEST_CASE(Request_AnsweredRecently_IsNotQuarantined) {
   guard.OnAnswered(request, clock.Now());
   clock.Advance(std::chrono::seconds(5));
--- a/test/jacinthdeck/forward/forwarder_fan_out_test.cc
+++ b/test/jacinthdeck/forward/forwarder_fan_out_test.cc
@@ -1,4 +1,4 @@
-// Tests of calls over many shards: coverage, time and snapshots.
+// Tests of fan-out calls: coverage, timing and configuration versions.
 #include "jacinthdeck/forward/forwarder.h"
 
 #include "jacinthdeck/forward/forwarder_fixture.h"
@@ -27,9 +27,9 @@
   BOOST_TEST(OnlyAnswer().answer.missing_parts == 0U);
 }
 
-// One shard's target hangs and its hedge too. Before the objective passes the
-// answer goes out without it, since the share of the rest is enough, and says
-// that one shard is missing.
+// Guards against an answer after the objective. The target of one shard hangs,
+// and its hedge too. The other shards are enough, so the answer is delivered
+// before the objective passes and counts one shard as missing.
 BOOST_AUTO_TEST_CASE(FanOut_OneShardHangs_PartialAnswerWithinObjective) {
   const TimePoint start = clock.Now();
   (void)Submit("/fan/1");
@@ -43,8 +43,10 @@
   BOOST_TEST((clock.Now() - start <= kObjective));
 }
 
-// Two of four shards are silent: half is too little for an answer, so it goes
-// out as soon as one more is in, also late.
+// Guards against a call that fails although its answer is only late. Two of
+// four shards are silent, and half of the shards is too little for an answer,
+// so it is delivered as soon as one more shard answers, even after the
+// objective.
 BOOST_AUTO_TEST_CASE(FanOut_TooFewShardsByObjective_AnswersWithNextShard) {
   (void)Submit("/fan/1");
   Answer(port.sent[0]);
@@ -55,8 +57,9 @@
   BOOST_TEST(OnlyAnswer().answer.missing_parts == 1U);
 }
 
-// All targets of two shards are gone. The rest cannot make an answer, so the
-// call is refused before any target works on it.
+// Guards against work on a call that cannot be answered. All targets of two
+// shards are gone and the others are too few for an answer, so the call is
+// refused before any target works on it.
 BOOST_AUTO_TEST_CASE(FanOut_TooManyShardsWithoutTargets_RefusedBeforeSending) {
   std::erase_if(targets, [](const TargetEntry& target) {
     return target.service == ServiceId("shard-0") ||
@@ -82,8 +85,9 @@
   BOOST_TEST(OnlyAnswer().answer.missing_parts == 1U);
 }
 
-// The index is cut into other shards while a query is under way. Its parts all
-// come from the version that it began with; the next query uses the new one.
+// Guards against an answer that mixes configuration versions. The shards change
+// during a call: all its parts come from the version with which it started, and
+// the next call uses the new one.
 BOOST_AUTO_TEST_CASE(FanOut_ConfigChangesDuringCall_PartsUseOneVersion) {
   (void)Submit("/fan/1");
   std::vector<Route> routes = Routes();
@@ -98,7 +102,8 @@
   BOOST_TEST(port.sent.back().target.service == ServiceId("plain"));
 }
 
-// A shard's failure is no part, though it bears the target's stamp.
+// Guards against a merged answer with a failed response in it, although the
+// response has the stamp of the target.
 BOOST_AUTO_TEST_CASE(FanOut_ShardFailsTwice_IsNotMerged) {
   (void)Submit("/fan/1");
   Fail(port.sent[0], 500);
@@ -110,9 +115,10 @@
   BOOST_TEST(OnlyAnswer().answer.part_stamps.size() == kShards - 1);
 }
 
-// Many targets lose their connections at once, for a cause of their own. Quick
-// losses come in before the first answer; they must not be taken for the
-// request's fault and end it, since other targets of the shards answer.
+// Guards against quarantining a request for connections that are lost for other
+// reasons. Many targets lose their connections at the same time, before the
+// first answer; the call must continue, since other targets of the shards
+// answer.
 BOOST_AUTO_TEST_CASE(FanOut_ConnectionsLostBeforeAnswers_OtherTargetsAreTried) {
   (void)Submit("/fan/1");
   const std::vector<OutgoingAttempt> first(port.sent);
@@ -128,8 +134,8 @@
   BOOST_TEST(port.quarantines.empty());
 }
 
-// Two shards have failed for good, so no answer is possible any more: the
-// caller learns it at once and not at its deadline.
+// Guards against a caller that waits until its deadline although two shards
+// have failed finally and no answer is possible.
 BOOST_AUTO_TEST_CASE(FanOut_TooManyShardsFailed_FailsImmediately) {
   (void)Submit("/fan/1");
   const std::vector<OutgoingAttempt> first(port.sent);
@@ -140,9 +146,10 @@
   BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kFailed));
 }
 
-// Nine of ten shards are in after the usual time, and the last one's target
-// stands still. Its hedge would be due after 40 ms of the caller's 100; it goes
-// out as soon as its shard is the last one.
+// Guards against a late hedge for the last shard. Nine of ten shards answer
+// after the usual time, and the target of the last one hangs. Its hedge would
+// be due after 40 ms of the 100 ms of the caller; it is sent as soon as its
+// shard is the last one.
 BOOST_AUTO_TEST_CASE(FanOut_LastShardOfTen_IsHedgedImmediately) {
   constexpr std::size_t kWideShards = 10;
   Route wide = MakeRoute("wide", RepeatRule::kIdempotent);
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -1,5 +1,4 @@
-// A forwarder over a paused clock, with targets and callers that the test
-// plays.
+// Forwarder with a manual clock; the test acts as targets and callers.
 #ifndef JACINTHDECK_TEST_FORWARD_FORWARDER_FIXTURE_H_
 #define JACINTHDECK_TEST_FORWARD_FORWARDER_FIXTURE_H_
 
@@ -22,7 +21,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/*! \brief Keeps what a forwarder wants. */
+/*! \brief Records the decisions of a forwarder. */
 struct RecordingPort final : ForwardPort {
   struct Delivered {
     CallId call;
@@ -49,7 +48,8 @@
   }
 };
 
-/*! \brief Four shards and a plain service, three targets each. */
+/*! \brief Forwarder with four shards and a plain service, three targets each.
+ * \brief Forwarder with four shards and a plain service, three targets each. */
 struct ForwarderFixture {
   static constexpr std::size_t kShards = 4;
   static constexpr std::size_t kReplicas = 3;
@@ -64,7 +64,7 @@
   std::uint64_t next_call = 1;
 
   ForwarderFixture() {
-    // Past the time in which a fresh budget grows.
+    // Past the window in which a new budget share grows.
     clock.Advance(seconds(20));
     for (std::size_t shard = 0; shard < kShards; ++shard) {
       AddTargets("shard-" + std::to_string(shard));
@@ -149,7 +149,8 @@
     return id;
   }
 
-  //! Moves time on in small steps, acting on whatever is due.
+  //! Advances the clock from timer to timer, and processes each timer that is
+  //! due.
   void Advance(Duration step) {
     const TimePoint end = clock.Now() + step;
     while (clock.Now() < end) {
@@ -192,7 +193,8 @@
     forwarder.OnAttemptEnd(end, clock.Now());
   }
 
-  //! Runs calls that are answered after a time, so that latencies are known.
+  //! Submits calls that are answered after a given time, so that latencies are
+  //! measured.
   void WarmUp(const std::string& path, Duration latency, int calls = 64) {
     for (int i = 0; i < calls; ++i) {
       const std::size_t before = port.sent.size();
@@ -206,7 +208,7 @@
     port.delivered.clear();
   }
 
-  //! Leaves one target of the plain service that takes work.
+  //! Makes all targets of the plain service but one drain.
   void OfferOnlyTarget(const TargetId& id) {
     std::vector<TargetEntry> entries = targets;
     for (TargetEntry& entry : entries) {
@@ -215,8 +217,8 @@
     forwarder.SetTargets(entries, clock.Now());
   }
 
-  //! Each target of the plain service answers some calls after a time, and
-  //! tells of its load with the last answer.
+  //! Lets each target of the plain service answer some calls after a given
+  //! time, and report its load with the last answer.
   void ReportLoadOfAllTargets(const LoadReport& load, Duration latency) {
     constexpr int kCalls = 16;
     for (std::size_t i = 0; i < kReplicas; ++i) {
--- a/test/jacinthdeck/forward/forwarder_load_test.cc
+++ b/test/jacinthdeck/forward/forwarder_load_test.cc
@@ -1,4 +1,4 @@
-// Tests of load above capacity and of budgets.
+// Tests of admission under overload, and of the budget of extra attempts.
 #include "jacinthdeck/forward/forwarder.h"
 
 #include "jacinthdeck/forward/forwarder_fixture.h"
@@ -7,9 +7,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(ForwarderLoadTest, ForwarderFixture)
 
-// Targets report long queues. A call that would wait beyond its objective is
-// refused at once with a time to come back, so that its caller can act, and
-// the targets keep to work that is still of use.
+// Guards against calls that wait beyond their objective. Targets report long
+// queues, so the call is refused immediately with a retry time: its caller can
+// act, and the targets spend no work on answers that are too late.
 BOOST_AUTO_TEST_CASE(Overload_QueuesAreLong_RefusedImmediately) {
   WarmUp("/read/1", milliseconds(40));
   ReportLoadOfAllTargets(LoadReport{3, 18, 3, 1}, milliseconds(40));
@@ -19,9 +19,10 @@
   BOOST_TEST((OnlyAnswer().answer.retry_after >= milliseconds(100)));
 }
 
-// After an overload all latencies that were learned are high, but the targets
-// are idle. Refusals would keep new latencies from being learned, and every
-// caller would be refused for as long as the process lives.
+// Guards against refusals that never end. After an overload all measured
+// latencies are high, but the targets are idle. Refusing calls because of these
+// latencies would prevent new measurements, and every caller would be refused
+// for the lifetime of the process.
 BOOST_AUTO_TEST_CASE(Overload_OverWithHighLatencies_CallsAreAdmitted) {
   WarmUp("/read/1", milliseconds(400));
   Advance(seconds(1));
@@ -30,10 +31,11 @@
   BOOST_TEST(port.delivered.empty());
 }
 
-// A route was slow for a while, then its callers give it less time than that.
-// "Too little time" is told to all of them on the word of past latencies, and a
-// route without a call under way never learns that it is fast again: its
-// callers would be refused for as long as the process lives.
+// Guards against refusals that never end because of short deadlines. A route
+// was slow for a while, and then its callers give it less time than that. If
+// past latencies alone refused all of them for too little time, a route without
+// a call in flight would never measure that it is fast again, and its callers
+// would be refused for the lifetime of the process.
 BOOST_AUTO_TEST_CASE(Overload_OverWithShortDeadlines_OneCallIsAdmittedAtATime) {
   WarmUp("/read/1", milliseconds(400));
   Advance(seconds(1));
@@ -45,10 +47,11 @@
   BOOST_TEST((OnlyAnswer().answer.reason == ForwardReason::kDeadline));
 }
 
-// A host that stands by has one connection a target, and has answered nothing
-// yet. Three calls hold those there are; a fourth comes. Told of a wait of 16
-// times a guess it would be refused at once, with a time to come back that
-// nobody has measured. It looks for a place, and one comes free.
+// Guards against a refusal that is based on an assumed latency. A standby host
+// has one connection to each target and has no measured latency yet. Three
+// calls use these connections, and a fourth one arrives. With an expected wait
+// of 16 times an assumed latency it would be refused immediately, with a retry
+// time that nobody measured. It waits for capacity instead, and gets it.
 BOOST_AUTO_TEST_CASE(Overload_NoLatencyMeasured_CallWaitsForCapacity) {
   forwarder.SetHosts(6, false, clock.Now());
   for (int call = 0; call < 3; ++call) {
@@ -63,8 +66,9 @@
   BOOST_TEST(port.sent.size() == 4U);
 }
 
-// A host that stands by serves whoever comes, and gives each connection to a
-// target back; once callers are sent to it, it keeps them.
+// Guards against idle connections of standby hosts. A standby host serves every
+// caller, but closes each connection to a target after the response. Once
+// callers are sent to the host, it keeps them.
 BOOST_AUTO_TEST_CASE(Connections_StandbyHost_ClosedAfterResponse) {
   forwarder.SetHosts(6, false, clock.Now());
   (void)Submit("/read/1");
@@ -74,17 +78,16 @@
   BOOST_TEST(!port.sent.back().close_after_response);
 }
 
-// All targets have a queue when the hedge falls due, and its first target never
-// answers. A hedge that looks for a free slot once leaves the call with that
-// one attempt to its end, though slots come free soon after; it must look
-// again.
+// Guards against a call that keeps its single attempt to the end although slots
+// become free. All targets have a queue when the hedge is due, and the first
+// target never answers. The hedge must look for a free slot more than once.
 BOOST_AUTO_TEST_CASE(Hedge_NoFreeSlotWhenDue_SentWhenSlotIsFree) {
   WarmUp("/read/1", milliseconds(20));
   ReportLoadOfAllTargets(LoadReport{3, 3, 3, 1}, milliseconds(20));
   (void)Submit("/read/next");
   Advance(milliseconds(150));
   BOOST_TEST(port.sent.size() == 1U);
-  // The reports are too old by now to tell of a queue.
+  // The load reports have expired by now.
   Advance(milliseconds(100));
   BOOST_REQUIRE_EQUAL(port.sent.size(), 2U);
   BOOST_TEST((port.sent[0].target.id != port.sent[1].target.id));
@@ -92,9 +95,9 @@
   BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kResponse));
 }
 
-// Every target is slow at once, and each call asks for a hedge. The extra
-// attempts of all hosts together must stay within the budget, or they become
-// the load that keeps the targets slow.
+// Guards against extra attempts that keep the targets slow. All targets are
+// slow at the same time, and each call is due for a hedge; the extra attempts
+// of all hosts together must stay within the budget.
 BOOST_AUTO_TEST_CASE(Budget_AllTargetsSlow_ExtraAttemptsStayWithinBudget) {
   ForwardOptions tight_options = Options();
   tight_options.budget = {0.2, 60, seconds(10)};
@@ -134,7 +137,7 @@
 namespace {
 
 /*! \brief A shard with one target left, and a route to its service that was
- * added a moment ago. */
+ * just added. */
 struct NewRouteFixture : ForwarderFixture {
   static constexpr Duration kWork = milliseconds(20);
 
@@ -159,7 +162,7 @@
     BOOST_REQUIRE(forwarder.SetConfig(Config(version, routes)));
   }
 
-  //! The target that is left tells of its load with an answer to a search.
+  //! Lets the remaining target report its load with an answer to a fan-out.
   void ReportLoad(const LoadReport& load) {
     (void)Submit("/fan/load");
     Advance(kWork);
@@ -184,11 +187,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(NewRouteTest, NewRouteFixture)
 
-// A route is added whose only target has a queue of searches, 20 ms of work
-// each: some 150 ms to wait. Its callers, who would wait a second, are told
-// "not run" at once, each time they come: the wait is reckoned as if the queue
-// were made of the added route's own requests, and what those take is a guess
-// of 125 ms that nobody can correct while all of them are refused.
+// Guards against calls of a new route that are always refused. The only target
+// of the route has a queue of fan-outs with 20 ms of work each, which takes
+// about 150 ms, and callers of the route would wait a second. If the wait were
+// computed as if the queue held requests of the new route, it would use an
+// assumed latency of 125 ms, which is never corrected while all calls are
+// refused.
 BOOST_AUTO_TEST_CASE(Admission_QueueOfShorterWork_NewRouteCallIsAdmitted) {
   ReportLoad(LoadReport{3, 18, 3, 1});
   (void)Submit("/added/1");
@@ -197,9 +201,10 @@
   BOOST_TEST(port.sent.front().target.id.raw() == "shard-0/0");
 }
 
-// Nothing is known of an added route but that its operator allows ten seconds;
-// its callers wait for 300 ms, and the work takes some milliseconds. A guess of
-// an eighth of the ten seconds must not tell them that this is too little.
+// Guards against a refusal for too little time that is based on an assumed
+// latency. A new route has an objective of ten seconds, its callers wait for
+// 300 ms, and the work takes some milliseconds. The assumed latency, an eighth
+// of the ten seconds, must not refuse them.
 BOOST_AUTO_TEST_CASE(
     Admission_LatencyUnmeasured_ShortDeadlineCallsAreAdmitted) {
   AddRoute(seconds(10), 3);
@@ -209,9 +214,10 @@
   BOOST_TEST(port.sent.size() == 2U);
 }
 
-// A call of an added route waits for a place at its only target, and its caller
-// for 300 ms. One comes free after 10 ms. A guess of 1.25 s for the work, an
-// eighth of what the operator allows, must not end the wait before.
+// Guards against an assumed latency that ends the wait for capacity. A call of
+// a new route waits for its only target, and its caller for 300 ms. Capacity is
+// free after 10 ms. The assumed latency of 1.25 s, an eighth of the objective,
+// must not end the wait before.
 BOOST_AUTO_TEST_CASE(
     Admission_LatencyUnmeasured_ShortDeadlineCallWaitsForCapacity) {
   AddRoute(seconds(10), 3);
@@ -227,10 +233,10 @@
   BOOST_TEST(port.sent.size() == 3U);
 }
 
-// Searches hold this host's places at the one target that a shard has left,
-// though three of four shards are enough for them. A call for that shard's
-// service has no other target: without a place it is told "not run" at once,
-// while searches go on being answered.
+// Guards against fan-outs that use up this host's share of the last target of a
+// shard, although three of four shards are enough for them. A call for the
+// service of that shard has no other target: without capacity it would be
+// refused immediately, while fan-outs are still answered.
 BOOST_AUTO_TEST_CASE(
     Admission_SearchesUseAllCapacity_SingleServiceCallIsAdmitted) {
   forwarder.SetHosts(6, true, clock.Now());
--- a/test/jacinthdeck/forward/forwarder_test.cc
+++ b/test/jacinthdeck/forward/forwarder_test.cc
@@ -1,4 +1,4 @@
-// Tests of calls for one service: what is repeated, and what callers are told.
+// Tests of calls for one service: retries, and what callers are told.
 #include "jacinthdeck/forward/forwarder.h"
 
 #include "jacinthdeck/forward/forwarder_fixture.h"
@@ -31,8 +31,10 @@
   BOOST_TEST(OnlyAnswer().answer.response.body == "body");
 }
 
-// The caller sees one answer. The first target fails with an error of its own
-// after it ran the request, which may run again, so another target gets it.
+// Guards against a failure that reaches the caller although a retry is
+// possible. The first target fails after it executed the request; the request
+// may be executed again, so another target gets it, and the caller sees one
+// answer.
 BOOST_AUTO_TEST_CASE(Forwarder_IdempotentRequestFails_RetriedAtAnotherTarget) {
   (void)Submit("/read/1");
   Fail(port.sent[0], 500);
@@ -42,9 +44,10 @@
   BOOST_TEST(OnlyAnswer().answer.response.status == 200);
 }
 
-// The caller claims a ticket, and the connection to the target ends before its
-// response. The claim may have run; sent again it could run twice, and a
-// refusal that says "not run" would make the caller send it again.
+// Guards against a request that is executed twice. An at-most-once request
+// loses its connection to the target before the response. It may have been
+// executed: a retry could execute it again, and the answer "not run" would make
+// the caller send it again.
 BOOST_AUTO_TEST_CASE(Forwarder_AtMostOnceConnectionLost_FailsWithoutRetry) {
   (void)Submit("/claim/1");
   End(port.sent[0], AttemptOutcome::kBroken, true);
@@ -52,8 +55,9 @@
   BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kFailed));
 }
 
-// A target that is full refuses a claim and says that it did not run it, so the
-// claim is safe to send elsewhere.
+// Guards against a failure where a retry is safe. A full target refuses an
+// at-most-once request and reports that it did not execute it, so another
+// target may get it.
 BOOST_AUTO_TEST_CASE(Forwarder_AtMostOnceIsShed_RetriedAtAnotherTarget) {
   (void)Submit("/claim/1");
   End(port.sent[0], AttemptOutcome::kNotExecuted);
@@ -62,8 +66,9 @@
   BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kResponse));
 }
 
-// Every target refuses without running the claim: then "not run" is true, and
-// the caller is told when to come back instead of waiting for its deadline.
+// Guards against callers that wait until their deadline. Every target refuses
+// the request without executing it, so the answer "not run" is true, and the
+// caller gets it with a retry time.
 BOOST_AUTO_TEST_CASE(Forwarder_AllTargetsShed_NotRunImmediately) {
   const TimePoint start = clock.Now();
   (void)Submit("/claim/1");
@@ -75,9 +80,10 @@
   BOOST_TEST((clock.Now() == start));
 }
 
-// All targets of a service were killed and refuse connections. A call that asks
-// them again within the same millisecond uses up its attempts on closed ports;
-// it looks for another target instead, and finds the one that has just started.
+// Guards against a call that spends all its attempts on closed ports. All
+// targets of a service were killed and refuse connections. The call does not
+// retry them in the same millisecond, but waits for another target and finds
+// one that has just started.
 BOOST_AUTO_TEST_CASE(Forwarder_TargetsRefuseConnections_WaitsForNewTarget) {
   (void)Submit("/read/1");
   for (std::size_t at = 0; at < port.sent.size(); ++at) {
@@ -95,8 +101,8 @@
   BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kResponse));
 }
 
-// As above, but nothing comes back: the caller is told so long before its
-// deadline, truthfully, and the closed ports were asked once each.
+// As above, but no target starts: the caller gets "not run" long before its
+// deadline, and each closed port was tried once.
 BOOST_AUTO_TEST_CASE(
     Forwarder_TargetsKeepRefusingConnections_NotRunWithinThirdOfObjective) {
   (void)Submit("/read/1");
@@ -110,9 +116,9 @@
   BOOST_TEST(OnlyAnswer().answer.retry_after.has_value());
 }
 
-// The address of a target belongs to another service by now. The new owner
-// refuses by the expected id; the target is not asked again, and another
-// target serves the claim.
+// Guards against further requests to an address that belongs to another service
+// now. Its new owner refuses because of the expected target id; the target is
+// not tried again, and another one handles the request.
 BOOST_AUTO_TEST_CASE(Forwarder_AddressReused_TargetIsExcluded) {
   (void)Submit("/claim/1");
   const TargetId gone = port.sent[0].target.id;
@@ -133,8 +139,8 @@
   BOOST_TEST(port.delivered.size() == 1U);
 }
 
-// A caller closes its connection while its request is under way: whatever its
-// targets still do is wasted, so every attempt is cancelled at once.
+// Guards against wasted work. A caller closes its connection during its call,
+// so every attempt is cancelled immediately.
 BOOST_AUTO_TEST_CASE(Forwarder_CallerDisconnects_AttemptsAreCancelled) {
   const CallId call = Submit("/fan/1");
   forwarder.Abandon(call, clock.Now());
@@ -143,9 +149,9 @@
   BOOST_TEST(forwarder.open_calls() == 0U);
 }
 
-// The first target is in a pause. After the usual latency the request goes to a
-// second one, whose answer is delivered; a third run would exceed what the
-// route allows.
+// Guards against a call that waits for a paused target. After the usual latency
+// a second target gets the request, and its answer is delivered; a third
+// attempt would exceed the limit of the route.
 BOOST_AUTO_TEST_CASE(Forwarder_TargetPauses_HedgeAnswers) {
   WarmUp("/read/1", milliseconds(10));
   (void)Submit("/read/2");
@@ -162,8 +168,8 @@
   BOOST_TEST(port.sent.size() == 1U);
 }
 
-// A response without the target's proof is none of its own: the caller must not
-// get it as a success.
+// Guards against a response of another process: without the stamp of the
+// target, the caller must not get it as a success.
 BOOST_AUTO_TEST_CASE(Forwarder_SuccessWithoutStamp_Fails) {
   (void)Submit("/claim/1");
   AttemptEnd end;
@@ -174,9 +180,10 @@
   BOOST_TEST((OnlyAnswer().answer.kind == AnswerKind::kFailed));
 }
 
-// Targets that run a request die one after the other, and its caller sends it
-// again. The second time only one target is risked; from then on the request is
-// refused, here and, by the shared conviction, on other hosts.
+// Guards against a request that crashes one target after another because its
+// caller repeats it. The second call risks only one target. From then on the
+// request is refused, on this host and, through the shared quarantine, on the
+// others.
 BOOST_AUTO_TEST_CASE(
     Forwarder_RequestCrashesTargets_RefusedAfterThreeAttempts) {
   for (int i = 0; i < 3; ++i) {
@@ -216,8 +223,8 @@
   BOOST_TEST((OnlyAnswer().answer.reason == ForwardReason::kDeadline));
 }
 
-// Guards against a retry or hedge into an evacuated domain, and against the
-// loss of what is under way there.
+// Guards against a retry or hedge to an evacuated domain, and against the loss
+// of attempts in flight there.
 BOOST_AUTO_TEST_CASE(Domain_EvacuatedDuringCall_RunningAttemptAnswers) {
   WarmUp("/read/1", milliseconds(10));
   (void)Submit("/read/1");
@@ -242,7 +249,8 @@
   BOOST_TEST((answered->answer.kind == AnswerKind::kResponse));
 }
 
-// Guards against callers that wait for a service whose targets are evacuated.
+// Guards against callers that wait for a service whose targets are all
+// evacuated.
 BOOST_AUTO_TEST_CASE(
     Domain_EvacuatedWithAllTargetsOfService_CallIsRefusedImmediately) {
   for (TargetEntry& entry : targets) {
--- a/test/jacinthdeck/forward/in_flight_limit_test.cc
+++ b/test/jacinthdeck/forward/in_flight_limit_test.cc
@@ -1,4 +1,4 @@
-// Tests of a host's share of a target.
+// Tests of the limit on a host's attempts at a target.
 #include "jacinthdeck/forward/in_flight_limit.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,11 +28,12 @@
   BOOST_TEST(MaxInFlight({.connections = 0, .hosts = 0}, 0) == 1U);
 }
 
-// Callers press with three times what the targets can do. Bounded by
-// connections alone, hosts filled the targets' queues, and the answers in time
-// were 60.9% of the calls; the slots could have served a third of the shards'
-// work in full, and partial answers stretch that. Half of the calls and a few
-// percent more must be answered in time, and the rest refused, not late.
+// Guards against full queues at the targets. The load is three times what the
+// targets can handle. Limited by connections alone, hosts filled the queues,
+// and 60.9% of the calls were answered in time; the slots could have handled a
+// third of the work of the shards in full, and partial answers stretch that. At
+// least 55% of the calls must be answered in time, and the rest refused rather
+// than late.
 BOOST_AUTO_TEST_CASE(MaxInFlight_LoadIsThreeTimesCapacity_FewAnswersAreLate) {
   constexpr std::uint64_t kSeeds = 4;
   const auto result = bench::RunSeeds(bench::AboveCapacity(), kSeeds);
--- a/test/jacinthdeck/forward/retry_storm_test.cc
+++ b/test/jacinthdeck/forward/retry_storm_test.cc
@@ -1,5 +1,5 @@
-// Load of callers that press: they do not wait as they are told and come back
-// at once. The targets are queues in model time; nothing is on a network.
+// Load of callers that ignore the retry time and retry immediately. The targets
+// are simulated queues in model time, without a network.
 #include <boost/test/unit_test.hpp>
 #include <cstddef>
 #include <deque>
@@ -14,11 +14,13 @@
 
 namespace {
 
-//! Three targets of three slots and 20 ms of work: 450 requests a second.
+//! Three targets with three slots and 20 ms of work each handle 450 requests a
+//! second.
 constexpr Duration kWork = milliseconds(20);
 constexpr Duration kTick = milliseconds(1);
 constexpr double kCapacity = 450;
-//! A refused caller that presses comes back after this time, so many times.
+//! Delay of a refused caller before each retry, and its maximum number of
+//! retries.
 constexpr Duration kCallerRetryDelay = milliseconds(5);
 constexpr int kMaxCallerRetries = 5;
 
@@ -31,7 +33,8 @@
     std::vector<Work> running;
     std::deque<OutgoingAttempt> waiting;
   };
-  //! A caller that asks: when, and how often it has pressed before.
+  //! An attempt of a caller: when it was made or is due, and the number of
+  //! retries before it.
   struct CallerAttempt {
     TimePoint at;
     int retries = 0;
@@ -110,7 +113,7 @@
     port.delivered.clear();
   }
 
-  //! Users come at a rate a second; those that are refused press.
+  //! Submits new requests at a rate a second; refused callers retry.
   void RunLoad(double rate, Duration length) {
     new_requests = served = refused = 0;
     const TimePoint end = clock.Now() + length;
@@ -141,10 +144,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(RetryStormTest, RetryStormFixture)
 
-// Callers that are refused come back within 5 ms, five times. Each of their
-// attempts is refused at once and without a target, so that the targets' time
-// goes to answers: twice the load, pressed into ten times, must not take more
-// than a tenth of what the targets can do.
+// Guards against retries that take capacity from answers. Refused callers retry
+// within 5 ms, up to five times, and each retry is refused immediately without
+// using a target. Twice the capacity, which retries turn into ten times as
+// much, must not take more than a tenth of what the targets can handle.
 BOOST_AUTO_TEST_CASE(Load_TwiceCapacityWithRetries_TargetsStayProductive) {
   RunLoad(0.6 * kCapacity, seconds(5));
   BOOST_TEST(ServedShare() > 0.98);
@@ -154,8 +157,8 @@
   BOOST_TEST((max_refusal_latency <= 2 * kTick));
 }
 
-// Pressing must not outlast its cause: what is left of it a quarter of a second
-// after the load is back to usual is nothing.
+// Guards against retries that outlast the overload: a quarter of a second after
+// the load is back to normal, all requests must be served.
 BOOST_AUTO_TEST_CASE(Load_BackToNormal_AllRequestsAreServed) {
   RunLoad(0.6 * kCapacity, seconds(5));
   RunLoad(2 * kCapacity, seconds(5));
--- a/test/jacinthdeck/forward/shared_targets_test.cc
+++ b/test/jacinthdeck/forward/shared_targets_test.cc
@@ -1,5 +1,6 @@
-// Load of several hosts on targets that they share, in model time: the patterns
-// of users' heaviest days. Each case names its figures in forward_cases.h.
+// Load of several hosts on shared targets in model time, following the days
+// with the highest load that users report. The figures of each case are in
+// forward_cases.h.
 #include <boost/test/unit_test.hpp>
 
 #include "support/forward_cases.h"
@@ -15,27 +16,28 @@
 
 }  // namespace
 
-// One shard is dark, so a search needs all nine others, and each of those has a
-// slow target. Callers see answers with nine shards, worth 0.81 at most; hosts
-// that send to slow targets, or hedge once, wait beyond the objective for the
-// ninth. The users' aim is 0.74.
+// Guards against answers after the objective. One shard is down, so a fan-out
+// needs all nine others, and each of those has a slow target. Answers with nine
+// shards are worth 0.81 at most; hosts that send to slow targets, or hedge only
+// once, wait for the ninth shard beyond the objective. The users require 0.74.
 BOOST_AUTO_TEST_CASE(Fleet_ShardDownAndSlowTargets_AnswersStayInTime) {
   const auto result = bench::RunSeeds(bench::DarkShardAndSlowTargets(), kSeeds);
   BOOST_TEST(result.value() >= 0.74);
   BOOST_TEST(result.budget_used <= 1.0);
 }
 
-// Two of three targets in half of the shards refuse most requests at once. Each
-// refusal that is tried again is an extra request, so the budget is what binds:
-// the hosts together must stay within it.
+// Guards against retries beyond the budget. Two of three targets in half of the
+// shards refuse most requests immediately. Each retried refusal is an extra
+// attempt, so the budget is the limit: the hosts together must stay within it.
 BOOST_AUTO_TEST_CASE(Fleet_IdleTargetsShed_ExtraAttemptsStayWithinBudget) {
   const auto result = bench::RunSeeds(bench::SheddingTargets(), kSeeds);
   BOOST_TEST(result.budget_used <= 1.0);
   BOOST_TEST(result.value() >= 0.74);
 }
 
-// Nothing is wrong but the usual pauses of each target. Nobody is refused, one
-// answer in a hundred may be late, and hedges stay far below the budget.
+// Guards against refusals and hedges at normal load, where targets only have
+// their usual pauses. No call is refused, one answer in a hundred may be late,
+// and the extra attempts stay within the budget.
 BOOST_AUTO_TEST_CASE(Fleet_NormalLoad_NoCallIsRefused) {
   const auto result = bench::RunSeeds(bench::DeskSearch(180), kSeeds);
   BOOST_TEST(result.refused == 0U);
@@ -44,11 +46,12 @@
   BOOST_TEST(result.budget_used <= 1.0);
 }
 
-// Four of 270 targets stand still at any moment, so that hardly a call over 90
-// shards meets none. Callers see answers that lack a shard or two: its first
-// target paused, and no hedge was sent, since the others had paused a moment
-// before. All targets are well and idle, so the users' aim holds: 99 of 100
-// answers in time, and so much of what whole ones would be worth.
+// Guards against answers that lack a shard or two because their first target
+// paused and no hedge was sent, since the other targets had paused a moment
+// before. Four of 270 targets are paused at any time, so that almost every call
+// over 90 shards meets one. All targets are otherwise healthy and idle, so the
+// requirement of the users applies: 99 of 100 answers in time, with 0.99 of the
+// value of complete ones.
 BOOST_AUTO_TEST_CASE(Fleet_ManyShardsWithPauses_AnswersAreCompleteAndInTime) {
   const auto result = bench::RunSeeds(bench::ManyShards(), 1);
   BOOST_TEST(static_cast<double>(result.in_time) >=
@@ -58,7 +61,7 @@
 }
 
 // Guards against first attempts that leave the failure domain although its
-// target answers in good time; half of what they were is the users' aim.
+// target answers fast enough. The users require half of the former share.
 BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseOccasionally_FirstAttemptsStayInDomain) {
   constexpr double kUnimprovedShare = 0.34;
   const auto result = bench::RunSeeds(bench::SearchesAndChecks(), kSeeds);
@@ -69,12 +72,13 @@
   BOOST_TEST(result.value() >= 0.99);
 }
 
-// A route to a shard's service is added while that shard has one target left.
-// Its callers are told "not run, come back" at once, again and again, although
-// the work is a millisecond and they would wait a second: searches, which can
-// do without the shard, hold this host's places at the target, and the wait
-// for one is reckoned as if the target did the added route's work, of which
-// nothing is known. They must be served as often as the searches are.
+// Guards against calls that are refused again and again with "not run" although
+// the work takes a millisecond and their callers would wait a second. A route
+// to the service of a shard is added while the shard has one target left.
+// Fan-outs, which can do without the shard, use up this host's share of the
+// target, and the wait for it is estimated as if the target did the work of the
+// new route, which was never measured. These calls must be served as often as
+// the fan-outs.
 BOOST_AUTO_TEST_CASE(Fleet_ShardWithOneTarget_SingleServiceCallsAreServed) {
   constexpr std::size_t kSearch = 0;
   constexpr std::size_t kSingleService = 2;
@@ -85,9 +89,9 @@
 }
 
 // The same with 58 hosts, each of which may hold one connection to a target. A
-// search holds it for as long as it takes, so that a call for the service alone
-// must wait for it: it is admitted, since a place is free within a search's
-// time, and served as often as the searches are.
+// fan-out holds it while it is executed, so a call for the service alone must
+// wait. It is admitted, since the connection is free again within the time of a
+// fan-out, and must be served as often as the fan-outs.
 BOOST_AUTO_TEST_CASE(Fleet_OneConnectionPerHost_SingleServiceCallsAreServed) {
   constexpr std::size_t kSearch = 0;
   constexpr std::size_t kSingleService = 2;
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -1,4 +1,4 @@
-// Tests of the choice among the targets of a service.
+// Tests of the choice of a target of a service.
 #include "jacinthdeck/forward/target_set.h"
 
 #include <boost/test/unit_test.hpp>
@@ -71,10 +71,11 @@
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-// A target answers searches of 20 ms and has eighteen of them in its queue. A
-// request of a route with long work of its own waits no longer than a search
-// does: reckoned in its own 160 ms, six turns of three slots would take a
-// second, and its caller would be turned away from a queue of 120 ms.
+// Guards against a wait that is computed with the latency of the wrong
+// requests. A target answers short requests of 20 ms and has eighteen of them
+// in its queue. With its own latency of 160 ms for the queue, a long request
+// would expect six rounds of three slots to take a second, and its caller would
+// be refused because of a queue of 120 ms.
 BOOST_AUTO_TEST_CASE(
     ExpectedDelay_LongWorkBehindShortRequests_UsesQueueLatency) {
   for (int i = 0; i < 64; ++i) {
@@ -87,8 +88,8 @@
   BOOST_TEST((expected < milliseconds(400)));
 }
 
-// A target stands still. Every query that is sent to it waits for the whole
-// pause, so the first one that is late makes all others avoid it.
+// Guards against requests to a paused target, each of which waits for the whole
+// pause: after the first one that is late, all others avoid the target.
 BOOST_AUTO_TEST_CASE(Pick_TargetIsSilent_IsAvoided) {
   (void)Send(Target(0));
   now += milliseconds(60);
@@ -102,8 +103,8 @@
   BOOST_TEST(Picks(50)["t0"] > 0);
 }
 
-// A target whose work fails looks idle; a choice by load would send it
-// everything.
+// Guards against sending everything to a target that fails quickly, because it
+// looks idle.
 BOOST_AUTO_TEST_CASE(Pick_TargetFailsQuickly_IsAvoided) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
@@ -111,10 +112,11 @@
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-// The nearest target flaps: a second in which all its work fails, a second in
-// which all is well. What it has just answered speaks for it again and again,
-// and each time some callers pay for the trial. Chosen blindly for its nearness
-// it would fail half of all work.
+// Guards against requests to a target that alternates between a second in which
+// all requests fail and a second in which all succeed. Its recent successes
+// make the host try it again, and some callers pay for each trial. If it were
+// always chosen because it is in the own domain, half of all requests would
+// fail.
 BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetFlaps_FewRequestsFail) {
   constexpr int kRequests = 4000;
   int failed = 0;
@@ -166,7 +168,8 @@
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// A hedge that waits in a queue delays others and helps nobody.
+// Guards against a hedge that waits in a queue, which delays other requests and
+// does not help its own call.
 BOOST_AUTO_TEST_CASE(Pick_HedgeWithoutFreeSlot_ChoosesNone) {
   criteria.reason = AttemptReason::kHedge;
   for (int i = 0; i < 3; ++i) {
@@ -175,9 +178,9 @@
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// A target is ten times slower than the route's answers. A hedge to it would
-// come after its answer is of use, spend the shard's last attempt and hold a
-// slot of the slow target.
+// Guards against a hedge that cannot be answered in time. All targets are ten
+// times slower than the route, so a hedge would spend the last attempt of the
+// shard and occupy a slot of a slow target for nothing.
 BOOST_AUTO_TEST_CASE(Pick_HedgeWouldBeLate_ChoosesNone) {
   criteria.reason = AttemptReason::kHedge;
   criteria.useful_time = milliseconds(60);
@@ -187,10 +190,10 @@
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// The other targets of a shard each paused once among their last answers. Most
-// of their answers still come in time, so the hedge must find one of them; held
-// to the average with the pause in it, the shard was left out with a budget of
-// hedges unspent.
+// Guards against a shard that is left out although the budget has hedges left.
+// The targets each paused once among their recent answers, and most of their
+// answers still arrive in time, so the hedge must find one. The mean latency
+// with the pause in it excluded all of them.
 BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnce_HedgeIsChosen) {
   constexpr int kAnswers = 7;
   criteria.reason = AttemptReason::kHedge;
@@ -204,9 +207,9 @@
   BOOST_TEST(Picks(1).count("none") == 0U);
 }
 
-// All targets of a shard are slow, and the answer can do without the shard. One
-// attempt at a time finds out when a target is fast again; more would fill its
-// queue, so that it answers late for a while longer.
+// Guards against full queues at slow targets. All targets of a shard are slow,
+// and the answer can do without the shard. One attempt at a time detects when a
+// target is fast again; more would fill its queue and keep it late for longer.
 BOOST_AUTO_TEST_CASE(Pick_AllTargetsTooSlow_EachGetsOneAttemptAtATime) {
   criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
@@ -221,8 +224,8 @@
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// Guards against bytes between domains that bring no answer in time: the own
-// target is slower than the others, and soon enough.
+// Guards against traffic between failure domains that brings no answer in time:
+// the target in the own domain is slower than the others, and fast enough.
 BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetIsFastEnough_StaysInDomain) {
   criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
@@ -233,7 +236,8 @@
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-// Guards against late answers for the sake of bytes.
+// Guards against late answers for the sake of less traffic between failure
+// domains.
 BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetIsTooSlow_LeavesDomain) {
   criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
@@ -244,7 +248,7 @@
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-// Guards against work for the targets of an evacuated domain.
+// Guards against requests to the targets of an evacuated domain.
 BOOST_AUTO_TEST_CASE(Pick_TargetIsEvacuated_IsNeverChosen) {
   for (TargetEntry& entry : entries) {
     entry.evacuated = entry.id != TargetId("t2");
@@ -258,7 +262,8 @@
   }
 }
 
-// Guards against a crash of a cold target by requests beyond what it bears.
+// Guards against a crash of a cold target that gets more requests than it can
+// handle.
 BOOST_AUTO_TEST_CASE(Pick_ColdTargetsWithRateBound_StaysWithinHostShare) {
   for (TargetEntry& entry : entries) {
     entry.cold_until = now + seconds(4);
@@ -290,8 +295,8 @@
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-// A target comes back under its id after a crash. What its former life failed
-// at says nothing of the new one.
+// Guards against failures of a previous process that count against a restarted
+// target with the same id.
 BOOST_AUTO_TEST_CASE(Replace_TargetRestartedWithSameId_ForgetsFailures) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
--- a/test/jacinthdeck/forward/values_test.cc
+++ b/test/jacinthdeck/forward/values_test.cc
@@ -1,4 +1,4 @@
-// Tests of routes, merging and traffic splits.
+// Tests of routes, merged records and traffic splits.
 #include <array>
 #include <boost/test/unit_test.hpp>
 #include <string>
