--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -133,7 +133,7 @@
   }
 
   CallId Submit(const std::string& path,
-                Duration patience = milliseconds(1500)) {
+                Duration caller_timeout = milliseconds(1500)) {
     auto request = std::make_shared<OpaqueRequest>();
     request->method = "GET";
     request->host = "desk.example";
@@ -143,7 +143,7 @@
     call.id = CallId(next_call++);
     call.request = request;
     call.arrived = clock.Now();
-    call.deadline = clock.Now() + patience;
+    call.deadline = clock.Now() + caller_timeout;
     const CallId id = call.id;
     forwarder.Submit(std::move(call), clock.Now());
     return id;
--- a/test/jacinthdeck/forward/shared_targets_test.cc
+++ b/test/jacinthdeck/forward/shared_targets_test.cc
@@ -63,9 +63,9 @@
 // Guards against first attempts that leave the failure domain although its
 // target answers fast enough. The users require half of the former share.
 BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseOccasionally_FirstAttemptsStayInDomain) {
-  constexpr double kUnimprovedShare = 0.34;
+  constexpr double kFormerShare = 0.34;
   const auto result = bench::RunSeeds(bench::SearchesAndChecks(), kSeeds);
-  BOOST_TEST(result.crossing_share() <= kUnimprovedShare / 2);
+  BOOST_TEST(result.crossing_share() <= kFormerShare / 2);
   BOOST_TEST(result.refused == 0U);
   BOOST_TEST(static_cast<double>(result.in_time) >=
              0.99 * static_cast<double>(result.calls));
