--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -194,7 +194,8 @@
 
   // Ends of calls, in forwarder_finish.cc.
   void GiveUp(PendingCall& pending, CallPart& part, ForwardReason reason);
-  //! Answers the call if it can be answered now or never; else sets its timer.
+  //! Answers the call if no further reply is needed or can help; otherwise sets
+  //! its timer.
   void FinishIfDone(PendingCall& pending, TimePoint now);
   void Finish(PendingCall& pending, TimePoint now);
   [[nodiscard]] ForwardAnswer MakeAnswer(PendingCall& pending, TimePoint now);
--- a/test/jacinthdeck/forward/shared_targets_test.cc
+++ b/test/jacinthdeck/forward/shared_targets_test.cc
@@ -61,7 +61,8 @@
 }
 
 // Guards against first attempts that leave the failure domain although its
-// target answers fast enough. The users require half of the former share.
+// target answers fast enough. Formerly 0.34 of them left it; the users require
+// at most half of that.
 BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseOccasionally_FirstAttemptsStayInDomain) {
   constexpr double kFormerShare = 0.34;
   const auto result = bench::RunSeeds(bench::SearchesAndChecks(), kSeeds);
