--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -69,8 +69,8 @@
   void Cancel(AttemptId attempt) override;
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallStory& story) override;
-  void ShareConviction(Fingerprint fingerprint) override;
+               const CallTrace& story) override;
+  void ShareQuarantine(Fingerprint fingerprint) override;
   void OnAttemptEnd(AttemptEnd& end) override;
   void OnKnowledge(const KnowledgeChange& change,
                    const StorePosition& position) override;
--- a/src/jacinthdeck/forward/crash_guard.cc
+++ b/src/jacinthdeck/forward/crash_guard.cc
@@ -1,4 +1,4 @@
-// Failed calls by fingerprint, forgotten after a while.
+// Records failed calls by fingerprint and forgets them after kRetention.
 #include "jacinthdeck/forward/crash_guard.h"
 
 #include <xxhash.h>
@@ -21,25 +21,26 @@
   return Fingerprint(XXH3_64bits(text.data(), text.size()));
 }
 
-bool CrashGuard::IsConvicted(Fingerprint fingerprint, TimePoint now) const {
+bool CrashGuard::IsQuarantined(Fingerprint fingerprint, TimePoint now) const {
   const auto found = m_records.find(fingerprint);
-  return found != m_records.end() && found->second.calls >= kCallsToConvict &&
-         now - found->second.last < kMemory;
+  return found != m_records.end() &&
+         found->second.calls >= kQuarantineThreshold &&
+         now - found->second.last < kRetention;
 }
 
 bool CrashGuard::IsSuspect(Fingerprint fingerprint, TimePoint now) const {
   const auto found = m_records.find(fingerprint);
-  return found != m_records.end() && now - found->second.last < kMemory;
+  return found != m_records.end() && now - found->second.last < kRetention;
 }
 
 bool CrashGuard::OnCallLost(Fingerprint fingerprint, TimePoint now) {
-  MakeRoom(now);
+  EvictIfFull(now);
   Record& record = m_records[fingerprint];
-  const bool again =
-      now - record.last < kMemory && !WasAnswered(fingerprint, now);
-  record.calls = again ? record.calls + 1 : 1;
+  const bool is_repeated =
+      now - record.last < kRetention && !WasAnswered(fingerprint, now);
+  record.calls = is_repeated ? record.calls + 1 : 1;
   record.last = now;
-  return record.calls == kCallsToConvict;
+  return record.calls == kQuarantineThreshold;
 }
 
 void CrashGuard::OnAnswered(Fingerprint fingerprint, TimePoint now) {
@@ -47,12 +48,12 @@
   m_records.erase(fingerprint);
 }
 
-void CrashGuard::Convict(Fingerprint fingerprint, TimePoint now) {
+void CrashGuard::QuarantineRequest(Fingerprint fingerprint, TimePoint now) {
   if (WasAnswered(fingerprint, now)) {
     return;
   }
-  MakeRoom(now);
-  m_records[fingerprint] = {kCallsToConvict, now};
+  EvictIfFull(now);
+  m_records[fingerprint] = {kQuarantineThreshold, now};
 }
 
 CrashGuard::Answer& CrashGuard::SlotOf(Fingerprint fingerprint) {
@@ -62,19 +63,19 @@
 bool CrashGuard::WasAnswered(Fingerprint fingerprint, TimePoint now) {
   const Answer& answer = SlotOf(fingerprint);
   return answer.request == fingerprint && answer.at &&
-         now - *answer.at < kMemory;
+         now - *answer.at < kRetention;
 }
 
-void CrashGuard::MakeRoom(TimePoint now) {
-  if (m_records.size() < kMostHeld) {
+void CrashGuard::EvictIfFull(TimePoint now) {
+  if (m_records.size() < kMaxRecords) {
     return;
   }
   std::erase_if(m_records, [&](const auto& item) {
-    return now - item.second.last >= kMemory;
+    return now - item.second.last >= kRetention;
   });
-  if (m_records.size() >= kMostHeld) {
-    // Full of fresh losses: half of the targets are failing, and no single
-    // request is to blame.
+  if (m_records.size() >= kMaxRecords) {
+    // The table is full of recent failures: half of the targets are failing,
+    // and no single request is the cause.
     m_records.clear();
   }
 }
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -1,4 +1,4 @@
-// Decides on opaque requests: which targets get them, when again, and what the
+// Decides which targets get an opaque request, when it is retried, and what the
 // caller is told.
 #ifndef JACINTHDECK_FORWARD_FORWARDER_H_
 #define JACINTHDECK_FORWARD_FORWARDER_H_
@@ -26,23 +26,24 @@
 #include "jacinthdeck/forward/pending_call.h"
 #include "jacinthdeck/forward/routing_config.h"
 #include "jacinthdeck/forward/target_set.h"
-#include "jacinthdeck/forward/weighted_turn.h"
+#include "jacinthdeck/forward/weighted_round_robin.h"
 
 namespace jacinthdeck {
 
 /**
- * \brief Passes opaque requests on to targets of the configured services.
+ * \brief Forwards opaque requests to targets of the configured services.
  *
- * Holds no socket, thread or clock: time is passed in, and effects go to a
- * port. Every submitted call gets exactly one Deliver(), unless it is abandoned
- * first. A call for one service is a call with one part; a fan-out has a part
- * for each shard, all of the configuration version in force at its start.
+ * Holds no socket, thread or clock: the time is passed in, and effects go to a
+ * ForwardPort. Every submitted call gets exactly one Deliver(), unless it is
+ * abandoned first. A call for one service has one part. A fan-out has one part
+ * for each shard, all from the configuration version in force when the call
+ * starts.
  */
 class Forwarder {
  public:
   /**
-   * \brief Makes a forwarder without configuration or targets.
-   * \param port Receiver of the decisions; outlives the forwarder.
+   * \brief Creates a forwarder without configuration or targets.
+   * \param port Carries out the decisions; must outlive the forwarder.
    */
   Forwarder(const ForwardOptions& options,
             ForwardPort& port,
@@ -63,13 +64,13 @@
   }
   [[nodiscard]] const TargetSet& targets() const noexcept { return m_targets; }
 
-  /*! \brief Moment at which OnTimer() is due; nothing while nothing is. */
+  /*! \brief Returns when OnTimer() is due next; empty if no timer is set. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /**
-   * \brief Takes a configuration for the calls from now on.
-   * \return False if the one in force is as new or newer: a host never goes
-   * back to an older version.
+   * \brief Sets the configuration for calls submitted from now on.
+   * \return False if the current version is the same or newer: a host never
+   * goes back to an older version.
    */
   bool SetConfig(std::shared_ptr<const RoutingConfig> config);
 
@@ -77,31 +78,33 @@
   void SetTargets(std::span<const TargetEntry> entries, TimePoint now);
 
   /**
-   * \brief Says among how many hosts budgets and connections are shared.
-   * \param hosts Hosts that callers are sent to; at least 1.
-   * \param self This host is one of them; else it has no share of the constant
-   * and one connection a target.
+   * \brief Sets the number of hosts that share budgets and connections.
+   * \param hosts Number of hosts that callers are sent to; at least 1.
+   * \param self Whether this host is one of them. Otherwise it has no share of
+   * the constant part of budgets, and one connection to each target.
    */
   void SetHosts(std::uint32_t hosts, bool self, TimePoint now);
 
-  /*! \brief Takes the names of the hosts that callers are sent to. */
+  /*! \brief Sets the names of the hosts that callers are sent to. */
   void SetHostNames(std::span<const NodeId> hosts) {
     m_targets.SetHosts(m_options.host, hosts);
   }
 
-  /*! \brief Takes another host's word that a request crashes its targets. */
-  void Convict(Fingerprint fingerprint, TimePoint now);
+  /*! \brief Applies the quarantine of a request that another host found to
+   * crash its targets. */
+  void QuarantineRequest(Fingerprint fingerprint, TimePoint now);
 
-  /*! \brief Starts a call, or refuses it at once. */
+  /*! \brief Starts a call, or refuses it immediately. */
   void Submit(ForwardCall call, TimePoint now);
 
-  /*! \brief Drops a call whose caller left; all its attempts are cancelled. */
+  /*! \brief Drops a call whose caller disconnected, and cancels all its
+   * attempts. */
   void Abandon(CallId call, TimePoint now);
 
-  /*! \brief Takes the end of an attempt. */
+  /*! \brief Processes the end of an attempt. */
   void OnAttemptEnd(AttemptEnd& end, TimePoint now);
 
-  /*! \brief Acts on whatever is due. */
+  /*! \brief Processes all timers that are due. */
   void OnTimer(TimePoint now);
 
  private:
@@ -114,111 +117,123 @@
               AnswerKind kind,
               ForwardReason reason,
               std::optional<Duration> retry_after,
-              const CallStory& story);
-  [[nodiscard]] bool Open(PendingCall& open);
-  void SetTimes(PendingCall& open) const;
-  [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(PendingCall& open,
-                                                            TimePoint now);
-  //! Shards with a target that takes work; notes the fewest in the story.
-  [[nodiscard]] std::size_t CountLiveShards(PendingCall& open) const;
-  //! Tells whether what time the call has left is known to be too little.
-  [[nodiscard]] bool IsTooLate(const PendingCall& open, TimePoint now) const;
-  //! Delay by the queue of the chosen target, or by the want of one.
-  [[nodiscard]] Duration QueueDelay(const PendingCall& open,
+              const CallTrace& trace);
+  //! Finds the route and the parts of a call; refuses the call and returns
+  //! false if there is no configuration or no route.
+  [[nodiscard]] bool PrepareCall(PendingCall& pending);
+  void SetDeadlines(PendingCall& pending) const;
+  [[nodiscard]] std::optional<ForwardReason> ReasonToRefuse(
+      PendingCall& pending,
+      TimePoint now);
+  //! Counts the shards with a target that accepts requests, and records the
+  //! smallest number of such targets in the trace.
+  [[nodiscard]] std::size_t CountLiveShards(PendingCall& pending) const;
+  //! Returns whether the remaining time of the call is known to be too short.
+  [[nodiscard]] bool IsTooLate(const PendingCall& pending, TimePoint now) const;
+  //! Returns the delay from the queue of the chosen target, or from waiting for
+  //! capacity if there is none.
+  [[nodiscard]] Duration QueueDelay(const PendingCall& pending,
                                     const ServiceId& service,
                                     const TargetChoice& choice,
                                     TimePoint now) const;
-  //! What a first attempt needs, with this share of its target.
-  [[nodiscard]] TargetNeed NeedOf(const PendingCall& open,
-                                  const ServiceId& service,
-                                  const TargetShare& share) const;
-  [[nodiscard]] Duration ExpectedDelay(PendingCall& open, TimePoint now);
-  [[nodiscard]] Duration ComeBackAfter(ForwardReason reason,
-                                       const PendingCall& open);
+  //! Returns the criteria for the target of a first attempt with this share.
+  [[nodiscard]] TargetCriteria CriteriaFor(const PendingCall& pending,
+                                           const ServiceId& service,
+                                           const TargetShare& share) const;
+  [[nodiscard]] Duration ExpectedDelay(PendingCall& pending, TimePoint now);
+  [[nodiscard]] Duration RetryAfterFor(ForwardReason reason,
+                                       const PendingCall& pending);
   [[nodiscard]] LatencyProfile& ProfileOf(const Route& route);
-  void ShareBudget(AttemptBudget& budget) const;
+  void UpdateBudgetShare(AttemptBudget& budget) const;
   [[nodiscard]] AttemptBudget& BudgetOf(const ServiceId& service);
 
   // Attempts, in forwarder_attempts.cc.
-  void SendPart(PendingCall& open,
-                std::size_t part,
-                AttemptReason reason,
-                TimePoint now);
-  void Launch(PendingCall& open,
-              std::size_t part,
-              const TargetNeed& need,
-              LearnedTarget& target,
-              bool paid,
-              TimePoint now);
-  //! Tells whether a further shard that is given up leaves no answer.
-  [[nodiscard]] static bool NeedsEachShard(const PendingCall& open);
-  [[nodiscard]] Duration UsefulTime(const PendingCall& open,
+  //! Chooses a target and sends an attempt, if budget and targets allow it.
+  void TrySendAttempt(PendingCall& pending,
+                      std::size_t part,
+                      AttemptReason reason,
+                      TimePoint now);
+  void SendAttempt(PendingCall& pending,
+                   std::size_t part,
+                   const TargetCriteria& criteria,
+                   TrackedTarget& target,
+                   bool paid,
+                   TimePoint now);
+  //! Returns whether the call cannot be answered if one more shard is given up.
+  [[nodiscard]] static bool NeedsEachShard(const PendingCall& pending);
+  [[nodiscard]] Duration UsefulTime(const PendingCall& pending,
                                     AttemptReason reason,
                                     TimePoint now) const;
-  [[nodiscard]] TargetShare ShareOf(const PendingCall& open,
+  [[nodiscard]] TargetShare ShareOf(const PendingCall& pending,
                                     const ServiceId& service) const;
-  [[nodiscard]] std::uint32_t ConnectionLimit(const PendingCall& open,
+  [[nodiscard]] std::uint32_t ConnectionLimit(const PendingCall& pending,
                                               const ServiceId& service) const;
-  [[nodiscard]] bool MaySendAgain(const PendingCall& open,
+  [[nodiscard]] bool MaySendAgain(const PendingCall& pending,
                                   const CallPart& part,
                                   TimePoint now) const;
-  void OnNoTarget(PendingCall& open, CallPart& part, TimePoint now);
-  void Retry(PendingCall& open, std::size_t part, TimePoint now);
+  //! Looks for a target again later, or gives the part up.
+  void OnNoTarget(PendingCall& pending, CallPart& part, TimePoint now);
+  void RetryOrGiveUp(PendingCall& pending, std::size_t part, TimePoint now);
 
   // Ends of attempts, in forwarder_replies.cc.
-  void Learn(const PendingAttempt& attempt,
-             const AttemptEnd& end,
-             TimePoint now);
-  void Note(PendingCall& open, const AttemptEnd& end, TimePoint now);
-  void TakeEnd(PendingCall& open,
-               const PendingAttempt& attempt,
-               AttemptEnd& end,
-               TimePoint now);
-  void TakeResponse(PendingCall& open,
-                    CallPart& part,
-                    AttemptEnd& end,
+  void UpdateTarget(const PendingAttempt& attempt,
+                    const AttemptEnd& end,
                     TimePoint now);
-  //! Hedges the last shards of a call at once.
-  static void HedgeLastShards(PendingCall& open, TimePoint now);
+  void TraceEnd(PendingCall& pending, const AttemptEnd& end, TimePoint now);
+  void HandleAttemptEnd(PendingCall& pending,
+                        const PendingAttempt& attempt,
+                        AttemptEnd& end,
+                        TimePoint now);
+  void HandleResponse(PendingCall& pending,
+                      CallPart& part,
+                      AttemptEnd& end,
+                      TimePoint now);
+  //! Makes the hedges of the last unanswered shards of a call due immediately.
+  static void HedgeLastShards(PendingCall& pending, TimePoint now);
   void CancelAttempt(AttemptId attempt, TimePoint now);
 
   // Ends of calls, in forwarder_finish.cc.
-  void GiveUp(PendingCall& open, CallPart& part, ForwardReason reason);
-  void Settle(PendingCall& open, TimePoint now);
-  void Finish(PendingCall& open, TimePoint now);
-  [[nodiscard]] ForwardAnswer AnswerOf(PendingCall& open, TimePoint now);
-  [[nodiscard]] ForwardAnswer Merge(PendingCall& open) const;
-  [[nodiscard]] ForwardAnswer FailureOf(PendingCall& open, TimePoint now);
-  void Close(PendingCall& open, TimePoint now);
-  void CountLosses(const PendingCall& open, TimePoint now);
+  void GiveUp(PendingCall& pending, CallPart& part, ForwardReason reason);
+  //! Answers the call if no further reply is needed or can help; otherwise sets
+  //! its timer.
+  void FinishIfDone(PendingCall& pending, TimePoint now);
+  void Finish(PendingCall& pending, TimePoint now);
+  [[nodiscard]] ForwardAnswer MakeAnswer(PendingCall& pending, TimePoint now);
+  [[nodiscard]] ForwardAnswer MakeMergedAnswer(PendingCall& pending) const;
+  [[nodiscard]] ForwardAnswer MakeFailureAnswer(PendingCall& pending,
+                                                TimePoint now);
+  void RemoveCall(PendingCall& pending, TimePoint now);
+  //! Reports a call that lost connections and got no answer to the crash guard.
+  void RecordLostCall(const PendingCall& pending, TimePoint now);
 
   // Timers, in forwarder.cc.
-  void Wake(PendingCall& open, TimePoint now);
-  void Rearm(const PendingCall& open);
+  void OnCallTimer(PendingCall& pending, TimePoint now);
+  void RearmTimer(const PendingCall& pending);
 
   const ForwardOptions m_options;
   ForwardPort& m_port;
   Random m_random;
   ForwardCounters m_counters;
-  //! Null until the first configuration; its version only rises.
+  //! Null until the first configuration; its version only increases.
   std::shared_ptr<const RoutingConfig> m_config;
   TargetSet m_targets;
   std::uint32_t m_hosts = 1;
   bool m_has_share = true;
-  //! Since when this host has a share.
+  //! When this host got its share.
   TimePoint m_share_since;
-  CrashGuard m_crashes;
+  CrashGuard m_crash_guard;
   std::uint64_t m_next_attempt = 1;
-  //! By route name; they outlive configurations. References stay valid.
+  //! Profiles by route name, kept when the configuration changes. References
+  //! stay valid.
   std::map<std::string, LatencyProfile> m_profiles;
-  std::unordered_map<std::string, WeightedTurn> m_turns;
+  std::unordered_map<std::string, WeightedRoundRobin> m_round_robins;
   std::unordered_map<ServiceId, AttemptBudget> m_budgets;
   //! References to its elements stay valid until they are erased.
   std::unordered_map<CallId, PendingCall> m_calls;
   std::unordered_map<AttemptId, PendingAttempt> m_attempts;
   //! One timer for each element of m_calls.
   TimerQueue<CallId> m_timers;
-  //! When attempts that outlived their calls are cancelled.
+  //! Cancellation times of attempts that outlived their calls.
   TimerQueue<AttemptId> m_stale_attempts;
 };
 
--- a/src/jacinthdeck/forward/fwd.h
+++ b/src/jacinthdeck/forward/fwd.h
@@ -1,31 +1,31 @@
-// Forward declarations of the forward module: routes of opaque requests and the
-// decisions on each of them.
+// Forward declarations of the forward module, which forwards opaque requests to
+// targets.
 #ifndef JACINTHDECK_FORWARD_FWD_H_
 #define JACINTHDECK_FORWARD_FWD_H_
 
 namespace jacinthdeck {
 
 class AttemptBudget;
-class ColdShare;
+class ColdTargetLimiter;
 class CrashGuard;
 class Forwarder;
 class LatencyProfile;
 class RoutingConfig;
 class TargetPick;
 class TargetSet;
-class LearnedTarget;
-class WeightedTurn;
+class TrackedTarget;
+class WeightedRoundRobin;
 struct AttemptEnd;
 struct ForwardAnswer;
 struct ForwardCall;
 struct ForwardOptions;
+struct LatencyEstimate;
 struct LoadReport;
-struct OutgoingAttempt;
 struct OpaqueRequest;
+struct OutgoingAttempt;
 struct Route;
 struct TargetEntry;
 struct TargetResponse;
-struct UsualLatency;
 enum class AttemptOutcome;
 enum class ForwardReason;
 enum class RepeatRule;
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -1,4 +1,5 @@
-// Quantiles are costly to find, so they are renewed once in a while.
+// Quantiles are expensive to compute, so they are updated only once per
+// kQuantileInterval answers.
 #include "jacinthdeck/forward/latency_profile.h"
 
 #include <algorithm>
@@ -10,32 +11,35 @@
 
 using std::chrono::milliseconds;
 
-//! Samples that the average remembers.
+//! Memory of the decaying mean, in answers.
 constexpr std::uint32_t kMeanMemory = 256;
-//! Answers before the quantiles replace the guess.
-constexpr std::uint64_t kLeastSamples = 32;
-//! Answers between two looks at the quantiles.
-constexpr std::uint64_t kLearnEvery = 32;
-//! Objective of a route that names none.
-constexpr Duration kObjectiveGuess = milliseconds(200);
-//! Part of the objective that work is guessed to take.
-constexpr int kGuessedPart = 8;
-//! An attempt above this quantile gets a hedge: one in ten, half of the usual
-//! budget of extra attempts.
+//! Number of answers before measured values replace the assumed ones.
+constexpr std::uint64_t kMinSamples = 32;
+//! Number of answers between two updates of the quantiles.
+constexpr std::uint64_t kQuantileInterval = 32;
+//! Objective assumed for a route without one.
+constexpr Duration kAssumedObjective = milliseconds(200);
+//! Divisor of the objective that gives the assumed mean latency.
+constexpr int kInitialMeanDivisor = 8;
+//! An attempt slower than this quantile gets a hedge: one in ten, half of the
+//! usual budget of extra attempts.
 constexpr double kHedgeQuantile = 0.9;
-//! A hedge is never sent before this multiple of the mean, where latencies lie
-//! close together.
-constexpr double kLeastHedgeMeans = 1.3;
-//! A hedge that is sent later can seldom answer within the objective.
-constexpr double kLatestHedgePart = 0.4;
-//! Silence that work does not explain: this multiple of the hedge delay.
-constexpr double kLateFactor = 1.5;
-constexpr Duration kLeastLate = milliseconds(10);
-//! With less than this part of the mean left nearly all answers come too late.
-constexpr double kLeastTimePart = 0.5;
-//! Time for which the last answer vouches for the latencies: more than twice
-//! the longest pause of a target that users report.
-constexpr Duration kFreshFor = milliseconds(500);
+//! Minimum hedge delay as a multiple of the mean, for routes whose latencies
+//! are close together.
+constexpr double kMinHedgeMeanFactor = 1.3;
+//! Maximum hedge delay as a fraction of the objective: a hedge that is sent
+//! later can rarely answer within the objective.
+constexpr double kMaxHedgeObjectiveFraction = 0.4;
+//! Silence timeout as a multiple of the hedge delay; work does not explain a
+//! longer silence.
+constexpr double kSilenceFactor = 1.5;
+constexpr Duration kMinSilenceTimeout = milliseconds(10);
+//! Minimum useful time as a fraction of the mean: with less time left, nearly
+//! all answers arrive too late.
+constexpr double kMinUsefulMeanFraction = 0.5;
+//! Time after the last answer during which the measured latency is fresh: more
+//! than twice the longest pause of a target that users report.
+constexpr Duration kFreshnessPeriod = milliseconds(500);
 
 [[nodiscard]] Duration Scaled(Duration duration, double factor) {
   return Duration(static_cast<Duration::rep>(
@@ -45,44 +49,46 @@
 }  // namespace
 
 LatencyProfile::LatencyProfile(Duration objective)
-    : m_objective(objective > Duration::zero() ? objective : kObjectiveGuess),
+    : m_objective(objective > Duration::zero() ? objective : kAssumedObjective),
       m_average(kMeanMemory),
-      m_mean(m_objective / kGuessedPart),
-      m_hedge_delay(Scaled(m_objective, kLatestHedgePart)),
-      m_late_after(Scaled(m_hedge_delay, kLateFactor)) {}
+      m_mean(m_objective / kInitialMeanDivisor),
+      m_hedge_delay(Scaled(m_objective, kMaxHedgeObjectiveFraction)),
+      m_silence_timeout(Scaled(m_hedge_delay, kSilenceFactor)) {}
 
-UsualLatency LatencyProfile::usual() const noexcept {
+LatencyEstimate LatencyProfile::route_latency() const noexcept {
   const std::uint64_t samples = m_histogram.samples();
-  return {.mean = m_mean, .samples = samples < kLeastSamples ? 0 : samples};
+  return {.mean = m_mean, .samples = samples < kMinSamples ? 0 : samples};
 }
 
-Duration LatencyProfile::least_time() const noexcept {
-  return usual().is_measured() ? Scaled(m_mean, kLeastTimePart)
-                               : Duration::zero();
+Duration LatencyProfile::min_useful_time() const noexcept {
+  return route_latency().is_measured() ? Scaled(m_mean, kMinUsefulMeanFraction)
+                                       : Duration::zero();
 }
 
 bool LatencyProfile::IsFresh(TimePoint now) const noexcept {
-  return usual().is_measured() && now - m_learned_at < kFreshFor;
+  return route_latency().is_measured() &&
+         now - m_last_answer < kFreshnessPeriod;
 }
 
 void LatencyProfile::Add(Duration latency, TimePoint now) {
-  m_learned_at = now;
+  m_last_answer = now;
   m_histogram.Add(latency);
   m_average.Add(static_cast<double>(latency.count()));
   const std::uint64_t samples = m_histogram.samples();
-  if (samples >= kLeastSamples && samples % kLearnEvery == 0) {
-    Learn();
+  if (samples >= kMinSamples && samples % kQuantileInterval == 0) {
+    UpdateDelays();
   }
 }
 
-void LatencyProfile::Learn() {
+void LatencyProfile::UpdateDelays() {
   m_mean = std::max(Duration(static_cast<Duration::rep>(m_average.value())),
                     Duration(1));
-  const Duration least = Scaled(m_mean, kLeastHedgeMeans);
-  const Duration latest = Scaled(m_objective, kLatestHedgePart);
-  const Duration wanted = m_histogram.Quantile(kHedgeQuantile);
-  m_hedge_delay = std::max(std::min(wanted, latest), std::min(least, latest));
-  m_late_after = std::max(Scaled(m_hedge_delay, kLateFactor), kLeastLate);
+  const Duration least = Scaled(m_mean, kMinHedgeMeanFactor);
+  const Duration latest = Scaled(m_objective, kMaxHedgeObjectiveFraction);
+  const Duration quantile = m_histogram.Quantile(kHedgeQuantile);
+  m_hedge_delay = std::max(std::min(quantile, latest), std::min(least, latest));
+  m_silence_timeout =
+      std::max(Scaled(m_hedge_delay, kSilenceFactor), kMinSilenceTimeout);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -1,4 +1,5 @@
-// Scores every target of the service; services have a few to a few dozen.
+// Scores every target of the service; a service has a few to a few dozen
+// targets.
 #include "jacinthdeck/forward/target_set.h"
 
 #include <algorithm>
@@ -10,55 +11,59 @@
 
 namespace {
 
-//! Extra delay that a target outside the host's failure domain is charged, in
-//! parts of the mean: it costs a longer way and traffic between domains.
+//! Cost of a target outside the failure domain of this host, in mean latencies:
+//! its answers take longer and cause traffic between domains.
 constexpr double kOtherDomainCost = 1.5;
-//! The same compared with a target of the own domain that is expected to answer
-//! in good time: an answer that is sooner yet is worth nothing to its caller.
-constexpr double kNeedlessCost = 3.0;
-//! Part of the objective within which a target answers in good time. The rest
-//! is for the slowest shard and for a hedge.
-constexpr int kGoodTimePart = 2;
+//! The same, compared with a target in the own domain that is expected to
+//! answer fast enough: an even earlier answer has no value for the caller.
+constexpr double kUnneededOtherDomainCost = 3.0;
+//! Divisor of the objective: a target that answers within this part of it is
+//! fast enough. The rest is left for the slowest shard and for a hedge.
+constexpr int kFastEnoughDivisor = 2;
 //! Random part of a score: hosts with the same view must not all send to the
 //! same target.
 constexpr double kJitter = 0.1;
-//! Added to the score, in means: such a target is taken only if no other is
-//! left.
-constexpr double kDoubtfulCost = 1000;
-//! As above, for a target that had the request before.
+//! Cost of an unresponsive target, in mean latencies: it is chosen only if no
+//! other target is left.
+constexpr double kUnresponsiveCost = 1000;
+//! Cost of a target that was already sent the request, in mean latencies.
 constexpr double kTriedCost = 10000;
-//! A hedge needs a free slot: an extra request that waits in a queue delays
-//! others and helps nobody.
-constexpr double kHedgeOccupancy = 1.0;
-
-//! A hedge is worth its load at a target whose expected delay is up to so many
-//! times the time that is left. The expectation remembers the last pause for
-//! some answers, and most answers come much sooner; held to it, a hedge would
-//! find no target where each of the others paused a moment ago.
-constexpr int kHedgeHope = 2;
+//! Maximum occupancy of the target of a hedge. A hedge needs a free slot: an
+//! extra request that waits in a queue delays others and does not help its own
+//! call.
+constexpr double kMaxHedgeOccupancy = 1.0;
+
+//! A hedge is worth its load at a target whose expected delay is at most this
+//! multiple of the remaining time. The expected delay remembers the last pause
+//! for some answers, and most answers arrive much sooner; without this
+//! tolerance, a hedge would find no target when each of the others paused a
+//! moment ago.
+constexpr int kHedgeDelayTolerance = 2;
 
 [[nodiscard]] bool Contains(std::span<const TargetId> ids, const TargetId& id) {
   return std::ranges::find(ids, id) != ids.end();
 }
 
-[[nodiscard]] bool IsInGoodTime(Duration expected, const TargetNeed& need) {
-  return expected * kGoodTimePart <= need.objective;
+[[nodiscard]] bool IsFastEnough(Duration expected,
+                                const TargetCriteria& criteria) {
+  return expected * kFastEnoughDivisor <= criteria.objective;
 }
 
-[[nodiscard]] bool SuitsHedge(const LearnedTarget& target,
-                              const TargetNeed& need,
+[[nodiscard]] bool SuitsHedge(const TrackedTarget& target,
+                              const TargetCriteria& criteria,
                               TimePoint now) {
-  return !Contains(need.tried, target.entry().id) && !target.IsDoubtful(now) &&
-         target.Occupancy(now) < kHedgeOccupancy;
+  return !Contains(criteria.tried, target.entry().id) &&
+         !target.IsUnresponsive(now) &&
+         target.Occupancy(now) < kMaxHedgeOccupancy;
 }
 
-//! Tells whether this host may have one more attempt at the target.
-[[nodiscard]] bool HasPlace(const LearnedTarget& target,
-                            const TargetNeed& need) {
-  const std::size_t like =
-      need.needed ? target.needed_in_flight() : target.in_flight();
-  return like < MostInFlight(need.share, target.entry().slots) &&
-         target.in_flight() < std::max(need.share.connections, 1U);
+//! Returns whether this host may have one more attempt in flight at the target.
+[[nodiscard]] bool HasCapacity(const TrackedTarget& target,
+                               const TargetCriteria& criteria) {
+  const std::size_t counted =
+      criteria.required ? target.required_in_flight() : target.in_flight();
+  return counted < MaxInFlight(criteria.share, target.entry().slots) &&
+         target.in_flight() < std::max(criteria.share.connections, 1U);
 }
 
 }  // namespace
@@ -66,42 +71,45 @@
 TargetSet::TargetSet(FailureDomain domain, std::uint64_t seed)
     : m_domain(std::move(domain)), m_random(seed) {}
 
-std::size_t TargetSet::Live(const ServiceId& service) const {
+std::size_t TargetSet::CountLive(const ServiceId& service) const {
   const auto found = m_by_service.find(service);
   if (found == m_by_service.end()) {
     return 0;
   }
   return static_cast<std::size_t>(
-      std::ranges::count_if(found->second, &LearnedTarget::TakesWork));
+      std::ranges::count_if(found->second, &TrackedTarget::AcceptsRequests));
 }
 
-LearnedTarget* TargetSet::Find(const TargetId& id) {
+TrackedTarget* TargetSet::Find(const TargetId& id) {
   const auto found = m_targets.find(id);
   return found == m_targets.end() ? nullptr : found->second.get();
 }
 
-TargetChoice TargetSet::Pick(const TargetNeed& need, TimePoint now) {
-  const auto found = m_by_service.find(need.service);
+TargetChoice TargetSet::Pick(const TargetCriteria& criteria, TimePoint now) {
+  const auto found = m_by_service.find(criteria.service);
   if (found == m_by_service.end()) {
     return {};
   }
   TargetChoice best;
   double best_score = std::numeric_limits<double>::max();
-  for (LearnedTarget* target : found->second) {
-    if (!target->TakesWork() || !HasPlace(*target, need) ||
-        !MayLoad(*target, need, now)) {
+  for (TrackedTarget* target : found->second) {
+    if (!target->AcceptsRequests() || !HasCapacity(*target, criteria) ||
+        !IsWithinColdLimit(*target, criteria, now)) {
       continue;
     }
-    const Duration expected = target->ExpectedDelay(need.usual, now);
-    const bool hedge = need.reason == AttemptReason::kHedge;
-    if (hedge && !SuitsHedge(*target, need, now)) {
+    const Duration expected =
+        target->ExpectedDelay(criteria.route_latency, now);
+    const bool hedge = criteria.reason == AttemptReason::kHedge;
+    if (hedge && !SuitsHedge(*target, criteria, now)) {
       continue;
     }
-    const Duration hoped = hedge ? expected / kHedgeHope : expected;
-    if (hoped > need.useful && (hedge || target->in_flight() > 0)) {
+    const Duration tolerated =
+        hedge ? expected / kHedgeDelayTolerance : expected;
+    if (tolerated > criteria.useful_time &&
+        (hedge || target->in_flight() > 0)) {
       continue;
     }
-    const double score = Score(*target, need, expected, now);
+    const double score = Score(*target, criteria, expected, now);
     if (score < best_score) {
       best_score = score;
       best = {target, expected};
@@ -110,20 +118,22 @@
   return best;
 }
 
-Duration TargetSet::UsualOf(const ServiceId& service, Duration other) const {
+Duration TargetSet::MeanServedLatency(const ServiceId& service,
+                                      Duration other) const {
   Duration sum{};
-  int known = 0;
+  int measured = 0;
   const auto found = m_by_service.find(service);
   if (found == m_by_service.end()) {
     return other;
   }
-  for (const LearnedTarget* target : found->second) {
-    if (target->TakesWork() && target->usual() > Duration::zero()) {
-      sum += target->usual();
-      ++known;
+  for (const TrackedTarget* target : found->second) {
+    if (target->AcceptsRequests() &&
+        target->mean_served_latency() > Duration::zero()) {
+      sum += target->mean_served_latency();
+      ++measured;
     }
   }
-  return known == 0 ? other : sum / known;
+  return measured == 0 ? other : sum / measured;
 }
 
 void TargetSet::Replace(std::span<const TargetEntry> entries, TimePoint now) {
@@ -132,49 +142,49 @@
     named.insert(entry.id);
     auto& slot = m_targets[entry.id];
     if (slot == nullptr) {
-      slot = std::make_unique<LearnedTarget>(entry, now);
+      slot = std::make_unique<TrackedTarget>(entry, now);
     } else {
       slot->SetEntry(entry, now);
     }
   }
   m_by_service.clear();
-  m_live = 0;
+  m_available = 0;
   std::erase_if(m_targets, [&](const auto& item) {
     return !named.contains(item.first) && item.second->in_flight() == 0;
   });
   for (auto& [id, target] : m_targets) {
     if (!named.contains(id)) {
-      target->SetGone();
+      target->MarkRemoved();
       continue;
     }
     m_by_service[target->entry().service].push_back(target.get());
-    m_live += target->TakesWork() ? 1 : 0;
+    m_available += target->AcceptsRequests() ? 1 : 0;
   }
 }
 
-bool TargetSet::MayLoad(const LearnedTarget& target,
-                        const TargetNeed& need,
-                        TimePoint now) const {
-  return need.cold_rate <= 0 || !target.entry().IsCold(now) ||
-         m_cold_share.MaySend(target.entry().id, need.cold_rate,
-                              target.last_sent(), now);
+bool TargetSet::IsWithinColdLimit(const TrackedTarget& target,
+                                  const TargetCriteria& criteria,
+                                  TimePoint now) const {
+  return criteria.cold_rate <= 0 || !target.entry().IsCold(now) ||
+         m_cold_limiter.MaySend(target.entry().id, criteria.cold_rate,
+                                target.last_sent(), now);
 }
 
-double TargetSet::Score(const LearnedTarget& target,
-                        const TargetNeed& need,
+double TargetSet::Score(const TrackedTarget& target,
+                        const TargetCriteria& criteria,
                         Duration expected,
                         TimePoint now) {
-  const double mean =
-      static_cast<double>(std::max(need.usual.mean, Duration(1)).count());
+  const double mean = static_cast<double>(
+      std::max(criteria.route_latency.mean, Duration(1)).count());
   double score = static_cast<double>(expected.count()) / mean;
   score *= 1 + kJitter * m_random.Unit();
   if (target.entry().domain != m_domain) {
-    score += kNeedlessCost;
-  } else if (!IsInGoodTime(expected, need)) {
-    score += kNeedlessCost - kOtherDomainCost;
+    score += kUnneededOtherDomainCost;
+  } else if (!IsFastEnough(expected, criteria)) {
+    score += kUnneededOtherDomainCost - kOtherDomainCost;
   }
-  score += target.IsDoubtful(now) ? kDoubtfulCost : 0;
-  score += Contains(need.tried, target.entry().id) ? kTriedCost : 0;
+  score += target.IsUnresponsive(now) ? kUnresponsiveCost : 0;
+  score += Contains(criteria.tried, target.entry().id) ? kTriedCost : 0;
   return score;
 }
 
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -1,5 +1,4 @@
-// A forwarder over a paused clock, with targets and callers that the test
-// plays.
+// Forwarder with a manual clock; the test acts as targets and callers.
 #ifndef JACINTHDECK_TEST_FORWARD_FORWARDER_FIXTURE_H_
 #define JACINTHDECK_TEST_FORWARD_FORWARDER_FIXTURE_H_
 
@@ -22,18 +21,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/*! \brief Keeps what a forwarder wants. */
+/*! \brief Records the decisions of a forwarder. */
 struct RecordingPort final : ForwardPort {
   struct Delivered {
     CallId call;
     ForwardAnswer answer;
-    CallStory story;
+    CallTrace trace;
   };
 
   std::vector<OutgoingAttempt> sent;
   std::vector<AttemptId> cancelled;
   std::vector<Delivered> delivered;
-  std::vector<Fingerprint> convictions;
+  std::vector<Fingerprint> quarantines;
 
   void Send(const OutgoingAttempt& attempt) override {
     sent.push_back(attempt);
@@ -41,15 +40,16 @@
   void Cancel(AttemptId attempt) override { cancelled.push_back(attempt); }
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallStory& story) override {
-    delivered.push_back({call, std::move(answer), story});
+               const CallTrace& trace) override {
+    delivered.push_back({call, std::move(answer), trace});
   }
-  void ShareConviction(Fingerprint fingerprint) override {
-    convictions.push_back(fingerprint);
+  void ShareQuarantine(Fingerprint fingerprint) override {
+    quarantines.push_back(fingerprint);
   }
 };
 
-/*! \brief Four shards and a plain service, three targets each. */
+/*! \brief Forwarder with four shards and a plain service, three targets each.
+ * \brief Forwarder with four shards and a plain service, three targets each. */
 struct ForwarderFixture {
   static constexpr std::size_t kShards = 4;
   static constexpr std::size_t kReplicas = 3;
@@ -64,7 +64,7 @@
   std::uint64_t next_call = 1;
 
   ForwarderFixture() {
-    // Past the time in which a fresh budget grows.
+    // Past the window in which a new budget share grows.
     clock.Advance(seconds(20));
     for (std::size_t shard = 0; shard < kShards; ++shard) {
       AddTargets("shard-" + std::to_string(shard));
@@ -133,7 +133,7 @@
   }
 
   CallId Submit(const std::string& path,
-                Duration patience = milliseconds(1500)) {
+                Duration caller_timeout = milliseconds(1500)) {
     auto request = std::make_shared<OpaqueRequest>();
     request->method = "GET";
     request->host = "desk.example";
@@ -143,13 +143,14 @@
     call.id = CallId(next_call++);
     call.request = request;
     call.arrived = clock.Now();
-    call.deadline = clock.Now() + patience;
+    call.deadline = clock.Now() + caller_timeout;
     const CallId id = call.id;
     forwarder.Submit(std::move(call), clock.Now());
     return id;
   }
 
-  //! Moves time on in small steps, acting on whatever is due.
+  //! Advances the clock from timer to timer, and processes each timer that is
+  //! due.
   void Advance(Duration step) {
     const TimePoint end = clock.Now() + step;
     while (clock.Now() < end) {
@@ -192,7 +193,8 @@
     forwarder.OnAttemptEnd(end, clock.Now());
   }
 
-  //! Runs calls that are answered after a time, so that latencies are known.
+  //! Submits calls that are answered after a given time, so that latencies are
+  //! measured.
   void WarmUp(const std::string& path, Duration latency, int calls = 64) {
     for (int i = 0; i < calls; ++i) {
       const std::size_t before = port.sent.size();
@@ -206,25 +208,25 @@
     port.delivered.clear();
   }
 
-  //! Leaves one target of the plain service that takes work.
-  void OfferOnly(const TargetId& id) {
-    std::vector<TargetEntry> offered = targets;
-    for (TargetEntry& entry : offered) {
+  //! Makes all targets of the plain service but one drain.
+  void OfferOnlyTarget(const TargetId& id) {
+    std::vector<TargetEntry> entries = targets;
+    for (TargetEntry& entry : entries) {
       entry.draining = entry.service == ServiceId("plain") && entry.id != id;
     }
-    forwarder.SetTargets(offered, clock.Now());
+    forwarder.SetTargets(entries, clock.Now());
   }
 
-  //! Each target of the plain service answers some calls after a time, and
-  //! tells of its load with the last answer.
-  void TellLoadOfAll(const LoadReport& load, Duration latency) {
+  //! Lets each target of the plain service answer some calls after a given
+  //! time, and report its load with the last answer.
+  void ReportLoadOfAllTargets(const LoadReport& load, Duration latency) {
     constexpr int kCalls = 16;
     for (std::size_t i = 0; i < kReplicas; ++i) {
-      OfferOnly(TargetId("plain/" + std::to_string(i)));
+      OfferOnlyTarget(TargetId("plain/" + std::to_string(i)));
       WarmUp("/read/" + std::to_string(i), latency, kCalls);
     }
     for (std::size_t i = 0; i < kReplicas; ++i) {
-      OfferOnly(TargetId("plain/" + std::to_string(i)));
+      OfferOnlyTarget(TargetId("plain/" + std::to_string(i)));
       (void)Submit("/read/" + std::to_string(i));
       AttemptEnd end;
       end.id = port.sent.back().id;
@@ -239,7 +241,7 @@
     port.delivered.clear();
   }
 
-  [[nodiscard]] const RecordingPort::Delivered& Only() const {
+  [[nodiscard]] const RecordingPort::Delivered& OnlyAnswer() const {
     BOOST_REQUIRE_EQUAL(port.delivered.size(), 1U);
     return port.delivered.front();
   }
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -1,4 +1,4 @@
-// Tests of the choice among the targets of a service.
+// Tests of the choice of a target of a service.
 #include "jacinthdeck/forward/target_set.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
   TimePoint now{seconds(100)};
   TargetSet set{FailureDomain("fd-0"), 7};
   std::vector<TargetEntry> entries;
-  TargetNeed need;
+  TargetCriteria criteria;
   std::uint64_t next = 1;
 
   TargetSetFixture() {
@@ -33,29 +33,29 @@
       entries.push_back(entry);
     }
     set.Replace(entries, now);
-    need.service = ServiceId("desk");
-    need.usual = {.mean = milliseconds(20), .samples = 64};
-    need.share.connections = 5;
+    criteria.service = ServiceId("desk");
+    criteria.route_latency = {.mean = milliseconds(20), .samples = 64};
+    criteria.share.connections = 5;
   }
 
-  [[nodiscard]] LearnedTarget& Target(int index) {
+  [[nodiscard]] TrackedTarget& Target(int index) {
     return *set.Find(TargetId("t" + std::to_string(index)));
   }
 
-  AttemptId Send(LearnedTarget& target) {
+  AttemptId Send(TrackedTarget& target) {
     const AttemptId id(next++);
-    target.OnSend(id, milliseconds(50), need.needed, now);
+    target.OnSend(id, milliseconds(50), criteria.required, now);
     return id;
   }
 
-  void Answer(LearnedTarget& target, Duration latency) {
-    target.OnAnswer(Send(target), latency, need.usual, now);
+  void Answer(TrackedTarget& target, Duration latency) {
+    target.OnAnswer(Send(target), latency, criteria.route_latency, now);
   }
 
   [[nodiscard]] std::map<std::string, int> Picks(int count) {
     std::map<std::string, int> picks;
     for (int i = 0; i < count; ++i) {
-      const TargetChoice choice = set.Pick(need, now);
+      const TargetChoice choice = set.Pick(criteria, now);
       ++picks[choice.target == nullptr ? "none"
                                        : choice.target->entry().id.raw()];
     }
@@ -67,28 +67,30 @@
 
 BOOST_FIXTURE_TEST_SUITE(TargetSetTest, TargetSetFixture)
 
-BOOST_AUTO_TEST_CASE(Pick_AllAreAlike_PrefersTheOwnFailureDomain) {
+BOOST_AUTO_TEST_CASE(Pick_EqualTargets_PrefersOwnFailureDomain) {
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-// A target answers searches of 20 ms and has eighteen of them in its queue. A
-// request of a route with long work of its own waits no longer than a search
-// does: reckoned in its own 160 ms, six turns of three slots would take a
-// second, and its caller would be turned away from a queue of 120 ms.
-BOOST_AUTO_TEST_CASE(ExpectedDelay_LongWorkBehindShortQueue_CountsTheQueue) {
+// Guards against a wait that is computed with the latency of the wrong
+// requests. A target answers short requests of 20 ms and has eighteen of them
+// in its queue. With its own latency of 160 ms for the queue, a long request
+// would expect six rounds of three slots to take a second, and its caller would
+// be refused because of a queue of 120 ms.
+BOOST_AUTO_TEST_CASE(
+    ExpectedDelay_LongWorkBehindShortRequests_UsesQueueLatency) {
   for (int i = 0; i < 64; ++i) {
     Answer(Target(0), milliseconds(20));
   }
   Target(0).OnLoad(LoadReport{3, 18, 3, 1}, now);
-  const UsualLatency long_work{.mean = milliseconds(160), .samples = 64};
+  const LatencyEstimate long_work{.mean = milliseconds(160), .samples = 64};
   const Duration expected = Target(0).ExpectedDelay(long_work, now);
   BOOST_TEST((expected > milliseconds(160 + 100)));
   BOOST_TEST((expected < milliseconds(400)));
 }
 
-// A target stands still. Every query that is sent to it waits for the whole
-// pause, so the first one that is late makes all others avoid it.
-BOOST_AUTO_TEST_CASE(Pick_TargetIsSilentBeyondItsWork_IsAvoidedByAll) {
+// Guards against requests to a paused target, each of which waits for the whole
+// pause: after the first one that is late, all others avoid the target.
+BOOST_AUTO_TEST_CASE(Pick_TargetIsSilent_IsAvoided) {
   (void)Send(Target(0));
   now += milliseconds(60);
   BOOST_TEST(Picks(50).count("t0") == 0U);
@@ -97,42 +99,43 @@
 BOOST_AUTO_TEST_CASE(Pick_SilentTargetAnswers_IsUsedAgain) {
   const AttemptId id = Send(Target(0));
   now += milliseconds(200);
-  Target(0).OnAnswer(id, milliseconds(20), need.usual, now);
+  Target(0).OnAnswer(id, milliseconds(20), criteria.route_latency, now);
   BOOST_TEST(Picks(50)["t0"] > 0);
 }
 
-// A target whose work fails looks idle; a choice by load would send it
-// everything.
-BOOST_AUTO_TEST_CASE(Pick_TargetFailsQuickly_OthersGetTheWork) {
+// Guards against sending everything to a target that fails quickly, because it
+// looks idle.
+BOOST_AUTO_TEST_CASE(Pick_TargetFailsQuickly_IsAvoided) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
   }
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-// The nearest target flaps: a second in which all its work fails, a second in
-// which all is well. What it has just answered speaks for it again and again,
-// and each time some callers pay for the trial. Chosen blindly for its nearness
-// it would fail half of all work.
-BOOST_AUTO_TEST_CASE(Pick_NearestTargetFlaps_FewRequestsPayForIt) {
+// Guards against requests to a target that alternates between a second in which
+// all requests fail and a second in which all succeed. Its recent successes
+// make the host try it again, and some callers pay for each trial. If it were
+// always chosen because it is in the own domain, half of all requests would
+// fail.
+BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetFlaps_FewRequestsFail) {
   constexpr int kRequests = 4000;
   int failed = 0;
   for (int i = 0; i < kRequests; ++i) {
     now += milliseconds(5);
-    LearnedTarget& target = *set.Pick(need, now).target;
+    TrackedTarget& target = *set.Pick(criteria, now).target;
     const bool is_bad = (now.time_since_epoch() / seconds(1)) % 2 == 0;
     const AttemptId id = Send(target);
     if (is_bad && &target == &Target(0)) {
       target.OnFailure(id, now);
       ++failed;
     } else {
-      target.OnAnswer(id, milliseconds(20), need.usual, now);
+      target.OnAnswer(id, milliseconds(20), criteria.route_latency, now);
     }
   }
   BOOST_TEST(failed < kRequests / 50);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_FailuresAreLongAgo_TargetIsTriedAgain) {
+BOOST_AUTO_TEST_CASE(Pick_FailuresAreOld_TargetIsUsedAgain) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
   }
@@ -140,79 +143,80 @@
   BOOST_TEST(Picks(50)["t0"] > 0);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_TargetReportsALongQueue_OthersGetTheWork) {
+BOOST_AUTO_TEST_CASE(Pick_TargetReportsLongQueue_IsAvoided) {
   Target(0).OnLoad(LoadReport{3, 9, 3, 1}, now);
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_ReportIsOld_CountsNoMore) {
+BOOST_AUTO_TEST_CASE(Pick_LoadReportIsOld_IsIgnored) {
   Target(0).OnLoad(LoadReport{3, 9, 3, 1}, now);
   now += seconds(5);
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_DrainingTarget_GetsNothing) {
+BOOST_AUTO_TEST_CASE(Pick_TargetIsDraining_IsNotChosen) {
   entries[0].draining = true;
   set.Replace(entries, now);
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_AllAreAtTheirLimit_ChoosesNone) {
-  need.share.connections = 1;
+BOOST_AUTO_TEST_CASE(Pick_AllTargetsAtConnectionLimit_ChoosesNone) {
+  criteria.share.connections = 1;
   for (int i = 0; i < 3; ++i) {
     (void)Send(Target(i));
   }
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// A hedge that waits in a queue delays others and helps nobody.
-BOOST_AUTO_TEST_CASE(Pick_HedgeFindsNoFreeSlot_ChoosesNone) {
-  need.reason = AttemptReason::kHedge;
+// Guards against a hedge that waits in a queue, which delays other requests and
+// does not help its own call.
+BOOST_AUTO_TEST_CASE(Pick_HedgeWithoutFreeSlot_ChoosesNone) {
+  criteria.reason = AttemptReason::kHedge;
   for (int i = 0; i < 3; ++i) {
     Target(i).OnLoad(LoadReport{3, 0, 3, 1}, now);
   }
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// A target is ten times slower than the route's answers. A hedge to it would
-// come after its answer is of use, spend the shard's last attempt and hold a
-// slot of the slow target.
-BOOST_AUTO_TEST_CASE(Pick_HedgeWouldComeTooLate_ChoosesNone) {
-  need.reason = AttemptReason::kHedge;
-  need.useful = milliseconds(60);
+// Guards against a hedge that cannot be answered in time. All targets are ten
+// times slower than the route, so a hedge would spend the last attempt of the
+// shard and occupy a slot of a slow target for nothing.
+BOOST_AUTO_TEST_CASE(Pick_HedgeWouldBeLate_ChoosesNone) {
+  criteria.reason = AttemptReason::kHedge;
+  criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.usual.mean * 10);
+    Answer(Target(i), criteria.route_latency.mean * 10);
   }
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// The other targets of a shard each paused once among their last answers. Most
-// of their answers still come in time, so the hedge must find one of them; held
-// to the average with the pause in it, the shard was left out with a budget of
-// hedges unspent.
-BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnceAmongManyAnswers_HedgeFindsOne) {
+// Guards against a shard that is left out although the budget has hedges left.
+// The targets each paused once among their recent answers, and most of their
+// answers still arrive in time, so the hedge must find one. The mean latency
+// with the pause in it excluded all of them.
+BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnce_HedgeIsChosen) {
   constexpr int kAnswers = 7;
-  need.reason = AttemptReason::kHedge;
-  need.useful = milliseconds(30);
+  criteria.reason = AttemptReason::kHedge;
+  criteria.useful_time = milliseconds(30);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.usual.mean * 10);
+    Answer(Target(i), criteria.route_latency.mean * 10);
     for (int answer = 0; answer < kAnswers; ++answer) {
-      Answer(Target(i), need.usual.mean);
+      Answer(Target(i), criteria.route_latency.mean);
     }
   }
   BOOST_TEST(Picks(1).count("none") == 0U);
 }
 
-// All targets of a shard are slow, and the answer can do without the shard. One
-// attempt at a time finds out when a target is fast again; more would fill its
-// queue, so that it answers late for a while longer.
-BOOST_AUTO_TEST_CASE(Pick_TargetsAnswerTooLate_EachGetsOneAttemptAtATime) {
-  need.useful = milliseconds(60);
+// Guards against full queues at slow targets. All targets of a shard are slow,
+// and the answer can do without the shard. One attempt at a time detects when a
+// target is fast again; more would fill its queue and keep it late for longer.
+BOOST_AUTO_TEST_CASE(Pick_AllTargetsTooSlow_EachGetsOneAttemptAtATime) {
+  criteria.useful_time = milliseconds(60);
   for (int i = 0; i < 3; ++i) {
-    Answer(Target(i), need.usual.mean * 10);
+    Answer(Target(i), criteria.route_latency.mean * 10);
   }
   for (int i = 0; i < 3; ++i) {
-    const TargetChoice choice = set.Pick(need, now);
+    const TargetChoice choice = set.Pick(criteria, now);
     BOOST_REQUIRE(choice.target != nullptr);
     BOOST_TEST(choice.target->in_flight() == 0U);
     (void)Send(*choice.target);
@@ -220,10 +224,10 @@
   BOOST_TEST(Picks(1)["none"] == 1);
 }
 
-// Guards against bytes between domains that bring no answer in time: the own
-// target is slower than the others, and soon enough.
-BOOST_AUTO_TEST_CASE(Pick_OwnTargetIsSlowerButInGoodTime_KeepsToTheOwnDomain) {
-  need.objective = milliseconds(120);
+// Guards against traffic between failure domains that brings no answer in time:
+// the target in the own domain is slower than the others, and fast enough.
+BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetIsFastEnough_StaysInDomain) {
+  criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
     Answer(Target(0), milliseconds(44));
     Answer(Target(1), milliseconds(16));
@@ -232,9 +236,10 @@
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-// Guards against late answers for the sake of bytes.
-BOOST_AUTO_TEST_CASE(Pick_OwnTargetTakesMostOfTheObjective_GoesElsewhere) {
-  need.objective = milliseconds(120);
+// Guards against late answers for the sake of less traffic between failure
+// domains.
+BOOST_AUTO_TEST_CASE(Pick_OwnDomainTargetIsTooSlow_LeavesDomain) {
+  criteria.objective = milliseconds(120);
   for (int i = 0; i < 8; ++i) {
     Answer(Target(0), milliseconds(70));
     Answer(Target(1), milliseconds(16));
@@ -243,35 +248,36 @@
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-// Guards against work for the targets of an evacuated domain.
-BOOST_AUTO_TEST_CASE(Pick_TargetIsEvacuated_GetsNothingForWhateverReason) {
+// Guards against requests to the targets of an evacuated domain.
+BOOST_AUTO_TEST_CASE(Pick_TargetIsEvacuated_IsNeverChosen) {
   for (TargetEntry& entry : entries) {
     entry.evacuated = entry.id != TargetId("t2");
   }
   set.Replace(entries, now);
-  BOOST_TEST(set.Live(need.service) == 1U);
+  BOOST_TEST(set.CountLive(criteria.service) == 1U);
   for (const AttemptReason reason :
        {AttemptReason::kFirst, AttemptReason::kHedge, AttemptReason::kRetry}) {
-    need.reason = reason;
+    criteria.reason = reason;
     BOOST_TEST(Picks(20)["t2"] == 20);
   }
 }
 
-// Guards against a crash of a cold target by requests beyond what it bears.
-BOOST_AUTO_TEST_CASE(Pick_ColdTargetHasABound_GetsNoMoreThanTheHostsShare) {
+// Guards against a crash of a cold target that gets more requests than it can
+// handle.
+BOOST_AUTO_TEST_CASE(Pick_ColdTargetsWithRateBound_StaysWithinHostShare) {
   for (TargetEntry& entry : entries) {
     entry.cold_until = now + seconds(4);
   }
   set.Replace(entries, now);
   set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h0")});
-  need.cold_rate = 5;
-  need.share.connections = 1000;
+  criteria.cold_rate = 5;
+  criteria.share.connections = 1000;
   int sent = 0;
   for (int i = 0; i < 3000; ++i) {
     now += milliseconds(1);
-    const TargetChoice choice = set.Pick(need, now);
+    const TargetChoice choice = set.Pick(criteria, now);
     if (choice.target != nullptr) {
-      Answer(*choice.target, need.usual.mean);
+      Answer(*choice.target, criteria.route_latency.mean);
       ++sent;
     }
   }
@@ -281,17 +287,17 @@
   BOOST_TEST(Picks(50).count("none") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Pick_HostTakesNoCallers_SendsNothingToABoundedColdTarget) {
+BOOST_AUTO_TEST_CASE(Pick_HostIsNotListed_SkipsColdTargetWithRateBound) {
   entries[0].cold_until = now + seconds(4);
   set.Replace(entries, now);
   set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h1")});
-  need.cold_rate = 100;
+  criteria.cold_rate = 100;
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
 
-// A target comes back under its id after a crash. What its former life failed
-// at says nothing of the new one.
-BOOST_AUTO_TEST_CASE(Replace_LaterStartUnderTheSameId_ForgetsTheFailures) {
+// Guards against failures of a previous process that count against a restarted
+// target with the same id.
+BOOST_AUTO_TEST_CASE(Replace_TargetRestartedWithSameId_ForgetsFailures) {
   for (int i = 0; i < 10; ++i) {
     Target(0).OnFailure(Send(Target(0)), now);
   }
@@ -300,14 +306,15 @@
   BOOST_TEST(Picks(50)["t0"] == 50);
 }
 
-BOOST_AUTO_TEST_CASE(Replace_TargetIsGoneWithWorkInFlight_StaysUntilItsEnd) {
+BOOST_AUTO_TEST_CASE(
+    Replace_TargetRemovedWithAttemptInFlight_KeptUntilAttemptEnds) {
   const AttemptId id = Send(Target(0));
   const std::vector<TargetEntry> rest(entries.begin() + 1, entries.end());
   set.Replace(rest, now);
-  LearnedTarget* const gone = set.Find(TargetId("t0"));
+  TrackedTarget* const gone = set.Find(TargetId("t0"));
   BOOST_REQUIRE(gone != nullptr);
-  BOOST_TEST(!gone->TakesWork());
-  gone->OnAnswer(id, milliseconds(20), need.usual, now);
+  BOOST_TEST(!gone->AcceptsRequests());
+  gone->OnAnswer(id, milliseconds(20), criteria.route_latency, now);
   set.Replace(rest, now);
   BOOST_TEST((set.Find(TargetId("t0")) == nullptr));
 }
