--- a/src/jacinthdeck/forward/call_trace.h
+++ b/src/jacinthdeck/forward/call_trace.h
@@ -10,9 +10,9 @@
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/forward/attempt_end.h"
-#include "jacinthdeck/forward/latency_estimate.h"
 #include "jacinthdeck/forward/route.h"
 #include "jacinthdeck/forward/routing_config.h"
+#include "jacinthdeck/forward/usual_latency.h"
 
 namespace jacinthdeck {
 
--- a/src/jacinthdeck/forward/cold_target_limiter.cc
+++ b/src/jacinthdeck/forward/cold_share.cc
@@ -1,6 +1,6 @@
 // Rendezvous hashing: the hosts with the highest weights for a target are
 // selected.
-#include "jacinthdeck/forward/cold_target_limiter.h"
+#include "jacinthdeck/forward/cold_share.h"
 
 #include <xxhash.h>
 
--- a/src/jacinthdeck/forward/cold_target_limiter.h
+++ b/src/jacinthdeck/forward/cold_share.h
@@ -1,6 +1,6 @@
 // Limits the rate of requests that this host sends to a cold target.
-#ifndef JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
-#define JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
+#ifndef JACINTHDECK_FORWARD_COLD_SHARE_H_
+#define JACINTHDECK_FORWARD_COLD_SHARE_H_
 
 #include <cstdint>
 #include <span>
@@ -69,4 +69,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_COLD_TARGET_LIMITER_H_
+#endif  // JACINTHDECK_FORWARD_COLD_SHARE_H_
--- a/src/jacinthdeck/forward/in_flight_limit.cc
+++ b/src/jacinthdeck/forward/in_flight_bound.cc
@@ -1,5 +1,5 @@
 // Each host gets an equal share of a few requests per slot of the target.
-#include "jacinthdeck/forward/in_flight_limit.h"
+#include "jacinthdeck/forward/in_flight_bound.h"
 
 #include <algorithm>
 
--- a/src/jacinthdeck/forward/in_flight_limit.h
+++ b/src/jacinthdeck/forward/in_flight_bound.h
@@ -1,6 +1,6 @@
 // Limits the attempts that one host may have in flight at a target.
-#ifndef JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
-#define JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
+#ifndef JACINTHDECK_FORWARD_IN_FLIGHT_BOUND_H_
+#define JACINTHDECK_FORWARD_IN_FLIGHT_BOUND_H_
 
 #include <cstdint>
 
@@ -34,4 +34,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_IN_FLIGHT_LIMIT_H_
+#endif  // JACINTHDECK_FORWARD_IN_FLIGHT_BOUND_H_
--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -3,7 +3,7 @@
 #define JACINTHDECK_FORWARD_LATENCY_PROFILE_H_
 
 #include "jacinthdeck/core/time.h"
-#include "jacinthdeck/forward/latency_estimate.h"
+#include "jacinthdeck/forward/usual_latency.h"
 #include "jacinthdeck/routing/decaying_average.h"
 #include "jacinthdeck/routing/latency_histogram.h"
 
--- a/src/jacinthdeck/forward/tracked_target.cc
+++ b/src/jacinthdeck/forward/learned_target.cc
@@ -1,5 +1,5 @@
 // Updates load, latency and failures from the ends of attempts.
-#include "jacinthdeck/forward/tracked_target.h"
+#include "jacinthdeck/forward/learned_target.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/jacinthdeck/forward/tracked_target.h
+++ b/src/jacinthdeck/forward/learned_target.h
@@ -1,6 +1,6 @@
 // Load, latency and failures of one target as observed by this host.
-#ifndef JACINTHDECK_FORWARD_TRACKED_TARGET_H_
-#define JACINTHDECK_FORWARD_TRACKED_TARGET_H_
+#ifndef JACINTHDECK_FORWARD_LEARNED_TARGET_H_
+#define JACINTHDECK_FORWARD_LEARNED_TARGET_H_
 
 #include <cstdint>
 #include <optional>
@@ -8,9 +8,9 @@
 
 #include "jacinthdeck/core/ids.h"
 #include "jacinthdeck/core/time.h"
-#include "jacinthdeck/forward/latency_estimate.h"
 #include "jacinthdeck/forward/load_report.h"
 #include "jacinthdeck/forward/target_entry.h"
+#include "jacinthdeck/forward/usual_latency.h"
 #include "jacinthdeck/routing/decaying_average.h"
 
 namespace jacinthdeck {
@@ -161,4 +161,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_TRACKED_TARGET_H_
+#endif  // JACINTHDECK_FORWARD_LEARNED_TARGET_H_
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -13,7 +13,7 @@
 #include "jacinthdeck/forward/forward_answer.h"
 #include "jacinthdeck/forward/forward_call.h"
 #include "jacinthdeck/forward/latency_profile.h"
-#include "jacinthdeck/forward/tracked_target.h"
+#include "jacinthdeck/forward/learned_target.h"
 
 namespace jacinthdeck::internal {
 
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -13,10 +13,10 @@
 #include "jacinthdeck/core/random.h"
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/forward/attempt_end.h"
-#include "jacinthdeck/forward/cold_target_limiter.h"
-#include "jacinthdeck/forward/in_flight_limit.h"
-#include "jacinthdeck/forward/latency_estimate.h"
-#include "jacinthdeck/forward/tracked_target.h"
+#include "jacinthdeck/forward/cold_share.h"
+#include "jacinthdeck/forward/in_flight_bound.h"
+#include "jacinthdeck/forward/learned_target.h"
+#include "jacinthdeck/forward/usual_latency.h"
 
 namespace jacinthdeck {
 
--- a/src/jacinthdeck/forward/latency_estimate.h
+++ b/src/jacinthdeck/forward/usual_latency.h
@@ -1,6 +1,6 @@
 // Mean latency of the answers of a route, and whether it was measured.
-#ifndef JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
-#define JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
+#ifndef JACINTHDECK_FORWARD_USUAL_LATENCY_H_
+#define JACINTHDECK_FORWARD_USUAL_LATENCY_H_
 
 #include <cstdint>
 
@@ -19,4 +19,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_FORWARD_LATENCY_ESTIMATE_H_
+#endif  // JACINTHDECK_FORWARD_USUAL_LATENCY_H_
--- a/test/jacinthdeck/forward/cold_target_limiter_test.cc
+++ b/test/jacinthdeck/forward/cold_share_test.cc
@@ -1,5 +1,5 @@
 // Tests of the request rate that several hosts send to a cold target.
-#include "jacinthdeck/forward/cold_target_limiter.h"
+#include "jacinthdeck/forward/cold_share.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
--- a/test/jacinthdeck/forward/in_flight_limit_test.cc
+++ b/test/jacinthdeck/forward/in_flight_bound_test.cc
@@ -1,5 +1,5 @@
 // Tests of the limit on a host's attempts at a target.
-#include "jacinthdeck/forward/in_flight_limit.h"
+#include "jacinthdeck/forward/in_flight_bound.h"
 
 #include <boost/test/unit_test.hpp>
 
