--- a/bench/support/forward_model.cc
+++ b/bench/support/forward_model.cc
@@ -132,7 +132,7 @@
                                     span.replica == replica;
                            });
       m_targets.emplace_back(m_load, std::move(troubles), m_start,
-                             m_random.Fork());
+                             m_random.DrawSeed());
       if (shard < m_load.lone_shards && replica > 0) {
         continue;
       }
@@ -150,7 +150,7 @@
     options.domain = DomainOf(index);
     options.budget = m_load.budget;
     m_hosts.push_back(
-        std::make_unique<Host>(*this, index, options, m_random.Fork()));
+        std::make_unique<Host>(*this, index, options, m_random.DrawSeed()));
     Forwarder& forwarder = m_hosts.back()->forwarder;
     forwarder.SetTargets(m_entries, m_start);
     forwarder.SetHosts(m_load.hosts, true, m_start);
--- a/bench/support/tail_model.h
+++ b/bench/support/tail_model.h
@@ -97,7 +97,7 @@
   void MakeEntry(std::uint32_t index) {
     constexpr unsigned kEntryShift = 40;
     const std::uint64_t first = std::uint64_t{index + 1} << kEntryShift;
-    auto entry = std::make_unique<Entry>(m_random.Fork(),
+    auto entry = std::make_unique<Entry>(m_random.DrawSeed(),
                                          m_case.strategy.options, first);
     entry->router.SetTargets(m_fleet.infos, m_now);
     entry->router.SetEntryCount(m_case.entries, m_now);
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "jacinthdeck/core/boottime_clock.h"
 #include "jacinthdeck/core/random.h"
-#include "jacinthdeck/core/steady_clock.h"
 #include "jacinthdeck/http/asio.h"
 #include "jacinthdeck/http/client_session.h"
 #include "soak/history.h"
@@ -51,7 +51,7 @@
   [[nodiscard]] bool Connect(Caller& caller);
 
   asio::io_context& m_loop;
-  SteadyClock m_clock;
+  BoottimeClock m_clock;
   Random m_random;
   const std::uint64_t m_seed;
   std::map<std::size_t, std::uint16_t> m_entries;
--- a/soak/stage.h
+++ b/soak/stage.h
@@ -13,7 +13,7 @@
 #include <thread>
 #include <vector>
 
-#include "jacinthdeck/core/steady_clock.h"
+#include "jacinthdeck/core/boottime_clock.h"
 #include "jacinthdeck/http/asio.h"
 #include "soak/callers.h"
 #include "soak/child.h"
@@ -146,7 +146,7 @@
   [[nodiscard]] std::string FileOf(const std::string& name) const;
 
   StageOptions m_options;
-  SteadyClock m_clock;
+  BoottimeClock m_clock;
   asio::io_context m_loop;
   std::unique_ptr<Child> m_store;
   std::uint16_t m_store_port = 0;
--- a/soak/target_main.cc
+++ b/soak/target_main.cc
@@ -12,9 +12,9 @@
 #include <thread>
 
 #include "http/http_server.h"
+#include "jacinthdeck/core/boottime_clock.h"
 #include "jacinthdeck/core/endpoint.h"
 #include "jacinthdeck/core/json.h"
-#include "jacinthdeck/core/steady_clock.h"
 #include "jacinthdeck/http/blocking_client.h"
 #include "jacinthdeck/http/status.h"
 #include "platform/wire_names.h"
@@ -151,7 +151,7 @@
   }
 
   TargetOptions m_options;
-  SteadyClock m_clock;
+  BoottimeClock m_clock;
   const int m_log;
   TimePoint m_next_beat;
   std::atomic<bool> m_leaving = false;
--- a/src/jacinthdeck/core/steady_clock.h
+++ b/src/jacinthdeck/core/boottime_clock.h
@@ -1,6 +1,6 @@
 // The runtime's clock in a running daemon.
-#ifndef JACINTHDECK_CORE_STEADY_CLOCK_H_
-#define JACINTHDECK_CORE_STEADY_CLOCK_H_
+#ifndef JACINTHDECK_CORE_BOOTTIME_CLOCK_H_
+#define JACINTHDECK_CORE_BOOTTIME_CLOCK_H_
 
 #include <chrono>
 #include <ctime>
@@ -17,7 +17,7 @@
  * that woke from that would take its lapsed serving lease for a fresh one and
  * answer by a revision that is gone.
  */
-class SteadyClock final : public Clock {
+class BoottimeClock final : public Clock {
  public:
   [[nodiscard]] TimePoint Now() const noexcept override {
     timespec since_start{};
@@ -30,4 +30,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_CORE_STEADY_CLOCK_H_
+#endif  // JACINTHDECK_CORE_BOOTTIME_CLOCK_H_
--- a/src/jacinthdeck/core/bounded_ring.h
+++ b/src/jacinthdeck/core/bounded_ring.h
@@ -39,7 +39,7 @@
       }
       m_items.push_back(std::move(item));
     }
-    m_filled.notify_one();
+    m_not_empty.notify_one();
     return true;
   }
 
@@ -54,20 +54,20 @@
   [[nodiscard]] std::vector<T> PopAll(std::chrono::microseconds wait) {
     std::unique_lock lock(m_mutex);
     if (m_items.empty() && wait > std::chrono::microseconds::zero()) {
-      m_filled.wait_for(lock, wait, [this] { return !m_items.empty(); });
+      m_not_empty.wait_for(lock, wait, [this] { return !m_items.empty(); });
     }
-    std::vector<T> taken;
-    taken.reserve(m_items.size());
+    std::vector<T> items;
+    items.reserve(m_items.size());
     for (T& item : m_items) {
-      taken.push_back(std::move(item));
+      items.push_back(std::move(item));
     }
     m_items.clear();
-    return taken;
+    return items;
   }
 
  private:
   std::mutex m_mutex;
-  std::condition_variable m_filled;
+  std::condition_variable m_not_empty;
   //! Never grows past the capacity given at the start.
   boost::circular_buffer<T> m_items;
 };
--- a/src/jacinthdeck/core/fwd.h
+++ b/src/jacinthdeck/core/fwd.h
@@ -8,7 +8,7 @@
 class ManualClock;
 class Random;
 struct Error;
-struct LinkBytes;
+struct TrafficBytes;
 enum class ErrorCode;
 enum class Outcome;
 
--- a/src/jacinthdeck/core/ids.h
+++ b/src/jacinthdeck/core/ids.h
@@ -10,7 +10,7 @@
 namespace jacinthdeck {
 
 /*! \brief One daemon, named in its settings; the name outlives restarts. */
-using NodeId = StrongId<struct NodeTag, std::string>;
+using HostId = StrongId<struct HostTag, std::string>;
 /*! \brief One back-end server. */
 using TargetId = StrongId<struct TargetTag, std::string>;
 /*! \brief A query service that operators declared. */
--- a/src/jacinthdeck/core/random.h
+++ b/src/jacinthdeck/core/random.h
@@ -30,7 +30,7 @@
   }
 
   /*! \brief Draws a seed for a generator of one's own. */
-  [[nodiscard]] std::uint64_t Fork() { return m_engine(); }
+  [[nodiscard]] std::uint64_t DrawSeed() { return m_engine(); }
 
  private:
   std::mt19937_64 m_engine;
--- a/src/jacinthdeck/core/settings_table.cc
+++ b/src/jacinthdeck/core/settings_table.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-[[nodiscard]] std::string Shown(double value) {
+[[nodiscard]] std::string FormatNumber(double value) {
   std::ostringstream text;
   text << value;
   return text.str();
@@ -23,42 +23,43 @@
 
 struct SettingsTable::Impl {
   toml::table root;
-  std::vector<std::string> known;
-  std::vector<SettingsFault> faults;
+  std::vector<std::string> known_keys;
+  std::vector<SettingsError> errors;
   bool parsed = false;
 
   //! Looks a dotted key up and remembers it as known.
-  const toml::node* Find(const std::string& key, SettingNeed need) {
-    known.push_back(key);
+  const toml::node* FindKey(const std::string& key, SettingPresence presence) {
+    known_keys.push_back(key);
     const toml::node* node = root.at_path(key).node();
-    if (node == nullptr && need == SettingNeed::kRequired && parsed) {
-      faults.push_back({0, key, "is missing; it has no default"});
+    if (node == nullptr && presence == SettingPresence::kRequired && parsed) {
+      errors.push_back({0, key, "is missing; it has no default"});
     }
     return node;
   }
 
-  void Add(const toml::node& node,
-           const std::string& key,
-           const std::string& message) {
-    faults.push_back({node.source().begin.line, key, message});
+  void AddError(const toml::node& node,
+                const std::string& key,
+                const std::string& message) {
+    errors.push_back({node.source().begin.line, key, message});
   }
 
   // A misspelt key would otherwise leave its default in force without a word.
-  void FindUnknown(const toml::table& table, const std::string& prefix) {
+  void AddUnknownKeys(const toml::table& table, const std::string& prefix) {
     for (const auto& [name, node] : table) {
       const std::string key = prefix + std::string(name.str());
-      if (std::ranges::find(known, key) != known.end()) {
+      if (std::ranges::find(known_keys, key) != known_keys.end()) {
         continue;
       }
-      const bool is_section = std::ranges::any_of(
-          known,
-          [&](const std::string& one) { return one.starts_with(key + "."); });
+      const bool is_section =
+          std::ranges::any_of(known_keys, [&](const std::string& known_key) {
+            return known_key.starts_with(key + ".");
+          });
       if (is_section && node.is_table()) {
-        FindUnknown(*node.as_table(), key + ".");
+        AddUnknownKeys(*node.as_table(), key + ".");
       } else {
-        Add(node, key,
-            is_section ? "has the wrong type; expected a table"
-                       : "is not a known key");
+        AddError(node, key,
+                 is_section ? "has the wrong type; expected a table"
+                            : "is not a known key");
       }
     }
   }
@@ -69,7 +70,7 @@
   toml::parse_result result = toml::parse(text);
   if (!result) {
     const toml::parse_error& error = result.error();
-    m_impl->faults.push_back(
+    m_impl->errors.push_back(
         {error.source().begin.line, "", std::string(error.description())});
     return;
   }
@@ -80,17 +81,17 @@
 SettingsTable::~SettingsTable() = default;
 
 std::string SettingsTable::Text(const std::string& key,
-                                SettingNeed need,
+                                SettingPresence presence,
                                 const std::string& fallback) {
-  const toml::node* node = m_impl->Find(key, need);
+  const toml::node* node = m_impl->FindKey(key, presence);
   if (node == nullptr) {
     return fallback;
   }
   const auto value = node->value_exact<std::string>();
   if (!value || value->empty()) {
-    m_impl->Add(*node, key,
-                value ? "is empty; expected text"
-                      : "has the wrong type; expected a string");
+    m_impl->AddError(*node, key,
+                     value ? "is empty; expected text"
+                           : "has the wrong type; expected a string");
     return fallback;
   }
   return *value;
@@ -100,7 +101,7 @@
     const std::string& key,
     std::initializer_list<std::string_view> allowed,
     const std::string& fallback) {
-  std::string value = Text(key, SettingNeed::kOptional, fallback);
+  std::string value = Text(key, SettingPresence::kOptional, fallback);
   if (std::ranges::find(allowed, value) != allowed.end()) {
     return value;
   }
@@ -108,41 +109,42 @@
   for (const std::string_view name : allowed) {
     names += (names.empty() ? "" : ", ") + std::string(name);
   }
-  m_impl->Add(*m_impl->root.at_path(key).node(), key,
-              "is \"" + value + "\"; expected one of " + names);
+  m_impl->AddError(*m_impl->root.at_path(key).node(), key,
+                   "is \"" + value + "\"; expected one of " + names);
   return fallback;
 }
 
 double SettingsTable::Number(const std::string& key,
                              SettingRange range,
-                             SettingNeed need,
+                             SettingPresence presence,
                              double fallback) {
-  const toml::node* node = m_impl->Find(key, need);
+  const toml::node* node = m_impl->FindKey(key, presence);
   if (node == nullptr) {
     return fallback;
   }
-  const std::string expected = "; expected a number from " + Shown(range.low) +
-                               " to " + Shown(range.high);
+  const std::string expected = "; expected a number from " +
+                               FormatNumber(range.low) + " to " +
+                               FormatNumber(range.high);
   const auto value = node->value<double>();
   if (!value || !node->is_number()) {
-    m_impl->Add(*node, key, "has the wrong type" + expected);
+    m_impl->AddError(*node, key, "has the wrong type" + expected);
     return fallback;
   }
   if (*value < range.low || *value > range.high) {
-    m_impl->Add(*node, key, "is " + Shown(*value) + expected);
+    m_impl->AddError(*node, key, "is " + FormatNumber(*value) + expected);
     return fallback;
   }
   return *value;
 }
 
 bool SettingsTable::Flag(const std::string& key, bool fallback) {
-  const toml::node* node = m_impl->Find(key, SettingNeed::kOptional);
+  const toml::node* node = m_impl->FindKey(key, SettingPresence::kOptional);
   if (node == nullptr) {
     return fallback;
   }
   const auto value = node->value_exact<bool>();
   if (!value) {
-    m_impl->Add(*node, key, "has the wrong type; expected true or false");
+    m_impl->AddError(*node, key, "has the wrong type; expected true or false");
   }
   return value.value_or(fallback);
 }
@@ -151,19 +153,20 @@
                                      SettingRange range,
                                      Duration fallback) {
   const double value =
-      Number(key, range, SettingNeed::kOptional, ToMilliseconds(fallback));
+      Number(key, range, SettingPresence::kOptional, ToMilliseconds(fallback));
   constexpr double kMicroseconds = 1000;
   return Duration(static_cast<Duration::rep>(value * kMicroseconds));
 }
 
-Endpoint SettingsTable::Address(const std::string& key, SettingNeed need) {
-  const std::string text = Text(key, need);
+Endpoint SettingsTable::Address(const std::string& key,
+                                SettingPresence presence) {
+  const std::string text = Text(key, presence);
   if (text.empty()) {
     return {};
   }
   auto parsed = Capture([&] { return Endpoint::Parse(text); });
   if (const auto* error = std::get_if<Error>(&parsed)) {
-    m_impl->Add(*m_impl->root.at_path(key).node(), key, error->message);
+    m_impl->AddError(*m_impl->root.at_path(key).node(), key, error->message);
     return {};
   }
   return std::get<0>(std::move(parsed));
@@ -171,20 +174,21 @@
 
 std::vector<Endpoint> SettingsTable::Addresses(const std::string& key) {
   std::vector<Endpoint> addresses;
-  const toml::node* node = m_impl->Find(key, SettingNeed::kOptional);
+  const toml::node* node = m_impl->FindKey(key, SettingPresence::kOptional);
   if (node == nullptr) {
     return addresses;
   }
   const toml::array* list = node->as_array();
   if (list == nullptr) {
-    m_impl->Add(*node, key, "has the wrong type; expected a list of IPv4:port");
+    m_impl->AddError(*node, key,
+                     "has the wrong type; expected a list of IPv4:port");
     return addresses;
   }
   for (const toml::node& item : *list) {
     const std::string text = item.value<std::string>().value_or("");
     auto parsed = Capture([&] { return Endpoint::Parse(text); });
     if (const auto* error = std::get_if<Error>(&parsed)) {
-      m_impl->Add(item, key, "holds an entry that " + error->message);
+      m_impl->AddError(item, key, "holds an entry that " + error->message);
       continue;
     }
     addresses.push_back(std::get<0>(std::move(parsed)));
@@ -192,9 +196,9 @@
   return addresses;
 }
 
-std::vector<SettingsFault> SettingsTable::TakeFaults() {
-  m_impl->FindUnknown(m_impl->root, "");
-  return std::move(m_impl->faults);
+std::vector<SettingsError> SettingsTable::TakeErrors() {
+  m_impl->AddUnknownKeys(m_impl->root, "");
+  return std::move(m_impl->errors);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/core/settings_table.h
+++ b/src/jacinthdeck/core/settings_table.h
@@ -15,7 +15,7 @@
 namespace jacinthdeck {
 
 /*! \brief One fault of a settings file. */
-struct SettingsFault {
+struct SettingsError {
   //! Line in the file; 0 where the fault is an absent key.
   std::uint32_t line = 0;
   //! Dotted key, such as `listen.callers`; empty for a syntax error.
@@ -23,11 +23,11 @@
   //! What was found and what was expected.
   std::string message;
 
-  [[nodiscard]] bool operator==(const SettingsFault&) const = default;
+  [[nodiscard]] bool operator==(const SettingsError&) const = default;
 };
 
 /*! \brief Whether a key may be absent. */
-enum class SettingNeed { kRequired, kOptional };
+enum class SettingPresence { kRequired, kOptional };
 
 /*! \brief Inclusive range of a number. */
 struct SettingRange {
@@ -50,7 +50,7 @@
 
   /*! \brief Reads a text that is not empty. */
   [[nodiscard]] std::string Text(const std::string& key,
-                                 SettingNeed need,
+                                 SettingPresence presence,
                                  const std::string& fallback = "");
 
   /*! \brief Reads one of a few words. */
@@ -62,7 +62,7 @@
   /*! \brief Reads a number, whole or not. */
   [[nodiscard]] double Number(const std::string& key,
                               SettingRange range,
-                              SettingNeed need,
+                              SettingPresence presence,
                               double fallback = 0);
 
   /*! \brief Reads true or false. */
@@ -74,13 +74,14 @@
                                       Duration fallback);
 
   /*! \brief Reads `address:port`. */
-  [[nodiscard]] Endpoint Address(const std::string& key, SettingNeed need);
+  [[nodiscard]] Endpoint Address(const std::string& key,
+                                 SettingPresence presence);
 
   /*! \brief Reads a list of `address:port`; empty if it is absent. */
   [[nodiscard]] std::vector<Endpoint> Addresses(const std::string& key);
 
   /*! \brief Gives all faults, unknown keys included; called last. */
-  [[nodiscard]] std::vector<SettingsFault> TakeFaults();
+  [[nodiscard]] std::vector<SettingsError> TakeErrors();
 
  private:
   struct Impl;
--- a/src/jacinthdeck/core/timer_queue.h
+++ b/src/jacinthdeck/core/timer_queue.h
@@ -19,22 +19,23 @@
  public:
   /*! \brief Gives the earliest moment, or nothing while no timer is set. */
   [[nodiscard]] std::optional<TimePoint> Next() const {
-    return m_order.empty() ? std::nullopt : std::optional(m_order.begin()->at);
+    return m_by_time.empty() ? std::nullopt
+                             : std::optional(m_by_time.begin()->due);
   }
 
   /*! \brief Sets or moves the timer of a key. */
-  void Set(const Key& key, TimePoint at) {
+  void Set(const Key& key, TimePoint due) {
     Remove(key);
-    m_order.insert(Entry{at, key});
-    m_at.emplace(key, at);
+    m_by_time.insert(Entry{due, key});
+    m_due.emplace(key, due);
   }
 
   /*! \brief Drops the timer of a key, if it has one. */
   void Remove(const Key& key) {
-    const auto found = m_at.find(key);
-    if (found != m_at.end()) {
-      m_order.erase(Entry{found->second, key});
-      m_at.erase(found);
+    const auto found = m_due.find(key);
+    if (found != m_due.end()) {
+      m_by_time.erase(Entry{found->second, key});
+      m_due.erase(found);
     }
   }
 
@@ -44,25 +45,25 @@
    * \return Its key, or nothing if none is due.
    */
   [[nodiscard]] std::optional<Key> TakeDue(TimePoint now) {
-    if (m_order.empty() || m_order.begin()->at > now) {
+    if (m_by_time.empty() || m_by_time.begin()->due > now) {
       return std::nullopt;
     }
-    const Key key = m_order.begin()->key;
+    const Key key = m_by_time.begin()->key;
     Remove(key);
     return key;
   }
 
  private:
   struct Entry {
-    TimePoint at;
+    TimePoint due;
     Key key;
 
     [[nodiscard]] auto operator<=>(const Entry&) const = default;
   };
 
-  //! Holds exactly one entry for each entry of m_at.
-  std::set<Entry> m_order;
-  std::map<Key, TimePoint> m_at;
+  //! Holds exactly one entry for each entry of m_due.
+  std::set<Entry> m_by_time;
+  std::map<Key, TimePoint> m_due;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/fleet.cc
+++ b/src/jacinthdeck/discovery/fleet.cc
@@ -73,9 +73,9 @@
 
 }  // namespace
 
-std::vector<NodeId> ChooseWatchers(std::span<const HostRecord> hosts) {
+std::vector<HostId> ChooseWatchers(std::span<const HostRecord> hosts) {
   const Ranked ranked = Rank(hosts);
-  std::vector<NodeId> watchers;
+  std::vector<HostId> watchers;
   if (ranked.empty()) {
     return watchers;
   }
--- a/src/jacinthdeck/discovery/fleet.h
+++ b/src/jacinthdeck/discovery/fleet.h
@@ -26,7 +26,7 @@
  * \return Names; at least one a failure domain and three in all, where there
  * are so many hosts.
  */
-[[nodiscard]] std::vector<NodeId> ChooseWatchers(
+[[nodiscard]] std::vector<HostId> ChooseWatchers(
     std::span<const HostRecord> hosts);
 
 /**
--- a/src/jacinthdeck/discovery/host_record.h
+++ b/src/jacinthdeck/discovery/host_record.h
@@ -11,7 +11,7 @@
 
 /*! \brief A host that serves callers. */
 struct HostRecord {
-  NodeId name;
+  HostId name;
   FailureDomain domain;
   //! `address:port` that callers connect to.
   std::string callers;
@@ -26,7 +26,7 @@
   //! Start of its process in Unix milliseconds: tells its lives apart.
   std::uint64_t started_ms = 0;
   //! Host that wrote this record into the store, with whose lease it ends.
-  NodeId writer;
+  HostId writer;
 
   [[nodiscard]] bool operator==(const HostRecord&) const = default;
 };
--- a/src/jacinthdeck/discovery/knowledge.h
+++ b/src/jacinthdeck/discovery/knowledge.h
@@ -76,7 +76,7 @@
   [[nodiscard]] std::vector<HostRecord> Hosts() const {
     return m_hosts.Entries();
   }
-  [[nodiscard]] const HostRecord* FindHost(const NodeId& name) const {
+  [[nodiscard]] const HostRecord* FindHost(const HostId& name) const {
     return m_hosts.Find(m_codec.HostKey(name));
   }
   /*! \brief Text of the schema of typed calls; empty if there is none. */
--- a/src/jacinthdeck/discovery/member_records.cc
+++ b/src/jacinthdeck/discovery/member_records.cc
@@ -26,7 +26,7 @@
   member.record = std::move(record);
 }
 
-void MemberRecords::OnMemberLeft(const NodeId& name) {
+void MemberRecords::OnMemberLeft(const HostId& name) {
   m_members.erase(name);
 }
 
@@ -41,10 +41,10 @@
 void MemberRecords::OnHosts(std::span<const HeldRecord> held,
                             const StorePosition& position,
                             TimePoint now) {
-  std::set<NodeId> named;
-  std::map<NodeId, Stray> strays;
+  std::set<HostId> named;
+  std::map<HostId, Stray> strays;
   for (const HeldRecord& host : held) {
-    const NodeId& name = host.record.name;
+    const HostId& name = host.record.name;
     named.insert(name);
     const bool own = host.record.writer == m_self && name != m_self;
     if (!own || m_members.contains(name)) {
--- a/src/jacinthdeck/discovery/member_records.h
+++ b/src/jacinthdeck/discovery/member_records.h
@@ -57,7 +57,7 @@
 class MemberRecords {
  public:
   /*! \brief Makes an empty set for the writer of that name. */
-  explicit MemberRecords(NodeId self) : m_self(std::move(self)) {}
+  explicit MemberRecords(HostId self) : m_self(std::move(self)) {}
 
   /*! \brief Tells whether nothing is written for anybody. */
   [[nodiscard]] bool empty() const noexcept {
@@ -69,7 +69,7 @@
 
   /*! \brief Takes the loss of a member, or its word that it is written
    * elsewhere. */
-  void OnMemberLeft(const NodeId& name);
+  void OnMemberLeft(const HostId& name);
 
   /*! \brief The lease has ended: nothing of what was written holds. */
   void OnLeaseLost();
@@ -110,10 +110,10 @@
     bool alone = false;
   };
 
-  const NodeId m_self;
-  std::map<NodeId, Member> m_members;
+  const HostId m_self;
+  std::map<HostId, Member> m_members;
   //! Records of this writer whose hosts are no members.
-  std::map<NodeId, Stray> m_strays;
+  std::map<HostId, Stray> m_strays;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/platform_codec.h
+++ b/src/jacinthdeck/discovery/platform_codec.h
@@ -63,7 +63,7 @@
   virtual ~PlatformCodec() = default;
 
   [[nodiscard]] virtual KeyName ReadKey(std::string_view key) const = 0;
-  [[nodiscard]] virtual std::string HostKey(const NodeId& host) const = 0;
+  [[nodiscard]] virtual std::string HostKey(const HostId& host) const = 0;
   [[nodiscard]] virtual std::string ConvictionKey(
       Fingerprint fingerprint) const = 0;
   [[nodiscard]] virtual std::string SchemaKey() const = 0;
--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -41,7 +41,7 @@
                            const Clock& clock,
                            const PlatformCodec& codec,
                            KnowledgeObserver& observer,
-                           NodeId name,
+                           HostId name,
                            const Endpoint& store,
                            std::uint64_t seed)
     : m_clock(clock),
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -48,7 +48,7 @@
                const Clock& clock,
                const PlatformCodec& codec,
                KnowledgeObserver& observer,
-               NodeId name,
+               HostId name,
                const Endpoint& store,
                std::uint64_t seed);
   StoreSession(const StoreSession&) = delete;
@@ -119,7 +119,7 @@
   void TakeMember(const std::string& value);
 
   /*! \brief Ends that. */
-  void DropMember(const NodeId& name);
+  void DropMember(const HostId& name);
 
   /*! \brief A record as the store holds it. */
   [[nodiscard]] std::string ValueOf(const HostRecord& record) const {
@@ -217,7 +217,7 @@
   ClientSession m_writes;
   asio::steady_timer m_write_timer;
   Backoff m_write_backoff;
-  const NodeId m_name;
+  const HostId m_name;
   //! This host's record as it should stand; nothing while it should not, or is
   //! another host's to write.
   std::optional<HostRecord> m_record;
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -54,7 +54,7 @@
   m_members.OnMember(std::get<0>(std::move(read)));
 }
 
-void StoreSession::DropMember(const NodeId& name) {
+void StoreSession::DropMember(const HostId& name) {
   m_members.OnMemberLeft(name);
 }
 
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -185,10 +185,10 @@
       .Count("store_renewals", traffic.store.renewals)
       .Count("store_writes", traffic.store.writes)
       .Count("store_failures", traffic.store.failures)
-      .Count("feed_bytes_own_domain", traffic.feed.own)
-      .Count("feed_bytes_other_domains", traffic.feed.other)
-      .Count("target_bytes_own_domain", traffic.targets.own)
-      .Count("target_bytes_other_domains", traffic.targets.other)
+      .Count("feed_bytes_own_domain", traffic.feed.own_domain)
+      .Count("feed_bytes_other_domains", traffic.feed.other_domains)
+      .Count("target_bytes_own_domain", traffic.targets.own_domain)
+      .Count("target_bytes_other_domains", traffic.targets.other_domains)
       .Raw("attempts", CountsText(traffic.calls.attempts))
       .Raw("attempts_other_domains",
            CountsText(traffic.calls.attempts_crossing));
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "jacinthdeck/core/boottime_clock.h"
 #include "jacinthdeck/core/result.h"
-#include "jacinthdeck/core/steady_clock.h"
 #include "jacinthdeck/discovery/fleet.h"
 #include "jacinthdeck/discovery/record_writer.h"
 #include "jacinthdeck/discovery/store_session.h"
@@ -120,7 +120,7 @@
 
   EntrySettings m_settings;
   const EntryProtocol m_protocol;
-  const SteadyClock m_clock;
+  const BoottimeClock m_clock;
   const TimePoint m_started;
   const std::uint64_t m_started_ms;
   LogWriter m_writer;
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -127,7 +127,7 @@
   m_fronts = std::move(fronts);
   if (!same) {
     m_decisions.OnFronts(m_fronts);
-    std::vector<NodeId> names;
+    std::vector<HostId> names;
     std::ranges::transform(m_fronts, std::back_inserter(names),
                            &HostRecord::name);
     m_forwarder.SetHostNames(names);
--- a/src/jacinthdeck/entry/entry_settings.cc
+++ b/src/jacinthdeck/entry/entry_settings.cc
@@ -21,38 +21,41 @@
 }
 
 void ReadHost(SettingsTable& table, EntrySettings& settings) {
-  settings.name = NodeId(table.Text("host.name", SettingNeed::kRequired));
-  settings.domain =
-      FailureDomain(table.Text("host.failure_domain", SettingNeed::kRequired));
-  settings.cpu_share = table.Number("host.cpu_share", kShare,
-                                    SettingNeed::kOptional, settings.cpu_share);
-  settings.cores = table.Number("host.cores", kCores, SettingNeed::kOptional,
-                                settings.cores);
+  settings.name = HostId(table.Text("host.name", SettingPresence::kRequired));
+  settings.domain = FailureDomain(
+      table.Text("host.failure_domain", SettingPresence::kRequired));
+  settings.cpu_share = table.Number(
+      "host.cpu_share", kShare, SettingPresence::kOptional, settings.cpu_share);
+  settings.cores = table.Number("host.cores", kCores,
+                                SettingPresence::kOptional, settings.cores);
   settings.descriptors =
       Whole(table.Number("host.descriptors", kDescriptors,
-                         SettingNeed::kOptional, settings.descriptors));
+                         SettingPresence::kOptional, settings.descriptors));
 }
 
 void ReadListen(SettingsTable& table, EntrySettings& settings) {
-  settings.callers = table.Address("listen.callers", SettingNeed::kRequired);
-  settings.ready = table.Address("listen.ready", SettingNeed::kOptional);
+  settings.callers =
+      table.Address("listen.callers", SettingPresence::kRequired);
+  settings.ready = table.Address("listen.ready", SettingPresence::kOptional);
   settings.directory =
-      table.Address("listen.directory", SettingNeed::kOptional);
-  settings.metrics = table.Address("listen.metrics", SettingNeed::kOptional);
-  settings.queries = table.Address("listen.queries", SettingNeed::kOptional);
-  settings.peers = table.Address("listen.peers", SettingNeed::kOptional);
+      table.Address("listen.directory", SettingPresence::kOptional);
+  settings.metrics =
+      table.Address("listen.metrics", SettingPresence::kOptional);
+  settings.queries =
+      table.Address("listen.queries", SettingPresence::kOptional);
+  settings.peers = table.Address("listen.peers", SettingPresence::kOptional);
   settings.seeds = table.Addresses("peers.seeds");
   settings.fleet_starts = table.Flag("peers.fleet_starts", false);
-  settings.store = table.Address("store.address", SettingNeed::kRequired);
+  settings.store = table.Address("store.address", SettingPresence::kRequired);
 }
 
 void ReadBounds(SettingsTable& table, EntrySettings& settings) {
   settings.extra_ratio =
-      table.Number("extra_attempts.ratio", kRatio, SettingNeed::kOptional,
+      table.Number("extra_attempts.ratio", kRatio, SettingPresence::kOptional,
                    settings.extra_ratio);
   settings.extra_constant =
-      table.Number("extra_attempts.constant", kConstant, SettingNeed::kOptional,
-                   settings.extra_constant);
+      table.Number("extra_attempts.constant", kConstant,
+                   SettingPresence::kOptional, settings.extra_constant);
   settings.extra_window = table.Milliseconds("extra_attempts.window_ms",
                                              kWindowMs, settings.extra_window);
   settings.directory_ttl = table.Milliseconds("directory.ttl_ms", kDirectoryMs,
@@ -66,15 +69,16 @@
       table.OneOf("log.level", {"trace", "debug", "info", "warning", "error"},
                   settings.log_level);
   settings.log_bytes_per_second = Whole(
-      table.Number("log.bytes_per_second", kLogBytes, SettingNeed::kOptional,
-                   settings.log_bytes_per_second));
-  settings.log_sample = Whole(table.Number(
-      "log.sample", kLogSample, SettingNeed::kOptional, settings.log_sample));
+      table.Number("log.bytes_per_second", kLogBytes,
+                   SettingPresence::kOptional, settings.log_bytes_per_second));
+  settings.log_sample =
+      Whole(table.Number("log.sample", kLogSample, SettingPresence::kOptional,
+                         settings.log_sample));
 }
 
 }  // namespace
 
-std::variant<EntrySettings, std::vector<SettingsFault>> ReadEntrySettings(
+std::variant<EntrySettings, std::vector<SettingsError>> ReadEntrySettings(
     const std::string& text) {
   SettingsTable table(text);
   EntrySettings settings;
@@ -82,7 +86,7 @@
   ReadListen(table, settings);
   ReadBounds(table, settings);
   ReadLog(table, settings);
-  std::vector<SettingsFault> faults = table.TakeFaults();
+  std::vector<SettingsError> faults = table.TakeErrors();
   if (!faults.empty()) {
     return faults;
   }
--- a/src/jacinthdeck/entry/entry_settings.h
+++ b/src/jacinthdeck/entry/entry_settings.h
@@ -17,7 +17,7 @@
 /*! \brief Checked settings; each key is explained in docs/operate/settings.md.
  */
 struct EntrySettings {
-  NodeId name;
+  HostId name;
   FailureDomain domain;
   //! Where callers connect.
   Endpoint callers;
@@ -61,7 +61,7 @@
  * \brief Reads settings from TOML text.
  * \return The settings, or every fault found.
  */
-[[nodiscard]] std::variant<EntrySettings, std::vector<SettingsFault>>
+[[nodiscard]] std::variant<EntrySettings, std::vector<SettingsError>>
 ReadEntrySettings(const std::string& text);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/feed_hub.cc
+++ b/src/jacinthdeck/entry/feed_hub.cc
@@ -44,7 +44,8 @@
 }
 
 void FeedHub::CountReceived() {
-  const std::uint64_t counted = m_received.own + m_received.other;
+  const std::uint64_t counted =
+      m_received.own_domain + m_received.other_domains;
   m_received.Add(m_link.received() - counted, m_choice.IsNear());
 }
 
@@ -96,7 +97,7 @@
   }
 }
 
-void FeedHub::OnFollowerLeft(const NodeId& host) {
+void FeedHub::OnFollowerLeft(const HostId& host) {
   m_store.DropMember(host);
 }
 
--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "jacinthdeck/core/clock.h"
-#include "jacinthdeck/core/link_bytes.h"
 #include "jacinthdeck/core/result.h"
+#include "jacinthdeck/core/traffic_bytes.h"
 #include "jacinthdeck/discovery/host_record.h"
 #include "jacinthdeck/discovery/store_session.h"
 #include "jacinthdeck/peer/feed_choice.h"
@@ -66,7 +66,7 @@
   [[nodiscard]] Result<void> Listen(const Endpoint& endpoint);
 
   /*! \brief Bytes from feeders since the start. */
-  [[nodiscard]] const LinkBytes& received() const noexcept {
+  [[nodiscard]] const TrafficBytes& received() const noexcept {
     return m_received;
   }
 
@@ -95,7 +95,7 @@
   void OnFeedBeat(const FeedBeat& beat) override;
   void OnFeedLost(const std::string& problem) override;
   void OnFollower(const FeedHello& hello) override;
-  void OnFollowerLeft(const NodeId& host) override;
+  void OnFollowerLeft(const HostId& host) override;
   void TellRecord();
   //! Counts what the link received since the last time.
   void CountReceived();
@@ -103,12 +103,12 @@
   const Clock& m_clock;
   StoreSession& m_store;
   FeedHubObserver& m_observer;
-  const NodeId m_name;
+  const HostId m_name;
   FeedServer m_server;
   FeedLink m_link;
   FeedChoice m_choice;
   TimePoint m_beat_at;
-  LinkBytes m_received;
+  TrafficBytes m_received;
   //! What the feeder is to keep in the store for this host; empty: nothing.
   std::string m_record;
   //! What the present feeder was told of that.
--- a/src/jacinthdeck/forward/cold_share.cc
+++ b/src/jacinthdeck/forward/cold_share.cc
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-void ColdShare::SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
+void ColdShare::SetHosts(const HostId& self, std::span<const HostId> hosts) {
   m_self = HashOf(self.raw(), 0);
   m_has_share = false;
   m_others.clear();
-  for (const NodeId& host : hosts) {
+  for (const HostId& host : hosts) {
     if (host == self) {
       m_has_share = true;
     } else {
--- a/src/jacinthdeck/forward/cold_share.h
+++ b/src/jacinthdeck/forward/cold_share.h
@@ -33,7 +33,7 @@
    * \brief Takes the hosts that callers are sent to.
    * \param self This host; without a share if it is not among them.
    */
-  void SetHosts(const NodeId& self, std::span<const NodeId> hosts);
+  void SetHosts(const HostId& self, std::span<const HostId> hosts);
 
   /**
    * \brief Tells how often this host may send to a target while it is cold.
--- a/src/jacinthdeck/forward/forward_options.h
+++ b/src/jacinthdeck/forward/forward_options.h
@@ -11,7 +11,7 @@
 /*! \brief Bounds of a forwarder. */
 struct ForwardOptions {
   //! This host.
-  NodeId host;
+  HostId host;
   FailureDomain domain;
   AttemptBudgetOptions budget;
   //! Time kept back for the way of an answer to its caller.
--- a/src/jacinthdeck/forward/forwarder.cc
+++ b/src/jacinthdeck/forward/forwarder.cc
@@ -13,7 +13,7 @@
     : m_options(options),
       m_port(port),
       m_random(seed),
-      m_targets(options.domain, m_random.Fork()),
+      m_targets(options.domain, m_random.DrawSeed()),
       m_share_since(now) {}
 
 std::optional<TimePoint> Forwarder::NextTimer() const {
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -85,7 +85,7 @@
   void SetHosts(std::uint32_t hosts, bool self, TimePoint now);
 
   /*! \brief Takes the names of the hosts that callers are sent to. */
-  void SetHostNames(std::span<const NodeId> hosts) {
+  void SetHostNames(std::span<const HostId> hosts) {
     m_targets.SetHosts(m_options.host, hosts);
   }
 
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -93,7 +93,7 @@
                                  Duration other) const;
 
   /*! \brief Takes the hosts that share what cold targets bear. */
-  void SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
+  void SetHosts(const HostId& self, std::span<const HostId> hosts) {
     m_cold_share.SetHosts(self, hosts);
   }
 
--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -96,7 +96,7 @@
 }
 
 void FeedChoice::OnHosts(std::span<const HostRecord> hosts, TimePoint now) {
-  const std::vector<NodeId> watchers = ChooseWatchers(hosts);
+  const std::vector<HostId> watchers = ChooseWatchers(hosts);
   if (watchers.empty()) {
     return;
   }
--- a/src/jacinthdeck/peer/feed_message.cc
+++ b/src/jacinthdeck/peer/feed_message.cc
@@ -166,7 +166,7 @@
 
 [[nodiscard]] Result<FeedMessage> ReadPlain(const wire::Message& message) {
   if (const auto* hello = message.body_as_Hello()) {
-    return FeedMessage(FeedHello{NodeId(TextOf(hello->host())),
+    return FeedMessage(FeedHello{HostId(TextOf(hello->host())),
                                  PositionOf(*hello), TextOf(hello->record()),
                                  hello->reads_packed()});
   }
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -17,7 +17,7 @@
 
 /*! \brief A follower presents itself. */
 struct FeedHello {
-  NodeId host;
+  HostId host;
   //! Up to which it knows all; revision 0 if it knows nothing.
   StorePosition position;
   //! Its record in the store's format, which the feeder is to keep there; empty
--- a/src/jacinthdeck/peer/feed_server.cc
+++ b/src/jacinthdeck/peer/feed_server.cc
@@ -54,7 +54,7 @@
   bool greeted = false;
   FeedPacking packing = FeedPacking::kPlain;
   //! Known once it is greeted.
-  NodeId host;
+  HostId host;
   //! It knows all up to some revision, so that changes are of use to it.
   bool has_content = false;
   bool closed = false;
--- a/src/jacinthdeck/peer/follower_observer.h
+++ b/src/jacinthdeck/peer/follower_observer.h
@@ -15,7 +15,7 @@
   virtual void OnFollower(const FeedHello& hello) = 0;
 
   /*! \brief The last link of a follower ended. */
-  virtual void OnFollowerLeft(const NodeId& host) = 0;
+  virtual void OnFollowerLeft(const HostId& host) = 0;
 };
 
 }  // namespace jacinthdeck
--- a/standins/store_main.cc
+++ b/standins/store_main.cc
@@ -2,7 +2,7 @@
 #include <chrono>
 #include <cstdint>
 #include <optional>
-#include "jacinthdeck/core/steady_clock.h"
+#include "jacinthdeck/core/boottime_clock.h"
 
 #include "process/process.h"
 #include "store/restore_drill.h"
@@ -24,7 +24,7 @@
 };
 
 int Serve(std::uint16_t port, const StoreOptions& options) {
-  const SteadyClock clock;
+  const BoottimeClock clock;
   StoreServer server(port, clock, options.rates, options.seed);
   std::optional<RestoreDrill> drill;
   if (options.restore_after_ms > 0) {
--- a/test/daemons/ctl_test.cc
+++ b/test/daemons/ctl_test.cc
@@ -8,14 +8,14 @@
 
 #include "ctl/command.h"
 #include "http/http_server.h"
-#include "jacinthdeck/core/steady_clock.h"
+#include "jacinthdeck/core/boottime_clock.h"
 #include "platform/store_codec.h"
 #include "store/store_server.h"
 
 namespace jacinthdeck::ctl {
 
 struct CtlFixture {
-  SteadyClock clock;
+  BoottimeClock clock;
   standins::StoreServer store{0, clock, {}, 1};
   platform::StoreCodec codec;
   std::ostringstream out;
--- a/test/jacinthdeck/discovery/directory_choice_test.cc
+++ b/test/jacinthdeck/discovery/directory_choice_test.cc
@@ -12,7 +12,7 @@
 
 [[nodiscard]] HostRecord MakeHost(int number, const std::string& domain) {
   HostRecord host;
-  host.name = NodeId("h" + std::to_string(number));
+  host.name = HostId("h" + std::to_string(number));
   host.domain = FailureDomain(domain);
   host.callers = "10.0.0." + std::to_string(number) + ":80";
   return host;
--- a/test/jacinthdeck/discovery/fleet_test.cc
+++ b/test/jacinthdeck/discovery/fleet_test.cc
@@ -15,7 +15,7 @@
 
 [[nodiscard]] HostRecord MakeHost(int number, int domain, int strength) {
   HostRecord host;
-  host.name = NodeId("h" + std::to_string(number));
+  host.name = HostId("h" + std::to_string(number));
   host.domain = FailureDomain("d" + std::to_string(domain));
   host.strength = static_cast<std::uint32_t>(strength);
   return host;
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -149,16 +149,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(Host_RegistersAndLeaves_IsKnownAndForgotten) {
-  const HostRecord host{NodeId("h1"),  FailureDomain("z"),
+  const HostRecord host{HostId("h1"),  FailureDomain("z"),
                         "10.0.0.9:80", "",
                         "10.0.0.9:81", 250,
                         true,          5,
-                        NodeId("h2")};
+                        HostId("h2")};
   (void)Change(codec.HostKey(host.name), codec.WriteHost(host));
-  BOOST_REQUIRE(knowledge.FindHost(NodeId("h1")) != nullptr);
-  BOOST_TEST((*knowledge.FindHost(NodeId("h1")) == host));
+  BOOST_REQUIRE(knowledge.FindHost(HostId("h1")) != nullptr);
+  BOOST_TEST((*knowledge.FindHost(HostId("h1")) == host));
   (void)Change(codec.HostKey(host.name), std::nullopt);
-  BOOST_TEST((knowledge.FindHost(NodeId("h1")) == nullptr));
+  BOOST_TEST((knowledge.FindHost(HostId("h1")) == nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsTold) {
--- a/test/jacinthdeck/discovery/member_records_test.cc
+++ b/test/jacinthdeck/discovery/member_records_test.cc
@@ -18,7 +18,7 @@
 
 [[nodiscard]] HostRecord MakeHost(const std::string& name) {
   HostRecord host;
-  host.name = NodeId(name);
+  host.name = HostId(name);
   host.started_ms = 1;
   return host;
 }
@@ -27,13 +27,13 @@
                               const std::string& writer,
                               std::uint64_t revision) {
   HeldRecord held{MakeHost(name), At(revision)};
-  held.record.writer = NodeId(writer);
+  held.record.writer = HostId(writer);
   return held;
 }
 
 struct MembersFixture {
   TimePoint now{seconds(100)};
-  MemberRecords members{NodeId("feeder")};
+  MemberRecords members{HostId("feeder")};
 
   //! Writes all that is due.
   void Write(std::uint64_t revision) {
@@ -116,7 +116,7 @@
 BOOST_AUTO_TEST_CASE(Member_Leaves_RecordGoesAfterAWhile) {
   members.OnMember(MakeHost("a"));
   Write(10);
-  members.OnMemberLeft(NodeId("a"));
+  members.OnMemberLeft(HostId("a"));
   const std::vector<HeldRecord> held{Held("a", "feeder", 10)};
   members.OnHosts(held, At(10), now);
   BOOST_TEST(DueRemovals() == 0U);
@@ -128,7 +128,7 @@
 BOOST_AUTO_TEST_CASE(Member_LeavesAndComesBack_RecordStays) {
   members.OnMember(MakeHost("a"));
   Write(10);
-  members.OnMemberLeft(NodeId("a"));
+  members.OnMemberLeft(HostId("a"));
   members.OnHosts({{Held("a", "feeder", 10)}}, At(10), now);
   members.OnMember(MakeHost("a"));
   now += seconds(4);
@@ -141,7 +141,7 @@
 BOOST_AUTO_TEST_CASE(Write_IsDoneLate_StrayIsTakenBack) {
   members.OnMember(MakeHost("a"));
   (void)members.NextWrite(now);
-  members.OnMemberLeft(NodeId("a"));
+  members.OnMemberLeft(HostId("a"));
   members.OnHosts({{Held("a", "feeder", 20)}}, At(20), now);
   now += seconds(4);
   BOOST_TEST(DueRemovals() == 1U);
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "jacinthdeck/core/steady_clock.h"
+#include "jacinthdeck/core/boottime_clock.h"
 #include "platform/store_codec.h"
 #include "store/store_server.h"
 #include "support/positions.h"
@@ -35,19 +35,19 @@
 
 [[nodiscard]] HostRecord MakeRecord(const std::string& name) {
   HostRecord host;
-  host.name = NodeId(name);
+  host.name = HostId(name);
   host.domain = FailureDomain("z");
   host.callers = "10.0.0.1:80";
   return host;
 }
 
 struct SessionFixture : KnowledgeObserver {
-  SteadyClock clock;
+  BoottimeClock clock;
   standins::StoreServer store{0, clock, {}, 1};
   platform::StoreCodec codec;
   asio::io_context loop;
   StoreSession session{
-      loop, clock, codec, *this, NodeId("h"), {"127.0.0.1", store.port()}, 1};
+      loop, clock, codec, *this, HostId("h"), {"127.0.0.1", store.port()}, 1};
   int lost = 0;
   int regained = 0;
   int restored = 0;
@@ -370,7 +370,7 @@
     return known.size() == 1 && known[0].id == TargetId("new");
   });
   Until([&] {
-    return store.content().Get(codec.HostKey(NodeId("h"))).has_value();
+    return store.content().Get(codec.HostKey(HostId("h"))).has_value();
   });
 }
 
@@ -380,7 +380,7 @@
     Register_StoreIsRestored_RecordIsWrittenWithALeaseOfItsOwn) {
   store.content().KeepCopy();
   session.Register(MakeRecord("h"));
-  const std::string key = codec.HostKey(NodeId("h"));
+  const std::string key = codec.HostKey(HostId("h"));
   Until([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
   BOOST_TEST(store.content().Restore());
@@ -417,7 +417,7 @@
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   const auto has = [&](const std::string& name) {
-    return store.content().Get(codec.HostKey(NodeId(name))).has_value();
+    return store.content().Get(codec.HostKey(HostId(name))).has_value();
   };
   Until([&] { return has("h"); });
   for (const char* name : {"a", "b", "c"}) {
@@ -426,7 +426,7 @@
   const std::uint64_t writes = session.counters().writes;
   Until([&] { return has("a") && has("b") && has("c"); });
   BOOST_TEST(session.counters().writes == writes + 1);
-  session.DropMember(NodeId("b"));
+  session.DropMember(HostId("b"));
   Until([&] { return !has("b"); });
   BOOST_TEST(has("a"));
 }
@@ -437,10 +437,10 @@
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   session.TakeMember(codec.WriteHost(MakeRecord("a")));
-  const std::string key = codec.HostKey(NodeId("a"));
+  const std::string key = codec.HostKey(HostId("a"));
   Until([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
-  Until([&] { return session.knowledge().FindHost(NodeId("a")) != nullptr; });
+  Until([&] { return session.knowledge().FindHost(HostId("a")) != nullptr; });
   BOOST_TEST(store.content().End(first));
   Until([&] {
     const auto item = store.content().Get(key);
@@ -451,7 +451,7 @@
 // Guards against hosts that nobody is sent to: their feeder wrote their records
 // after the copy was made, with a lease that is gone.
 BOOST_AUTO_TEST_CASE(Members_StoreIsRestored_AreWrittenAgain) {
-  const std::string key = codec.HostKey(NodeId("a"));
+  const std::string key = codec.HostKey(HostId("a"));
   store.content().KeepCopy();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
@@ -460,7 +460,7 @@
   BOOST_TEST(store.content().Restore());
   BOOST_TEST(!store.content().Get(key).has_value());
   Until([&] { return store.content().Get(key).has_value(); });
-  const std::string own = codec.HostKey(NodeId("h"));
+  const std::string own = codec.HostKey(HostId("h"));
   BOOST_TEST(store.content().Get(key)->lease ==
              store.content().Get(own)->lease);
 }
@@ -469,10 +469,10 @@
 // waits to take out what it wrote, and the store comes back and gives the
 // revision of that out again.
 BOOST_AUTO_TEST_CASE(Members_RevisionIsGivenOutAgain_RecordOfItIsLeftAlone) {
-  const std::string key = codec.HostKey(NodeId("a"));
+  const std::string key = codec.HostKey(HostId("a"));
   const auto put = [&](const std::string& writer) {
     HostRecord record = MakeRecord("a");
-    record.writer = NodeId(writer);
+    record.writer = HostId(writer);
     standins::StoreControl control;
     control.puts.push_back({key, codec.WriteHost(record), {}});
     store.Apply(control);
@@ -480,9 +480,9 @@
   store.content().KeepCopy();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  Until([&] { return session.knowledge().FindHost(NodeId("h")) != nullptr; });
+  Until([&] { return session.knowledge().FindHost(HostId("h")) != nullptr; });
   put("h");
-  Until([&] { return session.knowledge().FindHost(NodeId("a")) != nullptr; });
+  Until([&] { return session.knowledge().FindHost(HostId("a")) != nullptr; });
   session.SetWatching(false);
   const std::uint64_t revision = store.content().Get(key)->revision;
   BOOST_TEST(store.content().Restore());
@@ -501,25 +501,25 @@
 // place before the host has seen its own. The feeder takes the record back some
 // seconds later, and callers would never be sent to the host again.
 BOOST_AUTO_TEST_CASE(Register_FormerFeederWritesLate_IsWrittenAgain) {
-  const std::string key = codec.HostKey(NodeId("h"));
+  const std::string key = codec.HostKey(HostId("h"));
   session.Register(MakeRecord("h"));
   Until([&] { return store.content().Get(key).has_value(); });
   HostRecord late = MakeRecord("h");
-  late.writer = NodeId("feeder");
+  late.writer = HostId("feeder");
   standins::StoreControl control;
   control.puts.push_back({key, codec.WriteHost(late), {}});
   store.Apply(control);
   session.SetWatching(true);
   Until([&] {
-    const HostRecord* held = session.knowledge().FindHost(NodeId("h"));
-    return held != nullptr && held->writer == NodeId("h");
+    const HostRecord* held = session.knowledge().FindHost(HostId("h"));
+    return held != nullptr && held->writer == HostId("h");
   });
 }
 
 // A host is stopped whose record its feeder wrote. It takes the record out
 // itself: callers would be sent to it for as long as the feeder lives.
 BOOST_AUTO_TEST_CASE(Unregister_RecordIsAnothersLease_IsTakenOut) {
-  const std::string key = codec.HostKey(NodeId("h"));
+  const std::string key = codec.HostKey(HostId("h"));
   standins::StoreControl control;
   control.puts.push_back({key, codec.WriteHost(MakeRecord("h")), {}});
   store.Apply(control);
--- a/test/jacinthdeck/entry/entry_node_test.cc
+++ b/test/jacinthdeck/entry/entry_node_test.cc
@@ -16,7 +16,7 @@
 #include <thread>
 
 #include "http/http_server.h"
-#include "jacinthdeck/core/steady_clock.h"
+#include "jacinthdeck/core/boottime_clock.h"
 #include "jacinthdeck/http/blocking_client.h"
 #include "platform/directory_codec.h"
 #include "platform/store_codec.h"
@@ -32,7 +32,7 @@
 using std::chrono::seconds;
 
 struct NodeFixture {
-  SteadyClock clock;
+  BoottimeClock clock;
   standins::StoreServer store{0, clock, {}, 1};
   standins::HttpServer target{
       {},
@@ -50,7 +50,7 @@
 
   NodeFixture() {
     EntrySettings settings;
-    settings.name = NodeId("h1");
+    settings.name = HostId("h1");
     settings.domain = FailureDomain("z");
     settings.callers = {"127.0.0.1", callers};
     settings.ready = {"127.0.0.1", ready};
--- a/test/jacinthdeck/entry/entry_settings_test.cc
+++ b/test/jacinthdeck/entry/entry_settings_test.cc
@@ -27,9 +27,9 @@
   return text;
 }
 
-[[nodiscard]] std::vector<SettingsFault> FaultsOf(const std::string& text) {
+[[nodiscard]] std::vector<SettingsError> FaultsOf(const std::string& text) {
   auto read = ReadEntrySettings(text);
-  if (auto* faults = std::get_if<std::vector<SettingsFault>>(&read)) {
+  if (auto* faults = std::get_if<std::vector<SettingsError>>(&read)) {
     return *faults;
   }
   return {};
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -6,8 +6,8 @@
 #include <chrono>
 #include <memory>
 
+#include "jacinthdeck/core/boottime_clock.h"
 #include "jacinthdeck/core/manual_clock.h"
-#include "jacinthdeck/core/steady_clock.h"
 #include "jacinthdeck/peer/feed_server.h"
 #include "platform/store_codec.h"
 #include "store/store_server.h"
@@ -35,14 +35,14 @@
 
 struct HubFixture : KnowledgeObserver, FeedHubObserver, FollowerObserver {
   ManualClock clock;
-  SteadyClock store_clock;
+  BoottimeClock store_clock;
   standins::StoreServer store{0, store_clock, {}, 1};
   platform::StoreCodec codec;
   asio::io_context loop;
   FreshSource source;
   FeedServer feeder{loop, source, *this};
   StoreSession session{
-      loop, clock, codec, *this, NodeId("h"), {"127.0.0.1", store.port()}, 1};
+      loop, clock, codec, *this, HostId("h"), {"127.0.0.1", store.port()}, 1};
   std::unique_ptr<FeedHub> hub;
 
   void OnKnowledge(const KnowledgeChange& /*change*/,
@@ -61,13 +61,13 @@
   void OnFeedOpened(const Endpoint& /*feeder*/) override {}
   void OnFeedEnded(const std::string& /*problem*/) override {}
   void OnFollower(const FeedHello& /*hello*/) override {}
-  void OnFollowerLeft(const NodeId& /*host*/) override {}
+  void OnFollowerLeft(const HostId& /*host*/) override {}
 
   //! Begins with the feeder as the only host that is known.
   void Begin() {
     BOOST_REQUIRE(static_cast<bool>(feeder.Listen("127.0.0.1", 0)));
     HostRecord self;
-    self.name = NodeId("h");
+    self.name = HostId("h");
     self.domain = FailureDomain("z");
     hub = std::make_unique<FeedHub>(
         loop, clock, session, *this, self,
--- a/test/jacinthdeck/forward/cold_share_test.cc
+++ b/test/jacinthdeck/forward/cold_share_test.cc
@@ -19,7 +19,7 @@
 //! Hosts that each want to send to one target every few milliseconds.
 struct Senders {
   struct Host {
-    NodeId name;
+    HostId name;
     ColdShare share;
     TimePoint last;
     bool alive = true;
@@ -46,12 +46,12 @@
   }
 
   void Add() {
-    hosts.push_back({NodeId("h" + std::to_string(hosts.size())), {}, {}, true});
+    hosts.push_back({HostId("h" + std::to_string(hosts.size())), {}, {}, true});
   }
 
   //! Gives a host the list of those that live.
   void Tell(Host& host) const {
-    std::vector<NodeId> names;
+    std::vector<HostId> names;
     for (const Host& other : hosts) {
       if (other.alive) {
         names.push_back(other.name);
@@ -138,7 +138,7 @@
 
 BOOST_AUTO_TEST_CASE(Rate_HostIsNotInTheList_IsZero) {
   ColdShare share;
-  share.SetHosts(NodeId("h1"), std::vector<NodeId>{NodeId("h2")});
+  share.SetHosts(HostId("h1"), std::vector<HostId>{HostId("h2")});
   BOOST_TEST(share.RateOf(TargetId("t"), 50) == 0);
   BOOST_TEST(!share.MaySend(TargetId("t"), 50, TimePoint{}, TimePoint::max()));
 }
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -263,7 +263,7 @@
     entry.cold_until = now + seconds(4);
   }
   set.Replace(entries, now);
-  set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h0")});
+  set.SetHosts(HostId("h0"), std::vector<HostId>{HostId("h0")});
   need.cold_rate = 5;
   need.share.connections = 1000;
   int sent = 0;
@@ -284,7 +284,7 @@
 BOOST_AUTO_TEST_CASE(Pick_HostTakesNoCallers_SendsNothingToABoundedColdTarget) {
   entries[0].cold_until = now + seconds(4);
   set.Replace(entries, now);
-  set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h1")});
+  set.SetHosts(HostId("h0"), std::vector<HostId>{HostId("h1")});
   need.cold_rate = 100;
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
--- a/test/jacinthdeck/peer/feed_choice_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -19,7 +19,7 @@
 
 [[nodiscard]] HostRecord MakeHost(int number, int domain, int strength = 250) {
   HostRecord host;
-  host.name = NodeId("h" + std::to_string(number));
+  host.name = HostId("h" + std::to_string(number));
   host.domain = FailureDomain("d" + std::to_string(domain));
   host.peers = "10.0.0." + std::to_string(number) + ":1";
   host.strength = static_cast<std::uint32_t>(strength);
--- a/test/jacinthdeck/peer/feed_message_test.cc
+++ b/test/jacinthdeck/peer/feed_message_test.cc
@@ -101,8 +101,8 @@
 
 BOOST_AUTO_TEST_CASE(HelloAndBeat_RoundTrip) {
   const auto hello = std::get<FeedHello>(
-      RoundTrip(FeedHello{NodeId("host-1"), At(5, 2), "record"}));
-  BOOST_TEST(hello.host == NodeId("host-1"));
+      RoundTrip(FeedHello{HostId("host-1"), At(5, 2), "record"}));
+  BOOST_TEST(hello.host == HostId("host-1"));
   BOOST_TEST(hello.position == At(5, 2));
   BOOST_TEST(hello.record == "record");
   const auto beat = std::get<FeedBeat>(
@@ -131,8 +131,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(Frames_ComeInPieces_AreCutWhereTheyEnd) {
-  const std::string two = EncodeFeed(FeedHello{NodeId("a"), At(1), ""}) +
-                          EncodeFeed(FeedHello{NodeId("b"), At(2), ""});
+  const std::string two = EncodeFeed(FeedHello{HostId("a"), At(1), ""}) +
+                          EncodeFeed(FeedHello{HostId("b"), At(2), ""});
   FeedFrames frames;
   int whole = 0;
   for (const char byte : two) {
--- a/test/jacinthdeck/peer/feed_server_test.cc
+++ b/test/jacinthdeck/peer/feed_server_test.cc
@@ -64,12 +64,12 @@
   //! Links that ended by the other side.
   int lost = 0;
   //! Records of the hosts that follow.
-  std::map<NodeId, std::string> followers;
+  std::map<HostId, std::string> followers;
 
   void OnFollower(const FeedHello& hello) override {
     followers[hello.host] = hello.record;
   }
-  void OnFollowerLeft(const NodeId& host) override { followers.erase(host); }
+  void OnFollowerLeft(const HostId& host) override { followers.erase(host); }
   void OnFeedChanges(const FeedChanges& changes) override {
     ++contents;
     value = changes.changes.back().value.value_or("");
@@ -87,7 +87,7 @@
   void Follow(std::uint64_t known_revision) {
     BOOST_REQUIRE(static_cast<bool>(server.Listen("127.0.0.1", 0)));
     link.Open({"127.0.0.1", server.port()},
-              {NodeId("h1"), At(known_revision), "first", reads_packed});
+              {HostId("h1"), At(known_revision), "first", reads_packed});
     while (beats == 0) {
       loop.run_one();
     }
@@ -152,9 +152,9 @@
 // when it changes; the content is not sent anew for that.
 BOOST_AUTO_TEST_CASE(Follower_SaysAnotherRecord_IsTakenWithoutTheContent) {
   Follow(6);
-  BOOST_TEST(followers.at(NodeId("h1")) == "first");
-  link.Say({NodeId("h1"), At(7), "second"});
-  while (followers.at(NodeId("h1")) != "second") {
+  BOOST_TEST(followers.at(HostId("h1")) == "first");
+  link.Say({HostId("h1"), At(7), "second"});
+  while (followers.at(HostId("h1")) != "second") {
     loop.run_one();
   }
   BOOST_TEST(contents == 1);
@@ -165,7 +165,7 @@
 BOOST_AUTO_TEST_CASE(Follower_HasTwoLinks_LeavesWithTheLast) {
   Follow(6);
   FeedLink second(loop, *this);
-  second.Open({"127.0.0.1", server.port()}, {NodeId("h1"), At(7), "second"});
+  second.Open({"127.0.0.1", server.port()}, {HostId("h1"), At(7), "second"});
   while (server.followers() < 2 || beats < 2) {
     loop.run_one();
   }
@@ -173,7 +173,7 @@
   while (server.followers() > 1) {
     loop.run_one();
   }
-  BOOST_TEST(followers.contains(NodeId("h1")));
+  BOOST_TEST(followers.contains(HostId("h1")));
   second.Close();
   while (server.followers() > 0) {
     loop.run_one();
@@ -194,7 +194,7 @@
   }
   BOOST_TEST(followers.empty());
   loop.restart();
-  link.Open(address, {NodeId("h1"), At(7), "first"});
+  link.Open(address, {HostId("h1"), At(7), "first"});
   while (lost == 1) {
     loop.run_one();
   }
--- a/test/jacinthdeck/routing/connection_plan_test.cc
+++ b/test/jacinthdeck/routing/connection_plan_test.cc
@@ -42,7 +42,7 @@
   void Start(internal::FakeEntry& entry) {
     RouterOptions options;
     options.newcomer_hold = 2 * internal::kViewLag;
-    entry.router = std::make_unique<Router>(random.Fork(), options);
+    entry.router = std::make_unique<Router>(random.DrawSeed(), options);
     entry.router->SetTargets({target}, now);
     entry.router->SetEntryCount(1, now);
     entry.up = true;
--- a/test/scenario/world.cc
+++ b/test/scenario/world.cc
@@ -24,7 +24,7 @@
 
 World::World(std::uint64_t seed)
     : m_random(seed),
-      m_forwarder(Options(), *this, m_random.Fork(), m_clock.Now()) {
+      m_forwarder(Options(), *this, m_random.DrawSeed(), m_clock.Now()) {
   // Past the time in which a fresh budget grows.
   m_clock.Advance(seconds(20));
 }
--- a/test/standins/restore_drill_test.cc
+++ b/test/standins/restore_drill_test.cc
@@ -4,7 +4,7 @@
 #include <boost/test/unit_test.hpp>
 #include <chrono>
 
-#include "jacinthdeck/core/steady_clock.h"
+#include "jacinthdeck/core/boottime_clock.h"
 #include "store/store_server.h"
 
 namespace jacinthdeck::standins {
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 struct DrillFixture {
-  SteadyClock clock;
+  BoottimeClock clock;
   StoreServer server{0, clock, {}, 1};
 
   void Put(const std::string& key) {
