--- a/bench/support/fleet.h
+++ b/bench/support/fleet.h
@@ -39,7 +39,7 @@
       info.domain = FailureDomain("d-" + std::to_string(replica));
       info.slots = deployment.slots;
       info.connections = deployment.connections;
-      info.open_cost = deployment.open_cost;
+      info.connection_open_time = deployment.connection_open_time;
       part.replicas.push_back(info.id);
       fleet.index[info.id] = static_cast<std::uint32_t>(fleet.infos.size());
       fleet.infos.push_back(info);
--- a/bench/support/tail_case.h
+++ b/bench/support/tail_case.h
@@ -51,7 +51,7 @@
   std::uint32_t replicas = 3;
   std::uint32_t slots = 3;
   std::uint32_t connections = 30;
-  Duration open_cost = std::chrono::milliseconds(6);
+  Duration connection_open_time = std::chrono::milliseconds(6);
   Duration one_way = Duration(500);
 };
 
--- a/bench/support/tail_model.h
+++ b/bench/support/tail_model.h
@@ -100,7 +100,7 @@
     auto entry = std::make_unique<Entry>(m_random.DrawSeed(),
                                          m_case.strategy.options, first);
     entry->router.SetTargets(m_fleet.infos, m_now);
-    entry->router.SetEntryCount(m_case.entries, m_now);
+    entry->router.SetHostCount(m_case.entries, m_now);
     entry->engine.SetVersions(m_method->service, {m_fleet.map});
     entry->open.assign(m_targets.size(), 0);
     entry->busy.assign(m_targets.size(), 0);
@@ -190,7 +190,7 @@
     Duration delay = m_case.deployment.one_way;
     if (entry.busy[target] == entry.open[target]) {
       ++entry.open[target];
-      delay += m_case.deployment.open_cost;
+      delay += m_case.deployment.connection_open_time;
       m_most_connections =
           std::max(m_most_connections, ++m_connections[target]);
     }
--- a/bench/tail_router.cc
+++ b/bench/tail_router.cc
@@ -69,7 +69,7 @@
   Router router(1);
   TimePoint now{};
   router.SetTargets(shards.targets, now);
-  router.SetEntryCount(8, now);
+  router.SetHostCount(8, now);
   std::uint64_t choices = 0;
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kQueries; ++i) {
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -27,7 +27,7 @@
 #include "jacinthdeck/forward/forwarder.h"
 #include "jacinthdeck/http/edge_server.h"
 #include "jacinthdeck/http/target_pool.h"
-#include "jacinthdeck/routing/entry_count_window.h"
+#include "jacinthdeck/routing/host_count_window.h"
 
 namespace jacinthdeck {
 
@@ -146,7 +146,7 @@
   //! Hosts that callers are sent to.
   std::vector<HostRecord> m_fronts;
   //! Their number over a while.
-  EntryCountWindow m_front_count;
+  HostCountWindow m_front_count;
   LoopLag m_lag;
   asio::steady_timer m_decision_timer;
   //! When the decision timer is set to; max() while it is not.
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -113,7 +113,7 @@
     // An ejected target has no ends that would wake it.
     std::vector<TargetId> untried = Untried(state);
     std::erase_if(untried, [&](const TargetId& id) {
-      return !m_router.TakesWork(id, now);
+      return !m_router.IsAvailable(id, now);
     });
     state.waiting = m_waiting.Add(WaitingAttempt{
         open.call.id, shard, kind, open.service->id,
--- a/src/jacinthdeck/routing/connection_plan.cc
+++ b/src/jacinthdeck/routing/connection_plan.cc
@@ -6,23 +6,23 @@
 namespace jacinthdeck {
 
 std::uint32_t ConnectionShare(std::uint32_t limit,
-                              std::uint32_t entries) noexcept {
-  return std::max<std::uint32_t>(1, limit / (entries + 1));
+                              std::uint32_t hosts) noexcept {
+  return std::max<std::uint32_t>(1, limit / (hosts + 1));
 }
 
 ConnectionPlan PlanConnections(const TargetInfo& target,
                                std::uint32_t share,
-                               std::uint32_t entries,
+                               std::uint32_t hosts,
                                Random& random) {
   ConnectionPlan plan;
   if (target.state != TargetState::kLive) {
     return plan;
   }
   plan.max_connections = share;
-  plan.warm_spares = share > 1 ? 1 : 0;
+  plan.idle_spares = share > 1 ? 1 : 0;
   // All entries return at once after a restart of a target. Openings spread
   // over the time in which it can accept one from each do not queue up in it.
-  const Duration spread = target.open_cost * (entries + 1);
+  const Duration spread = target.connection_open_time * (hosts + 1);
   plan.first_open_delay = Duration(static_cast<Duration::rep>(
       random.Below(static_cast<std::uint64_t>(spread.count()))));
   plan.open_interval = spread;
--- a/src/jacinthdeck/routing/connection_plan.h
+++ b/src/jacinthdeck/routing/connection_plan.h
@@ -16,7 +16,7 @@
   //! at once.
   std::uint32_t max_connections = 0;
   //! Idle connections to keep beside those in use, within max_connections.
-  std::uint32_t warm_spares = 0;
+  std::uint32_t idle_spares = 0;
   //! Wait after the start, or after a loss of all connections, before the first
   //! spare is opened; a request that needs a connection does not wait.
   Duration first_open_delay{};
@@ -32,24 +32,24 @@
  * One share is left free: a restarted entry's old connections linger at the
  * target until it notices, while the new life opens its own.
  * \param limit Connections that the target accepts from all entries together.
- * \param entries Highest number of entries seen lately, at least 1.
+ * \param hosts Highest number of entries seen lately, at least 1.
  * \return Whole connections; at least 1, also where the limit is below the
  * number of entries, see docs/design/limits.md.
  */
 [[nodiscard]] std::uint32_t ConnectionShare(std::uint32_t limit,
-                                            std::uint32_t entries) noexcept;
+                                            std::uint32_t hosts) noexcept;
 
 /**
  * \brief Plans the connections to a target.
  * \param target Target.
  * \param share Connections that this entry may hold.
- * \param entries Entries that open connections, at least 1.
+ * \param hosts Entries that open connections, at least 1.
  * \param random Source of the jitter.
  * \return The plan; nothing is opened to a target that is not live.
  */
 [[nodiscard]] ConnectionPlan PlanConnections(const TargetInfo& target,
                                              std::uint32_t share,
-                                             std::uint32_t entries,
+                                             std::uint32_t hosts,
                                              Random& random);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/decaying_average.h
+++ b/src/jacinthdeck/routing/decaying_average.h
@@ -12,10 +12,11 @@
  public:
   /**
    * \brief Makes an average without samples.
-   * \param memory Samples after which an old one has faded to about a third; at
-   * least 1.
+   * \param window_samples Samples after which an old one has faded to about a
+   * third; at least 1.
    */
-  explicit DecayingAverage(std::uint32_t memory) noexcept : m_memory(memory) {}
+  explicit DecayingAverage(std::uint32_t window_samples) noexcept
+      : m_window_samples(window_samples) {}
 
   /*! \brief Gives the average; 0 before the first sample. */
   [[nodiscard]] double value() const noexcept { return m_value; }
@@ -25,7 +26,7 @@
 
   /*! \brief Takes a sample. */
   void Add(double sample) noexcept {
-    m_samples = std::min(m_samples + 1, m_memory);
+    m_samples = std::min(m_samples + 1, m_window_samples);
     m_value += (sample - m_value) / m_samples;
   }
 
@@ -36,8 +37,8 @@
   }
 
  private:
-  std::uint32_t m_memory;
-  //! Never above m_memory.
+  std::uint32_t m_window_samples;
+  //! Never above m_window_samples.
   std::uint32_t m_samples = 0;
   double m_value = 0;
 };
--- a/src/jacinthdeck/routing/fwd.h
+++ b/src/jacinthdeck/routing/fwd.h
@@ -6,8 +6,8 @@
 namespace jacinthdeck {
 
 class DecayingAverage;
-class EntryCountWindow;
 class HedgePolicy;
+class HostCountWindow;
 class InFlightWindow;
 class LatencyHistogram;
 class LoadHint;
@@ -27,11 +27,11 @@
 struct TargetSnapshot;
 enum class AttemptKind;
 enum class AttemptStatus;
+enum class HealthSample;
 enum class HealthState;
 enum class RouteRefusal;
 enum class TargetRank;
 enum class TargetState;
-enum class Verdict;
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/routing/hedge_policy.cc
+++ b/src/jacinthdeck/routing/hedge_policy.cc
@@ -8,12 +8,12 @@
 namespace internal {
 
 constexpr double kHighQuantile = 0.965;
-constexpr double kMiddleQuantile = 0.75;
+constexpr double kBaseQuantile = 0.75;
 //! Above the ratio of the two quantiles of an exponential distribution (2.5).
-constexpr int kMostOverMiddle = 3;
-constexpr std::uint64_t kLeastLatencies = 50;
-constexpr Duration kUnknownDelay = std::chrono::milliseconds(50);
-constexpr Duration kShortestDelay = std::chrono::milliseconds(1);
+constexpr int kMaxBaseMultiple = 3;
+constexpr std::uint64_t kMinHedgeSamples = 50;
+constexpr Duration kDefaultDelay = std::chrono::milliseconds(50);
+constexpr Duration kMinDelay = std::chrono::milliseconds(1);
 
 }  // namespace internal
 
@@ -25,14 +25,14 @@
   return m_delay;
 }
 
-Duration LearnedHedging::Delay(const LatencyHistogram& latencies) const {
-  if (latencies.samples() < internal::kLeastLatencies) {
-    return internal::kUnknownDelay;
+Duration QuantileHedging::Delay(const LatencyHistogram& latencies) const {
+  if (latencies.samples() < internal::kMinHedgeSamples) {
+    return internal::kDefaultDelay;
   }
   const Duration high = latencies.Quantile(internal::kHighQuantile);
-  const Duration middle = latencies.Quantile(internal::kMiddleQuantile);
-  return std::max(internal::kShortestDelay,
-                  std::min(high, middle * internal::kMostOverMiddle));
+  const Duration base = latencies.Quantile(internal::kBaseQuantile);
+  return std::max(internal::kMinDelay,
+                  std::min(high, base * internal::kMaxBaseMultiple));
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/hedge_policy.h
+++ b/src/jacinthdeck/routing/hedge_policy.h
@@ -52,7 +52,7 @@
  * then is a straggler's latency, and a hedge comes too late to help. The middle
  * quantile does not see stragglers.
  */
-class LearnedHedging final : public HedgePolicy {
+class QuantileHedging final : public HedgePolicy {
  public:
   [[nodiscard]] Duration Delay(
       const LatencyHistogram& latencies) const override;
--- a/src/jacinthdeck/routing/in_flight_window.h
+++ b/src/jacinthdeck/routing/in_flight_window.h
@@ -43,11 +43,11 @@
    * Where few entries share a target, a smaller window leaves slots idle while
    * requests wait here, and the load that is left looks like an overload.
    * \param slots Slots of the target.
-   * \param entries Entries that share it, at least 1.
+   * \param hosts Entries that share it, at least 1.
    */
-  void SetFloor(std::uint32_t slots, std::uint32_t entries) noexcept {
+  void SetFloor(std::uint32_t slots, std::uint32_t hosts) noexcept {
     // One more than the slots, for the request that is on its way.
-    m_floor = std::max<std::uint32_t>(1, (slots + entries) / entries);
+    m_floor = std::max<std::uint32_t>(1, (slots + hosts) / hosts);
     m_size = std::max<double>(m_size, m_floor);
   }
 
@@ -58,35 +58,35 @@
    */
   void OnAnswer(std::uint32_t in_flight, std::uint32_t share) noexcept {
     if (in_flight >= Size(share)) {
-      m_size = std::min<double>(share, m_size + kIncrease / m_size);
+      m_size = std::min<double>(share, m_size + kIncreaseStep / m_size);
     }
   }
 
   /**
    * \brief Counts a refusal or a sign of a queue at the target.
-   * \param now Present time; signs closer than kPause count once, since they
-   * tell of one event.
+   * \param now Present time; signs closer than kDecreaseInterval count once,
+   * since they tell of one event.
    */
-  void OnPressure(TimePoint now) noexcept {
-    if (now < m_quiet_until) {
+  void OnOverload(TimePoint now) noexcept {
+    if (now < m_next_decrease) {
       return;
     }
-    m_quiet_until = now + kPause;
-    m_size = std::max<double>(m_floor, m_size * kDecrease);
+    m_next_decrease = now + kDecreaseInterval;
+    m_size = std::max<double>(m_floor, m_size * kDecreaseFactor);
   }
 
  private:
-  static constexpr double kDecrease = 0.7;
+  static constexpr double kDecreaseFactor = 0.7;
   //! Slow, since a shed costs a caller a retry, while a place too few only
   //! makes a request wait here instead of in the target's queue.
-  static constexpr double kIncrease = 0.02;
-  static constexpr Duration kPause = std::chrono::milliseconds(20);
+  static constexpr double kIncreaseStep = 0.02;
+  static constexpr Duration kDecreaseInterval = std::chrono::milliseconds(20);
 
   //! At least m_floor.
   double m_size;
   std::uint32_t m_floor = 1;
   //! Signs before this moment belong to the event that shrank it last.
-  TimePoint m_quiet_until{};
+  TimePoint m_next_decrease{};
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/latency_histogram.cc
+++ b/src/jacinthdeck/routing/latency_histogram.cc
@@ -24,16 +24,16 @@
     return Duration::zero();
   }
   const Axis& axis = m_weights.axis();
-  const double wanted = quantile * m_total;
+  const double target_weight = quantile * m_total_weight;
   // The bucket below the axis has the index -1, the one above it size().
-  double seen = 0;
+  double weight_below = 0;
   for (int i = -1; i < axis.size(); ++i) {
     const double weight = m_weights.at(i);
-    if (weight > 0 && seen + weight >= wanted) {
-      const double part = (wanted - seen) / weight;
-      return Duration(static_cast<Duration::rep>(axis.value(i + part)));
+    if (weight > 0 && weight_below + weight >= target_weight) {
+      const double fraction = (target_weight - weight_below) / weight;
+      return Duration(static_cast<Duration::rep>(axis.value(i + fraction)));
     }
-    seen += weight;
+    weight_below += weight;
   }
   return Duration(static_cast<Duration::rep>(internal::kHighestMicroseconds));
 }
@@ -41,10 +41,10 @@
 void LatencyHistogram::Add(Duration latency) {
   m_weights(static_cast<double>(std::max<Duration::rep>(latency.count(), 1)));
   ++m_samples;
-  m_total += 1;
+  m_total_weight += 1;
   if (m_samples % kDecaySamples == 0) {
     m_weights *= 0.5;
-    m_total *= 0.5;
+    m_total_weight *= 0.5;
   }
 }
 
--- a/src/jacinthdeck/routing/latency_histogram.h
+++ b/src/jacinthdeck/routing/latency_histogram.h
@@ -48,7 +48,7 @@
   boost::histogram::histogram<std::tuple<Axis>, Weights> m_weights;
   std::uint64_t m_samples = 0;
   //! Sum of all weights, those outside the axis included.
-  double m_total = 0;
+  double m_total_weight = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/load_hint.h
+++ b/src/jacinthdeck/routing/load_hint.h
@@ -20,7 +20,7 @@
   /*! \brief Takes a report; values outside [0, 1] are clamped. */
   void Add(double load, TimePoint now) noexcept {
     m_load = load >= 0 ? std::min(load, 1.0) : 0;
-    m_at = now;
+    m_reported_at = now;
   }
 
   /**
@@ -30,15 +30,15 @@
    * \return Requests in flight that it counts as, 0 to 1.
    */
   [[nodiscard]] double Value(TimePoint now, Duration lifetime) const noexcept {
-    const auto age = static_cast<double>((now - m_at).count());
-    const double left = 1 - age / static_cast<double>(lifetime.count());
-    return m_load * std::max(left, 0.0);
+    const auto age = static_cast<double>((now - m_reported_at).count());
+    const double remaining = 1 - age / static_cast<double>(lifetime.count());
+    return m_load * std::max(remaining, 0.0);
   }
 
  private:
   //! Between 0 and 1.
   double m_load = 0;
-  TimePoint m_at{};
+  TimePoint m_reported_at{};
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/replica_chooser.cc
+++ b/src/jacinthdeck/routing/replica_chooser.cc
@@ -8,13 +8,14 @@
 
 namespace internal {
 
-//! Latency ratios between 1/kNoise and kNoise are taken as equal.
-constexpr double kNoise = 1.5;
-constexpr double kMostRelativeLatency = 8;
-constexpr double kTroubleWeight = 4;
+//! Latency ratios between 1/kLatencyNoiseRatio and kLatencyNoiseRatio are taken
+//! as equal.
+constexpr double kLatencyNoiseRatio = 1.5;
+constexpr double kMaxRelativeLatency = 8;
+constexpr double kBadAttemptWeight = 4;
 constexpr double kSharedDomainFactor = 1.25;
 //! Rates below this are left to the ejection, which needs samples to decide.
-constexpr double kUsualTrouble = 0.5;
+constexpr double kToleratedBadAttemptRate = 0.5;
 
 template <typename Score>
 [[nodiscard]] std::size_t PickLowest(std::span<const ReplicaView> replicas,
@@ -36,19 +37,20 @@
   return best;
 }
 
-[[nodiscard]] double LatencyFactor(double relative) noexcept {
-  if (relative <= kNoise) {
+[[nodiscard]] double LatencyFactor(double latency_ratio) noexcept {
+  if (latency_ratio <= kLatencyNoiseRatio) {
     return 1;
   }
-  return std::min(relative, kMostRelativeLatency);
+  return std::min(latency_ratio, kMaxRelativeLatency);
 }
 
 [[nodiscard]] double ExpectedWait(const ReplicaView& replica) noexcept {
   const double queue = 1 + replica.in_flight + replica.load_hint;
-  const double trouble = std::max(0.0, replica.trouble_rate - kUsualTrouble);
+  const double bad_attempts =
+      std::max(0.0, replica.bad_attempt_rate - kToleratedBadAttemptRate);
   const double domain = replica.shares_domain ? kSharedDomainFactor : 1;
   return queue * LatencyFactor(replica.relative_latency) *
-         (1 + kTroubleWeight * trouble) * domain;
+         (1 + kBadAttemptWeight * bad_attempts) * domain;
 }
 
 }  // namespace internal
--- a/src/jacinthdeck/routing/replica_chooser.h
+++ b/src/jacinthdeck/routing/replica_chooser.h
@@ -19,7 +19,7 @@
   //! Its latency over that of its service; 1 while unknown.
   double relative_latency = 1;
   //! Share of its recent attempts that failed or were late.
-  double trouble_rate = 0;
+  double bad_attempt_rate = 0;
   //! An earlier attempt of the same shard went to its failure domain.
   bool shares_domain = false;
 };
--- a/src/jacinthdeck/routing/router.cc
+++ b/src/jacinthdeck/routing/router.cc
@@ -12,7 +12,7 @@
 Router::Router(std::uint64_t seed, RouterOptions options)
     : m_options(std::move(options)),
       m_random(seed),
-      m_entries(m_options.entry_window, m_options.expected_entries) {}
+      m_host_count(m_options.host_count_window, m_options.expected_hosts) {}
 
 Duration Router::HedgeDelay(const ServiceId& service) const {
   const auto found = m_services.find(service);
@@ -26,13 +26,13 @@
   return found == m_targets.end() ? nullptr : &found->second.info();
 }
 
-bool Router::TakesWork(const TargetId& target, TimePoint now) const {
+bool Router::IsAvailable(const TargetId& target, TimePoint now) const {
   const auto found = m_targets.find(target);
   return found != m_targets.end() &&
          found->second.Rank(now) < TargetRank::kEjected;
 }
 
-bool Router::Saturated(const ServiceId& service) const {
+bool Router::IsSaturated(const ServiceId& service) const {
   const auto found = m_services.find(service);
   return found != m_services.end() && found->second.saturated();
 }
@@ -42,7 +42,7 @@
   snapshots.reserve(m_targets.size());
   for (const auto& [id, target] : m_targets) {
     const TargetInfo& info = target.info();
-    const std::uint32_t share = ShareOf(info, now);
+    const std::uint32_t share = ConnectionShareOf(info, now);
     snapshots.push_back(TargetSnapshot{
         id, info.service, info.domain, info.state, target.health().State(now),
         target.IsDraining(now), target.in_flight(), target.window().Size(share),
@@ -59,27 +59,28 @@
       found->second.info().state != TargetState::kLive) {
     return 0;
   }
-  return ShareOf(found->second.info(), now);
+  return ConnectionShareOf(found->second.info(), now);
 }
 
-ConnectionPlan Router::PlanFor(const TargetId& target, TimePoint now) {
+ConnectionPlan Router::ConnectionPlanFor(const TargetId& target,
+                                         TimePoint now) {
   const auto found = m_targets.find(target);
   if (found == m_targets.end()) {
     return {};
   }
   const TargetInfo& info = found->second.info();
-  return PlanConnections(info, ShareOf(info, now), m_entries.Highest(now),
-                         m_random);
+  return PlanConnections(info, ConnectionShareOf(info, now),
+                         m_host_count.Highest(now), m_random);
 }
 
 void Router::SetTargets(const std::vector<TargetInfo>& targets, TimePoint now) {
-  m_started = m_started.value_or(now);
+  m_first_event = m_first_event.value_or(now);
   for (auto& [id, target] : m_targets) {
     target.SetGone();
   }
   for (const TargetInfo& info : targets) {
     const auto [found, added] =
-        m_targets.try_emplace(info.id, info, ServiceOf(info.service));
+        m_targets.try_emplace(info.id, info, FindOrAddService(info.service));
     if (!added) {
       found->second.set_info(info);
     }
@@ -90,18 +91,18 @@
   });
 }
 
-void Router::SetEntryCount(std::uint32_t entries, TimePoint now) {
-  m_started = m_started.value_or(now);
-  m_entries.Add(std::max<std::uint32_t>(entries, 1), now);
+void Router::SetHostCount(std::uint32_t hosts, TimePoint now) {
+  m_first_event = m_first_event.value_or(now);
+  m_host_count.Add(std::max<std::uint32_t>(hosts, 1), now);
 }
 
 std::variant<TargetId, RouteRefusal> Router::Choose(const RouteRequest& request,
                                                     TimePoint now) {
-  Collect(request, now);
+  CollectCandidates(request, now);
   if (m_candidates.empty()) {
-    return Refuse(RouteRefusal::kNoReplica);
+    return CountRefusal(RouteRefusal::kNoReplica);
   }
-  ServiceRecord& service = ServiceOf(request.service);
+  ServiceRecord& service = FindOrAddService(request.service);
   const bool failover = IsFailover(request, now);
   if (request.kind == AttemptKind::kHedge && !failover && service.saturated()) {
     ++m_counters.refused_saturated;
@@ -109,13 +110,13 @@
   }
   const auto picked = Pick(request, now);
   if (const auto* refusal = std::get_if<RouteRefusal>(&picked)) {
-    return Refuse(*refusal);
+    return CountRefusal(*refusal);
   }
   // Waiting for the ordinary end of an attempt at a lost target would take as
   // long as the call has. Ejection bounds how many attempts are in this state,
   // so they are paid for as the retries that they are.
-  if (!Pay(failover ? AttemptKind::kRetry : request.kind, service)) {
-    return Refuse(RouteRefusal::kNoBudget);
+  if (!ChargeBudget(failover ? AttemptKind::kRetry : request.kind, service)) {
+    return CountRefusal(RouteRefusal::kNoBudget);
   }
   TargetRecord& target = *std::get<TargetRecord*>(picked);
   if (target.health().MayProbe(now)) {
@@ -123,7 +124,7 @@
     ++m_counters.probes;
   }
   target.OnSend(now);
-  Count(request.kind);
+  CountAttempt(request.kind);
   return target.info().id;
 }
 
@@ -137,19 +138,19 @@
   if (result.reported_load) {
     target.OnReportedLoad(*result.reported_load, now);
   }
-  const Verdict verdict = Learn(result, target, now);
+  const HealthSample sample = RecordResult(result, target, now);
   const bool ejected =
       m_options.eject_outliers &&
-      target.health().OnEnd(verdict, target.IsSlow(), now, m_random);
+      target.health().OnEnd(sample, target.IsSlow(), now, m_random);
   m_counters.ejections += ejected ? 1 : 0;
   if (target.info().state == TargetState::kGone && target.in_flight() == 0) {
     m_targets.erase(found);
   }
 }
 
-Verdict Router::Learn(const AttemptResult& result,
-                      TargetRecord& target,
-                      TimePoint now) {
+HealthSample Router::RecordResult(const AttemptResult& result,
+                                  TargetRecord& target,
+                                  TimePoint now) {
   ServiceRecord& service = target.service();
   const bool late = result.latency > service.late_after();
   switch (result.status) {
@@ -158,45 +159,46 @@
         ++m_counters.hedges_won;
         service.hedge_budget().Refund(m_options.hedge_refund);
       }
-      service.OnPressure(false);
+      service.AddShedSample(false);
       service.OnAnswer(result.latency, *m_options.hedging);
-      target.OnAnswer(result.latency, ShareOf(target.info(), now), now);
-      return late ? Verdict::kSlow : Verdict::kGood;
+      target.OnAnswer(result.latency, ConnectionShareOf(target.info(), now),
+                      now);
+      return late ? HealthSample::kSlow : HealthSample::kGood;
     case AttemptStatus::kShed:
       if (result.draining) {
         ++m_counters.drains;
         target.OnDraining(now);
-        return Verdict::kNone;
+        return HealthSample::kNone;
       }
       ++m_counters.sheds;
-      service.OnPressure(true);
+      service.AddShedSample(true);
       target.OnShed(now);
-      return Verdict::kNone;
+      return HealthSample::kNone;
     case AttemptStatus::kCancelled:
       // Only a wait above the delay tells of the target; a shorter one tells
       // of the call that ended.
       if (!late) {
-        return Verdict::kNone;
+        return HealthSample::kNone;
       }
       service.OnOverdue(result.latency, *m_options.hedging);
       target.OnOverdue(result.latency);
       // Several in a row with no reply between them: the target is silent.
       return target.OnUnanswered(now - result.latency, now) > 1
-                 ? Verdict::kFailed
-                 : Verdict::kSlow;
+                 ? HealthSample::kFailed
+                 : HealthSample::kSlow;
     case AttemptStatus::kNotSent:
     case AttemptStatus::kLost:
     case AttemptStatus::kTimedOut:
     case AttemptStatus::kFailed:
-      return Verdict::kFailed;
+      return HealthSample::kFailed;
     case AttemptStatus::kVersionGone:
     case AttemptStatus::kWrongRange:
-      return Verdict::kNone;
+      return HealthSample::kNone;
   }
-  return Verdict::kNone;
+  return HealthSample::kNone;
 }
 
-ServiceRecord& Router::ServiceOf(const ServiceId& service) {
+ServiceRecord& Router::FindOrAddService(const ServiceId& service) {
   return m_services
       .try_emplace(service,
                    TokenBudget(m_options.hedge_ratio, m_options.hedge_burst),
@@ -205,14 +207,14 @@
       .first->second;
 }
 
-std::uint32_t Router::ShareOf(const TargetInfo& info, TimePoint now) {
-  if (m_started && now - *m_started < m_options.newcomer_hold) {
+std::uint32_t Router::ConnectionShareOf(const TargetInfo& info, TimePoint now) {
+  if (m_first_event && now - *m_first_event < m_options.startup_hold) {
     return 1;
   }
-  return ConnectionShare(info.connections, m_entries.Highest(now));
+  return ConnectionShare(info.connections, m_host_count.Highest(now));
 }
 
-RouteRefusal Router::Refuse(RouteRefusal refusal) noexcept {
+RouteRefusal Router::CountRefusal(RouteRefusal refusal) noexcept {
   switch (refusal) {
     case RouteRefusal::kNoReplica:
       ++m_counters.refused_no_replica;
@@ -227,7 +229,7 @@
   return refusal;
 }
 
-bool Router::Pay(AttemptKind kind, ServiceRecord& service) {
+bool Router::ChargeBudget(AttemptKind kind, ServiceRecord& service) {
   switch (kind) {
     case AttemptKind::kFirst:
       service.hedge_budget().Earn();
@@ -241,10 +243,10 @@
   return false;
 }
 
-void Router::Count(AttemptKind kind) noexcept {
+void Router::CountAttempt(AttemptKind kind) noexcept {
   switch (kind) {
     case AttemptKind::kFirst:
-      ++m_counters.firsts;
+      ++m_counters.first_attempts;
       break;
     case AttemptKind::kRetry:
       ++m_counters.retries;
--- a/src/jacinthdeck/routing/router.h
+++ b/src/jacinthdeck/routing/router.h
@@ -16,7 +16,7 @@
 #include "jacinthdeck/core/time.h"
 #include "jacinthdeck/routing/attempt.h"
 #include "jacinthdeck/routing/connection_plan.h"
-#include "jacinthdeck/routing/entry_count_window.h"
+#include "jacinthdeck/routing/host_count_window.h"
 #include "jacinthdeck/routing/route_request.h"
 #include "jacinthdeck/routing/router_counters.h"
 #include "jacinthdeck/routing/router_options.h"
@@ -53,7 +53,7 @@
   [[nodiscard]] const TargetInfo* FindTarget(const TargetId& target) const;
 
   /*! \brief Tells whether a target gets more than probes. */
-  [[nodiscard]] bool TakesWork(const TargetId& target, TimePoint now) const;
+  [[nodiscard]] bool IsAvailable(const TargetId& target, TimePoint now) const;
 
   /*! \brief Counts since the start. */
   [[nodiscard]] const RouterCounters& counters() const noexcept {
@@ -62,7 +62,7 @@
 
   /*! \brief Tells whether sheds are common in a service: it then has no room
    * for extra requests, and new work should be refused early. */
-  [[nodiscard]] bool Saturated(const ServiceId& service) const;
+  [[nodiscard]] bool IsSaturated(const ServiceId& service) const;
 
   /*! \brief Describes all targets, for the status page. */
   [[nodiscard]] std::vector<TargetSnapshot> Snapshot(TimePoint now);
@@ -79,7 +79,8 @@
    * \return The plan; nothing may be opened to a target that is unknown or not
    * live.
    */
-  [[nodiscard]] ConnectionPlan PlanFor(const TargetId& target, TimePoint now);
+  [[nodiscard]] ConnectionPlan ConnectionPlanFor(const TargetId& target,
+                                                 TimePoint now);
 
   /**
    * \brief Replaces the known targets.
@@ -90,11 +91,11 @@
 
   /**
    * \brief Says among how many entries the limits of the targets are shared.
-   * \param entries Entries that may hold connections now, this one included; at
-   * least 1. A fall takes effect after RouterOptions::entry_window.
+   * \param hosts Entries that may hold connections now, this one included; at
+   * least 1. A fall takes effect after RouterOptions::host_count_window.
    * \param now Present time.
    */
-  void SetEntryCount(std::uint32_t entries, TimePoint now);
+  void SetHostCount(std::uint32_t hosts, TimePoint now);
 
   /**
    * \brief Chooses a target and takes one place of this entry's limit on it.
@@ -124,12 +125,13 @@
     bool at_limit = false;
   };
 
-  [[nodiscard]] ServiceRecord& ServiceOf(const ServiceId& service);
-  [[nodiscard]] std::uint32_t ShareOf(const TargetInfo& info, TimePoint now);
-  [[nodiscard]] RouteRefusal Refuse(RouteRefusal refusal) noexcept;
-  void Collect(const RouteRequest& request, TimePoint now);
-  void ComparePeers();
-  void BoundEjections();
+  [[nodiscard]] ServiceRecord& FindOrAddService(const ServiceId& service);
+  [[nodiscard]] std::uint32_t ConnectionShareOf(const TargetInfo& info,
+                                                TimePoint now);
+  [[nodiscard]] RouteRefusal CountRefusal(RouteRefusal refusal) noexcept;
+  void CollectCandidates(const RouteRequest& request, TimePoint now);
+  void UpdatePeerLatencies();
+  void LimitEjections();
   [[nodiscard]] TargetRecord* PickProbe(const RouteRequest& request,
                                         TimePoint now) const;
   [[nodiscard]] std::variant<TargetRecord*, RouteRefusal> Pick(
@@ -150,17 +152,17 @@
   //! A hedge whose latest attempt is at a target that is likely lost.
   [[nodiscard]] bool IsFailover(const RouteRequest& request,
                                 TimePoint now) const;
-  [[nodiscard]] bool Pay(AttemptKind kind, ServiceRecord& service);
-  [[nodiscard]] Verdict Learn(const AttemptResult& result,
-                              TargetRecord& target,
-                              TimePoint now);
-  void Count(AttemptKind kind) noexcept;
+  [[nodiscard]] bool ChargeBudget(AttemptKind kind, ServiceRecord& service);
+  [[nodiscard]] HealthSample RecordResult(const AttemptResult& result,
+                                          TargetRecord& target,
+                                          TimePoint now);
+  void CountAttempt(AttemptKind kind) noexcept;
 
   RouterOptions m_options;
   Random m_random;
-  EntryCountWindow m_entries;
+  HostCountWindow m_host_count;
   //! Moment of the first event, from which the newcomer's hold counts.
-  std::optional<TimePoint> m_started;
+  std::optional<TimePoint> m_first_event;
   std::unordered_map<ServiceId, ServiceRecord> m_services;
   //! Records stay while requests are in flight, also once the target is gone.
   std::unordered_map<TargetId, TargetRecord> m_targets;
@@ -168,7 +170,7 @@
   //! Scratch of one Choose(), kept to save allocations.
   std::vector<Candidate> m_candidates;
   std::vector<ReplicaView> m_views;
-  std::vector<TargetRecord*> m_viewed;
+  std::vector<TargetRecord*> m_view_targets;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/router_counters.h
+++ b/src/jacinthdeck/routing/router_counters.h
@@ -8,7 +8,7 @@
 
 /*! \brief Counts of a router; none ever falls. */
 struct RouterCounters {
-  std::uint64_t firsts = 0;
+  std::uint64_t first_attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t hedges = 0;
   //! Hedges that answered.
--- a/src/jacinthdeck/routing/router_options.h
+++ b/src/jacinthdeck/routing/router_options.h
@@ -18,7 +18,7 @@
       std::make_shared<ScoreChooser>();
   //! Never null.
   std::shared_ptr<const HedgePolicy> hedging =
-      std::make_shared<LearnedHedging>();
+      std::make_shared<QuantileHedging>();
   //! Leave out targets that fail or lag; off only for baselines.
   bool eject_outliers = true;
   //! Hedges for each first attempt.
@@ -30,13 +30,13 @@
   double retry_ratio = 0.1;
   double retry_burst = 50;
   //! Entries that the deployment is meant to have; the count never falls below.
-  std::uint32_t expected_entries = 1;
+  std::uint32_t expected_hosts = 1;
   //! How long a higher count of entries is remembered.
-  Duration entry_window = std::chrono::seconds(60);
+  Duration host_count_window = std::chrono::seconds(60);
   //! After its start an entry holds one connection a target for this long,
   //! until the others have seen it and have shrunk their shares. The daemon
   //! sets it to longer than its membership takes to spread.
-  Duration newcomer_hold{};
+  Duration startup_hold{};
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/routing/router_pick.cc
+++ b/src/jacinthdeck/routing/router_pick.cc
@@ -5,16 +5,16 @@
 
 namespace jacinthdeck {
 
-void Router::Collect(const RouteRequest& request, TimePoint now) {
+void Router::CollectCandidates(const RouteRequest& request, TimePoint now) {
   m_candidates.clear();
-  const std::uint32_t entries = m_entries.Highest(now);
+  const std::uint32_t hosts = m_host_count.Highest(now);
   for (const TargetId& id : request.replicas) {
     const auto found = m_targets.find(id);
     if (found == m_targets.end()) {
       continue;
     }
     TargetRecord& target = found->second;
-    target.ShareSlots(entries);
+    target.ShareSlots(hosts);
     const TargetRank rank = target.Rank(now);
     if (rank == TargetRank::kExcluded) {
       continue;
@@ -24,41 +24,42 @@
     // A retry that follows a shed at once meets the same full queue, and the
     // retries of a call are spent within a few milliseconds: it waits.
     const bool retry_waits =
-        request.kind == AttemptKind::kRetry && target.HasShed(now);
-    const bool full =
-        retry_waits || target.IsFull(ShareOf(target.info(), now), now);
+        request.kind == AttemptKind::kRetry && target.HasShedRecently(now);
+    const bool full = retry_waits ||
+                      target.IsFull(ConnectionShareOf(target.info(), now), now);
     m_candidates.push_back(Candidate{&target, rank, tried, full});
   }
-  ComparePeers();
-  BoundEjections();
+  UpdatePeerLatencies();
+  LimitEjections();
 }
 
 // A fault of the network or of the service makes many targets look bad at once.
 // Were all left out, the rest would be overloaded or the shard unreachable, so
 // no more than half of a replica set is; those that replied last stay doubtful.
-void Router::BoundEjections() {
+void Router::LimitEjections() {
   const auto is_ejected = [](const Candidate& candidate) {
     return candidate.rank == TargetRank::kEjected;
   };
-  const auto least_recent_reply = [](const Candidate& a, const Candidate& b) {
+  const auto by_last_reply = [](const Candidate& a, const Candidate& b) {
     return a.target->last_reply() < b.target->last_reply();
   };
-  const auto sound =
+  const auto ejected_end =
       std::partition(m_candidates.begin(), m_candidates.end(), is_ejected);
-  const auto count = static_cast<std::size_t>(sound - m_candidates.begin());
-  const std::size_t most = m_candidates.size() / 2;
-  if (count <= most) {
+  const auto count =
+      static_cast<std::size_t>(ejected_end - m_candidates.begin());
+  const std::size_t max_ejected = m_candidates.size() / 2;
+  if (count <= max_ejected) {
     return;
   }
-  std::sort(m_candidates.begin(), sound, least_recent_reply);
-  for (std::size_t i = most; i < count; ++i) {
-    m_candidates[i].rank = TargetRank::kDoubtful;
+  std::sort(m_candidates.begin(), ejected_end, by_last_reply);
+  for (std::size_t i = max_ejected; i < count; ++i) {
+    m_candidates[i].rank = TargetRank::kDegraded;
   }
 }
 
 // A target is slow in comparison with the others that hold the same data: all
 // of them are slow where the load is high, and the ejected ones say nothing.
-void Router::ComparePeers() {
+void Router::UpdatePeerLatencies() {
   for (const Candidate& candidate : m_candidates) {
     Duration fastest{};
     for (const Candidate& peer : m_candidates) {
@@ -108,10 +109,11 @@
   }
   // Ejected targets get probes only: a full window of a sound target is worth
   // waiting for, and at least half of the replicas are not left out.
-  const bool waits = std::ranges::any_of(m_candidates, [](const Candidate& c) {
-    return !c.tried && c.rank != TargetRank::kEjected;
-  });
-  return waits || request.kind == AttemptKind::kRetry
+  const bool any_not_ejected =
+      std::ranges::any_of(m_candidates, [](const Candidate& c) {
+        return !c.tried && c.rank != TargetRank::kEjected;
+      });
+  return any_not_ejected || request.kind == AttemptKind::kRetry
              ? RouteRefusal::kAtLimit
              : RouteRefusal::kNoReplica;
 }
@@ -129,8 +131,9 @@
   if (IsFailover(request, now)) {
     for (Candidate& candidate : m_candidates) {
       const TargetRecord& target = *candidate.target;
-      candidate.at_limit = target.IsSuspect(now) ||
-                           target.in_flight() >= ShareOf(target.info(), now);
+      candidate.at_limit =
+          target.IsSuspect(now) ||
+          target.in_flight() >= ConnectionShareOf(target.info(), now);
     }
     for (const bool tried : {false, true}) {
       if (TargetRecord* other = PickTrusted(request, tried, now)) {
@@ -147,7 +150,7 @@
                                   TimePoint now) {
   TargetRecord* best = PickRank(request, TargetRank::kPreferred, tried, now);
   return best != nullptr ? best
-                         : PickRank(request, TargetRank::kDoubtful, tried, now);
+                         : PickRank(request, TargetRank::kDegraded, tried, now);
 }
 
 TargetRecord* Router::PickRank(const RouteRequest& request,
@@ -155,7 +158,7 @@
                                bool tried,
                                TimePoint now) {
   m_views.clear();
-  m_viewed.clear();
+  m_view_targets.clear();
   for (const Candidate& candidate : m_candidates) {
     if (candidate.rank != rank || candidate.tried != tried ||
         candidate.at_limit) {
@@ -164,12 +167,12 @@
     ReplicaView view = candidate.target->View(now);
     view.shares_domain = SharesDomain(request, candidate.target->info().domain);
     m_views.push_back(view);
-    m_viewed.push_back(candidate.target);
+    m_view_targets.push_back(candidate.target);
   }
-  if (m_viewed.empty()) {
+  if (m_view_targets.empty()) {
     return nullptr;
   }
-  return m_viewed[m_options.chooser->Pick(m_views, m_random)];
+  return m_view_targets[m_options.chooser->Pick(m_views, m_random)];
 }
 
 bool Router::IsFailover(const RouteRequest& request, TimePoint now) const {
--- a/src/jacinthdeck/routing/service_record.cc
+++ b/src/jacinthdeck/routing/service_record.cc
@@ -5,12 +5,12 @@
 
 namespace internal {
 
-constexpr std::uint32_t kServiceMemory = 500;
+constexpr std::uint32_t kServiceAverageSamples = 500;
 //! Samples between two readings of the quantiles.
-constexpr std::uint64_t kRelearnSamples = 64;
-constexpr double kSaturated = 0.05;
+constexpr std::uint64_t kQuantileUpdateSamples = 64;
+constexpr double kSaturatedShedRate = 0.05;
 //! Events before the pressure is believed.
-constexpr std::uint32_t kLeastEvents = 50;
+constexpr std::uint32_t kMinShedSamples = 50;
 
 }  // namespace internal
 
@@ -19,14 +19,14 @@
                              const HedgePolicy& hedging)
     : m_hedge_budget(hedge_budget),
       m_retry_budget(retry_budget),
-      m_latency(internal::kServiceMemory),
-      m_pressure(internal::kServiceMemory),
+      m_latency(internal::kServiceAverageSamples),
+      m_shed_rate(internal::kServiceAverageSamples),
       m_hedge_delay(hedging.Delay(m_latencies)),
-      m_late_after(LearnedHedging().Delay(m_latencies)) {}
+      m_late_after(QuantileHedging().Delay(m_latencies)) {}
 
 bool ServiceRecord::saturated() const noexcept {
-  return m_pressure.samples() >= internal::kLeastEvents &&
-         m_pressure.value() > internal::kSaturated;
+  return m_shed_rate.samples() >= internal::kMinShedSamples &&
+         m_shed_rate.value() > internal::kSaturatedShedRate;
 }
 
 void ServiceRecord::OnAnswer(Duration latency, const HedgePolicy& hedging) {
@@ -40,10 +40,10 @@
 
 void ServiceRecord::AddLatency(Duration latency, const HedgePolicy& hedging) {
   m_latencies.Add(latency);
-  if (m_latencies.samples() % internal::kRelearnSamples == 0) {
+  if (m_latencies.samples() % internal::kQuantileUpdateSamples == 0) {
     m_hedge_delay = hedging.Delay(m_latencies);
     // Lateness is judged the same way under every policy.
-    m_late_after = LearnedHedging().Delay(m_latencies);
+    m_late_after = QuantileHedging().Delay(m_latencies);
   }
 }
 
--- a/src/jacinthdeck/routing/service_record.h
+++ b/src/jacinthdeck/routing/service_record.h
@@ -46,7 +46,7 @@
   void OnOverdue(Duration latency, const HedgePolicy& hedging);
 
   /*! \brief Takes an event that tells of pressure, or of its absence. */
-  void OnPressure(bool pressed) noexcept { m_pressure.Add(pressed ? 1 : 0); }
+  void AddShedSample(bool shed) noexcept { m_shed_rate.Add(shed ? 1 : 0); }
 
  private:
   void AddLatency(Duration latency, const HedgePolicy& hedging);
@@ -55,7 +55,7 @@
   TokenBudget m_retry_budget;
   LatencyHistogram m_latencies;
   DecayingAverage m_latency;
-  DecayingAverage m_pressure;
+  DecayingAverage m_shed_rate;
   Duration m_hedge_delay;
   Duration m_late_after;
 };
--- a/src/jacinthdeck/routing/target_health.h
+++ b/src/jacinthdeck/routing/target_health.h
@@ -12,7 +12,7 @@
 namespace jacinthdeck {
 
 /*! \brief What the end of an attempt says of its target. */
-enum class Verdict {
+enum class HealthSample {
   kGood,
   //! Answered late, or cancelled while it was already late.
   kSlow,
@@ -48,11 +48,13 @@
 
   /*! \brief Share of recent attempts that failed. */
   [[nodiscard]] double failure_rate() const noexcept {
-    return m_failures.value();
+    return m_failure_rate.value();
   }
 
   /*! \brief Share of recent attempts that were late. */
-  [[nodiscard]] double slow_rate() const noexcept { return m_slow.value(); }
+  [[nodiscard]] double slow_rate() const noexcept {
+    return m_slow_rate.value();
+  }
 
   /*! \brief Ejections since the target was last well for long. */
   [[nodiscard]] std::uint32_t ejections() const noexcept { return m_ejections; }
@@ -70,29 +72,32 @@
 
   /**
    * \brief Takes the end of an attempt.
-   * \param verdict What it says.
-   * \param stands_out Its latency is far above its peers'; a target is
+   * \param sample What it says.
+   * \param slower_than_peers Its latency is far above its peers'; a target is
    * slow only in comparison.
    * \param now Present time.
    * \param random Source of the jitter of the ejection.
    * \return True if the target is ejected by it.
    */
-  bool OnEnd(Verdict verdict, bool stands_out, TimePoint now, Random& random);
+  bool OnEnd(HealthSample sample,
+             bool slower_than_peers,
+             TimePoint now,
+             Random& random);
 
  private:
-  [[nodiscard]] bool IsOutlier(bool stands_out) const noexcept;
+  [[nodiscard]] bool IsOutlier(bool slower_than_peers) const noexcept;
   void Eject(TimePoint now, Random& random);
-  void OnProbeEnd(Verdict verdict, TimePoint now, Random& random);
+  void OnProbeEnd(HealthSample sample, TimePoint now, Random& random);
 
-  DecayingAverage m_failures;
-  DecayingAverage m_slow;
-  std::uint32_t m_failures_in_row = 0;
+  DecayingAverage m_failure_rate;
+  DecayingAverage m_slow_rate;
+  std::uint32_t m_consecutive_failures = 0;
   std::uint32_t m_ejections = 0;
   std::uint32_t m_good_probes = 0;
   bool m_ejected = false;
   bool m_probe_in_flight = false;
   //! End of the ejection; has a meaning while m_ejected.
-  TimePoint m_until{};
+  TimePoint m_ejected_until{};
   TimePoint m_reinstated{};
 };
 
--- a/src/jacinthdeck/routing/target_info.h
+++ b/src/jacinthdeck/routing/target_info.h
@@ -37,7 +37,7 @@
   //! Connections it accepts from all entries together.
   std::uint32_t connections = 1;
   //! Time it takes to open a connection.
-  Duration open_cost{};
+  Duration connection_open_time{};
 
   [[nodiscard]] bool operator==(const TargetInfo&) const = default;
 };
--- a/src/jacinthdeck/routing/target_record.cc
+++ b/src/jacinthdeck/routing/target_record.cc
@@ -7,26 +7,26 @@
 
 namespace internal {
 
-constexpr std::uint32_t kLatencyMemory = 24;
+constexpr std::uint32_t kLatencyAverageSamples = 24;
 //! Latencies within this factor of the peers' are noise of a busy target.
-constexpr double kSlowFactor = 2;
+constexpr double kSlowLatencyRatio = 2;
 //! Silence of this many hedge delays makes a target doubtful.
-constexpr int kSilentDelays = 2;
+constexpr int kUnresponsiveDelays = 2;
 //! How long the word of a target that it is draining holds. The host list lags
 //! by seconds; one that still drains then says so again without running
 //! anything.
 constexpr Duration kDrainingHold = std::chrono::seconds(10);
-constexpr Duration kShedPause = std::chrono::milliseconds(10);
+constexpr Duration kShedBackoff = std::chrono::milliseconds(10);
 //! Pause after attempts that got no answer, for each in a row but the first: a
 //! single one is most often a straggler.
-constexpr Duration kUnansweredPause = std::chrono::milliseconds(50);
-constexpr std::uint32_t kMostShedDoublings = 5;
+constexpr Duration kUnansweredBackoff = std::chrono::milliseconds(50);
+constexpr std::uint32_t kMaxShedDoublings = 5;
 //! A load report is worth nothing after this many average latencies.
-constexpr double kHintLatencies = 8;
+constexpr double kHintLifetimeLatencies = 8;
 //! Age at which past latencies and troubles no longer keep work away. A target
 //! that gets no work gives no newer ones, so it would never get any again.
-constexpr Duration kMemoryLife = std::chrono::seconds(2);
-constexpr Duration kLeastHintLife = std::chrono::milliseconds(1);
+constexpr Duration kStatisticsLifetime = std::chrono::seconds(2);
+constexpr Duration kMinHintLifetime = std::chrono::milliseconds(1);
 
 }  // namespace internal
 
@@ -34,7 +34,7 @@
     : m_info(info),
       m_service(&service),
       m_window(info.slots),
-      m_latency(internal::kLatencyMemory) {}
+      m_latency(internal::kLatencyAverageSamples) {}
 
 Duration TargetRecord::latency() const noexcept {
   return Duration(static_cast<Duration::rep>(m_latency.value()));
@@ -43,12 +43,12 @@
 bool TargetRecord::IsFull(std::uint32_t share, TimePoint now) const noexcept {
   const std::uint32_t size = m_window.Size(share);
   const std::uint32_t after_shed = std::min(size, m_window.floor());
-  return m_in_flight >= (HasShed(now) ? after_shed : size);
+  return m_in_flight >= (HasShedRecently(now) ? after_shed : size);
 }
 
 bool TargetRecord::IsSlow() const noexcept {
   return m_peer_latency > Duration::zero() &&
-         latency() > internal::kSlowFactor * m_peer_latency;
+         latency() > internal::kSlowLatencyRatio * m_peer_latency;
 }
 
 void TargetRecord::OnOverdue(Duration latency) noexcept {
@@ -56,9 +56,10 @@
       std::max(m_latency.value(), static_cast<double>(latency.count())));
 }
 
-bool TargetRecord::IsSilent(TimePoint now) const noexcept {
-  return m_in_flight > 0 && now - m_waiting_since > m_service->late_after() *
-                                                        internal::kSilentDelays;
+bool TargetRecord::IsUnresponsive(TimePoint now) const noexcept {
+  return m_in_flight > 0 &&
+         now - m_waiting_since >
+             m_service->late_after() * internal::kUnresponsiveDelays;
 }
 
 TargetRank TargetRecord::Rank(TimePoint now) const noexcept {
@@ -68,30 +69,32 @@
   if (m_health.State(now) != HealthState::kTrusted) {
     return TargetRank::kEjected;
   }
-  return HasShed(now) || now < m_doubtful_until || IsSilent(now)
-             ? TargetRank::kDoubtful
+  return HasShedRecently(now) || now < m_degraded_until || IsUnresponsive(now)
+             ? TargetRank::kDegraded
              : TargetRank::kPreferred;
 }
 
 double TargetRecord::Freshness(TimePoint now) const noexcept {
   const auto age = static_cast<double>((now - m_last_end).count());
-  const auto life = static_cast<double>(internal::kMemoryLife.count());
-  return std::max(0.0, 1 - age / life);
+  const auto lifetime =
+      static_cast<double>(internal::kStatisticsLifetime.count());
+  return std::max(0.0, 1 - age / lifetime);
 }
 
 ReplicaView TargetRecord::View(TimePoint now) const noexcept {
   ReplicaView view;
   view.in_flight = m_in_flight;
-  const double usual = m_service->latency();
-  const auto hint_life =
-      Duration(static_cast<Duration::rep>(usual * internal::kHintLatencies));
+  const double service_latency = m_service->latency();
+  const auto hint_lifetime = Duration(static_cast<Duration::rep>(
+      service_latency * internal::kHintLifetimeLatencies));
   view.load_hint =
-      m_hint.Value(now, std::max(hint_life, internal::kLeastHintLife));
-  if (m_latency.samples() == internal::kLatencyMemory && usual > 0) {
-    const double relative = m_latency.value() / usual;
-    view.relative_latency = 1 + (relative - 1) * Freshness(now);
+      m_hint.Value(now, std::max(hint_lifetime, internal::kMinHintLifetime));
+  if (m_latency.samples() == internal::kLatencyAverageSamples &&
+      service_latency > 0) {
+    const double latency_ratio = m_latency.value() / service_latency;
+    view.relative_latency = 1 + (latency_ratio - 1) * Freshness(now);
   }
-  view.trouble_rate =
+  view.bad_attempt_rate =
       (m_health.failure_rate() + m_health.slow_rate()) * Freshness(now);
   return view;
 }
@@ -114,7 +117,7 @@
   m_latency.Add(static_cast<double>(latency.count()));
   m_window.OnAnswer(m_in_flight + 1, share);
   OnReply(now);
-  m_sheds_in_row = 0;
+  m_consecutive_sheds = 0;
   m_draining_until.reset();
 }
 
@@ -123,24 +126,26 @@
   if (m_last_reply >= sent) {
     return 0;
   }
-  ++m_unanswered_in_row;
-  m_doubtful_until = std::max(
-      m_doubtful_until, now + internal::kUnansweredPause * m_unanswered_in_row);
-  return m_unanswered_in_row;
+  ++m_consecutive_unanswered;
+  m_degraded_until =
+      std::max(m_degraded_until,
+               now + internal::kUnansweredBackoff * m_consecutive_unanswered);
+  return m_consecutive_unanswered;
 }
 
 void TargetRecord::OnReply(TimePoint now) noexcept {
   m_last_reply = now;
   m_waiting_since = now;
-  m_unanswered_in_row = 0;
+  m_consecutive_unanswered = 0;
 }
 
 void TargetRecord::OnShed(TimePoint now) noexcept {
   OnReply(now);
-  m_window.OnPressure(now);
-  const auto doublings = std::min(m_sheds_in_row, internal::kMostShedDoublings);
-  m_shed_until = now + internal::kShedPause * (1U << doublings);
-  ++m_sheds_in_row;
+  m_window.OnOverload(now);
+  const auto doublings =
+      std::min(m_consecutive_sheds, internal::kMaxShedDoublings);
+  m_shed_until = now + internal::kShedBackoff * (1U << doublings);
+  ++m_consecutive_sheds;
 }
 
 void TargetRecord::OnDraining(TimePoint now) noexcept {
--- a/src/jacinthdeck/routing/target_record.h
+++ b/src/jacinthdeck/routing/target_record.h
@@ -20,7 +20,7 @@
 enum class TargetRank {
   kPreferred,
   //! Silent or shedding: only if nothing else is free.
-  kDoubtful,
+  kDegraded,
   //! Gets probes only.
   kEjected,
   //! Gets no new work.
@@ -43,8 +43,8 @@
   /*! \brief Tells whether requests at it are likely lost, so that sending one
    * elsewhere is a failover and not a hedge. */
   [[nodiscard]] bool IsSuspect(TimePoint now) const noexcept {
-    return m_health.State(now) != HealthState::kTrusted || IsSilent(now) ||
-           m_unanswered_in_row > 0;
+    return m_health.State(now) != HealthState::kTrusted ||
+           IsUnresponsive(now) || m_consecutive_unanswered > 0;
   }
   [[nodiscard]] std::uint32_t in_flight() const noexcept { return m_in_flight; }
 
@@ -58,7 +58,7 @@
   }
 
   /*! \brief Tells whether it shed a moment ago. */
-  [[nodiscard]] bool HasShed(TimePoint now) const noexcept {
+  [[nodiscard]] bool HasShedRecently(TimePoint now) const noexcept {
     return now < m_shed_until;
   }
 
@@ -91,8 +91,8 @@
   void SetGone() noexcept { m_info.state = TargetState::kGone; }
 
   /*! \brief Says among how many entries its slots are shared. */
-  void ShareSlots(std::uint32_t entries) noexcept {
-    m_window.SetFloor(m_info.slots, entries);
+  void ShareSlots(std::uint32_t hosts) noexcept {
+    m_window.SetFloor(m_info.slots, hosts);
   }
 
   /*! \brief Counts a request that is being sent. */
@@ -128,7 +128,7 @@
   void OnReply(TimePoint now) noexcept;
   //! Weight of what was learned at the last end, 1 to 0.
   [[nodiscard]] double Freshness(TimePoint now) const noexcept;
-  [[nodiscard]] bool IsSilent(TimePoint now) const noexcept;
+  [[nodiscard]] bool IsUnresponsive(TimePoint now) const noexcept;
 
   TargetInfo m_info;
   //! Never null.
@@ -144,11 +144,11 @@
   TimePoint m_last_end{};
   //! Last reply of any kind.
   TimePoint m_last_reply{};
-  std::uint32_t m_unanswered_in_row = 0;
-  std::uint32_t m_sheds_in_row = 0;
+  std::uint32_t m_consecutive_unanswered = 0;
+  std::uint32_t m_consecutive_sheds = 0;
   TimePoint m_shed_until{};
   //! End of a pause after missing answers.
-  TimePoint m_doubtful_until{};
+  TimePoint m_degraded_until{};
   std::optional<TimePoint> m_draining_until;
 };
 
--- a/src/jacinthdeck/typed/typed_calls.cc
+++ b/src/jacinthdeck/typed/typed_calls.cc
@@ -29,7 +29,7 @@
 }
 
 void TypedCalls::SetHosts(std::uint32_t hosts, TimePoint now) {
-  m_router.SetEntryCount(hosts, now);
+  m_router.SetHostCount(hosts, now);
 }
 
 void TypedCalls::Submit(Call call, TimePoint now) {
--- a/standins/target/target.cc
+++ b/standins/target/target.cc
@@ -103,7 +103,7 @@
   }
   if (request.first_on_connection) {
     // What it costs a server to open a connection is paid by its first reply.
-    std::this_thread::sleep_for(m_info.open_cost);
+    std::this_thread::sleep_for(m_info.connection_open_time);
   }
   if (request.path == "/query" && request.verb == "POST") {
     return Query(request);
--- a/standins/target/target_list.cc
+++ b/standins/target/target_list.cc
@@ -87,7 +87,7 @@
   info.port = static_cast<std::uint16_t>(port);
   info.slots = static_cast<std::uint32_t>(slots);
   info.connections = static_cast<std::uint32_t>(connections);
-  info.open_cost = Duration(static_cast<Duration::rep>(open));
+  info.connection_open_time = Duration(static_cast<Duration::rep>(open));
   return info;
 }
 
--- a/test/jacinthdeck/routing/connection_plan_test.cc
+++ b/test/jacinthdeck/routing/connection_plan_test.cc
@@ -16,12 +16,12 @@
 
 namespace internal {
 
-constexpr Duration kViewLag = seconds(2);
-constexpr Duration kLinger = seconds(5);
+constexpr Duration kMembershipDelay = seconds(2);
+constexpr Duration kConnectionLinger = seconds(5);
 
 /*! \brief One entry host with the connections that its present and former life
  * hold at the target. */
-struct FakeEntry {
+struct FakeHost {
   std::unique_ptr<Router> router;
   bool up = false;
   std::uint32_t held = 0;
@@ -36,54 +36,58 @@
     target.id = TargetId("t-0-a");
     target.slots = 3;
     target.connections = connections;
-    target.open_cost = milliseconds(6);
+    target.connection_open_time = milliseconds(6);
   }
 
-  void Start(internal::FakeEntry& entry) {
+  void Start(internal::FakeHost& host) {
     RouterOptions options;
-    options.newcomer_hold = 2 * internal::kViewLag;
-    entry.router = std::make_unique<Router>(random.DrawSeed(), options);
-    entry.router->SetTargets({target}, now);
-    entry.router->SetEntryCount(1, now);
-    entry.up = true;
+    options.startup_hold = 2 * internal::kMembershipDelay;
+    host.router = std::make_unique<Router>(random.DrawSeed(), options);
+    host.router->SetTargets({target}, now);
+    host.router->SetHostCount(1, now);
+    host.up = true;
   }
 
-  void Stop(internal::FakeEntry& entry) const {
-    entry.up = false;
-    entry.lingering = entry.held;
-    entry.lingers_until = now + internal::kLinger;
-    entry.held = 0;
-    entry.router.reset();
+  void Stop(internal::FakeHost& host) const {
+    host.up = false;
+    host.lingering = host.held;
+    host.lingers_until = now + internal::kConnectionLinger;
+    host.held = 0;
+    host.router.reset();
   }
 
   //! Each entry opens all it may; idle connections above its share are closed.
   [[nodiscard]] std::uint32_t OpenAll() {
     std::uint32_t sum = 0;
-    for (internal::FakeEntry& entry : entries) {
-      if (entry.up) {
-        entry.held = entry.router->PlanFor(target.id, now).max_connections;
+    for (internal::FakeHost& host : hosts) {
+      if (host.up) {
+        host.held =
+            host.router->ConnectionPlanFor(target.id, now).max_connections;
         // The send path asks for the limit alone.
-        BOOST_TEST(entry.router->ConnectionLimit(target.id, now) == entry.held);
+        BOOST_TEST(host.router->ConnectionLimit(target.id, now) == host.held);
       }
-      sum += entry.held + (now < entry.lingers_until ? entry.lingering : 0);
+      sum += host.held + (now < host.lingers_until ? host.lingering : 0);
     }
     return sum;
   }
 
   [[nodiscard]] std::uint32_t CountUp() const {
     return static_cast<std::uint32_t>(
-        std::ranges::count_if(entries, &internal::FakeEntry::up));
+        std::ranges::count_if(hosts, &internal::FakeHost::up));
   }
 
-  void Tick(std::vector<std::uint32_t>& views) {
+  void Tick(std::vector<std::uint32_t>& count_history) {
     now += milliseconds(100);
-    views.push_back(CountUp());
-    const std::size_t lag = internal::kViewLag / milliseconds(100);
-    const std::uint32_t view =
-        views.size() > lag ? views[views.size() - 1 - lag] : 1;
-    for (const internal::FakeEntry& entry : entries) {
-      if (entry.up) {
-        entry.router->SetEntryCount(std::max(1U, view), now);
+    count_history.push_back(CountUp());
+    const std::size_t delay_ticks =
+        internal::kMembershipDelay / milliseconds(100);
+    const std::uint32_t known_count =
+        count_history.size() > delay_ticks
+            ? count_history[count_history.size() - 1 - delay_ticks]
+            : 1;
+    for (const internal::FakeHost& host : hosts) {
+      if (host.up) {
+        host.router->SetHostCount(std::max(1U, known_count), now);
       }
     }
   }
@@ -91,7 +95,7 @@
   TargetInfo target;
   Random random{7};
   TimePoint now{};
-  std::vector<internal::FakeEntry> entries{8};
+  std::vector<internal::FakeHost> hosts{8};
 };
 
 BOOST_FIXTURE_TEST_SUITE(ConnectionPlanTest, ConnectionPlanFixture)
@@ -104,23 +108,23 @@
 BOOST_AUTO_TEST_CASE(PlanFor_EntriesComeAndGo_SumStaysWithinTheLimit) {
   for (const std::uint32_t limit : {25U, 30U, 35U, 100U}) {
     target.connections = limit;
-    entries = std::vector<internal::FakeEntry>(8);
-    std::vector<std::uint32_t> views;
+    hosts = std::vector<internal::FakeHost>(8);
+    std::vector<std::uint32_t> count_history;
     std::uint32_t highest = 0;
     for (int second = 0; second < 1200; ++second) {
       if (second % 6 == 0) {
-        internal::FakeEntry& entry = entries[random.Below(8)];
-        if (!entry.up) {
-          Start(entry);
+        internal::FakeHost& host = hosts[random.Below(8)];
+        if (!host.up) {
+          Start(host);
         } else if (CountUp() > 6) {
-          Stop(entry);
+          Stop(host);
         } else {
-          Stop(entry);
-          Start(entry);
+          Stop(host);
+          Start(host);
         }
       }
       for (int tick = 0; tick < 10; ++tick) {
-        Tick(views);
+        Tick(count_history);
         highest = std::max(highest, OpenAll());
         BOOST_REQUIRE(highest <= limit);
       }
@@ -142,12 +146,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(PlanFor_AllEntriesStartAtOnce_SumStaysWithinTheLimit) {
-  for (internal::FakeEntry& entry : entries) {
-    Start(entry);
+  for (internal::FakeHost& host : hosts) {
+    Start(host);
   }
-  std::vector<std::uint32_t> views;
+  std::vector<std::uint32_t> count_history;
   for (int tick = 0; tick < 600; ++tick) {
-    Tick(views);
+    Tick(count_history);
     BOOST_REQUIRE(OpenAll() <= target.connections);
   }
   BOOST_TEST(OpenAll() == 24U);
@@ -162,7 +166,7 @@
     const ConnectionPlan plan = PlanConnections(target, 3, 8, random);
     BOOST_TEST((plan.first_open_delay < milliseconds(54)));
     BOOST_TEST((plan.open_interval == milliseconds(54)));
-    BOOST_TEST(plan.warm_spares == 1U);
+    BOOST_TEST(plan.idle_spares == 1U);
     delays.push_back(plan.first_open_delay);
   }
   const auto [least, most] = std::ranges::minmax(delays);
--- a/test/jacinthdeck/routing/hedge_policy_test.cc
+++ b/test/jacinthdeck/routing/hedge_policy_test.cc
@@ -17,7 +17,7 @@
   }
 
   LatencyHistogram latencies;
-  LearnedHedging learned;
+  QuantileHedging learned;
 };
 
 BOOST_FIXTURE_TEST_SUITE(HedgePolicyTest, HedgePolicyFixture)
--- a/test/jacinthdeck/routing/entry_count_window_test.cc
+++ b/test/jacinthdeck/routing/host_count_window_test.cc
@@ -1,19 +1,19 @@
 // Tests of the highest entry count of a window.
-#include "jacinthdeck/routing/entry_count_window.h"
+#include "jacinthdeck/routing/host_count_window.h"
 
 #include <boost/test/unit_test.hpp>
 
 namespace jacinthdeck {
 
-struct EntryCountWindowFixture {
+struct HostCountWindowFixture {
   [[nodiscard]] static TimePoint At(int second) {
     return TimePoint() + std::chrono::seconds(second);
   }
 
-  EntryCountWindow window{std::chrono::seconds(60), 1};
+  HostCountWindow window{std::chrono::seconds(60), 1};
 };
 
-BOOST_FIXTURE_TEST_SUITE(EntryCountWindowTest, EntryCountWindowFixture)
+BOOST_FIXTURE_TEST_SUITE(HostCountWindowTest, HostCountWindowFixture)
 
 // Two of eight entries are cut off from this one, but not from the targets.
 // Were the fall believed at once, the shares would grow and sum up to more than
@@ -38,7 +38,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Highest_BelowTheExpectedCount_IsTheExpectedOne) {
-  EntryCountWindow expecting(std::chrono::seconds(60), 8);
+  HostCountWindow expecting(std::chrono::seconds(60), 8);
   expecting.Add(6, At(0));
   BOOST_TEST(expecting.Highest(At(1000)) == 8U);
 }
--- a/test/jacinthdeck/routing/in_flight_window_test.cc
+++ b/test/jacinthdeck/routing/in_flight_window_test.cc
@@ -17,7 +17,7 @@
   TimePoint now{};
   for (int i = 0; i < 50; ++i) {
     now += milliseconds(100);
-    window.OnPressure(now);
+    window.OnOverload(now);
   }
   BOOST_TEST(window.Size(10) == 1U);
 }
@@ -30,7 +30,7 @@
   TimePoint now{};
   for (int i = 0; i < 50; ++i) {
     now += milliseconds(100);
-    window.OnPressure(now);
+    window.OnOverload(now);
   }
   BOOST_TEST(window.Size(15) == 4U);
   window.SetFloor(3, 8);
@@ -40,7 +40,7 @@
 BOOST_AUTO_TEST_CASE(Size_ShedsOfOneMoment_CountOnce) {
   InFlightWindow window(10);
   for (int i = 0; i < 5; ++i) {
-    window.OnPressure(TimePoint() + milliseconds(i));
+    window.OnOverload(TimePoint() + milliseconds(i));
   }
   BOOST_TEST(window.Size(10) == 7U);
 }
--- a/test/jacinthdeck/routing/replica_chooser_test.cc
+++ b/test/jacinthdeck/routing/replica_chooser_test.cc
@@ -58,7 +58,7 @@
 
 BOOST_AUTO_TEST_CASE(Score_SlowOrFailingReplica_IsLeftOut) {
   replicas[0].relative_latency = 3;
-  replicas[1].trouble_rate = 0.6;
+  replicas[1].bad_attempt_rate = 0.6;
   BOOST_TEST(Pick(score)[2] == 3000);
 }
 
--- a/test/jacinthdeck/routing/router_fixture.h
+++ b/test/jacinthdeck/routing/router_fixture.h
@@ -64,7 +64,7 @@
     return picks;
   }
 
-  void Warm() {
+  void WarmUp() {
     (void)Run(500, [this](const TargetId& target) { Finish(target); });
   }
 
--- a/test/jacinthdeck/routing/router_pick_test.cc
+++ b/test/jacinthdeck/routing/router_pick_test.cc
@@ -17,7 +17,7 @@
 // nothing is in flight, no end would follow and the call would wait for its
 // deadline beside idle targets.
 BOOST_AUTO_TEST_CASE(Choose_AtLimit_AlwaysHasAnAttemptInFlight) {
-  router.SetEntryCount(8, now);
+  router.SetHostCount(8, now);
   std::vector<TargetId> running;
   Random random(3);
   for (int i = 0; i < 20000; ++i) {
@@ -39,7 +39,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Choose_EightEntries_KeepsWithinTheShareOfConnections) {
-  router.SetEntryCount(8, now);
+  router.SetHostCount(8, now);
   int chosen = 0;
   while (Choose()) {
     ++chosen;
@@ -52,13 +52,13 @@
 // first attempt of another call, so none may be granted however many tokens are
 // left.
 BOOST_AUTO_TEST_CASE(Choose_HedgeWhileSaturated_IsRefused) {
-  Warm();
+  WarmUp();
   (void)Run(200, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kShed);
   });
   // The pauses after the sheds are over, so only their share speaks against it.
   now += seconds(1);
-  BOOST_TEST(router.Saturated(service));
+  BOOST_TEST(router.IsSaturated(service));
   BOOST_TEST(!Choose(AttemptKind::kHedge, {replicas[0]}));
   BOOST_TEST((refusal == RouteRefusal::kNoBudget));
 }
@@ -80,8 +80,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(Choose_HedgesAskedForAll_AreAFewPercentOfTheFirsts) {
-  Warm();
-  const auto before = router.counters().firsts;
+  WarmUp();
+  const auto before = router.counters().first_attempts;
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(5);
     const auto first = Choose();
@@ -92,15 +92,15 @@
     }
     Finish(*first);
   }
-  const auto firsts = router.counters().firsts - before;
-  BOOST_TEST(router.counters().hedges <= firsts * 35 / 1000 + 21);
+  const auto first_attempts = router.counters().first_attempts - before;
+  BOOST_TEST(router.counters().hedges <= first_attempts * 35 / 1000 + 21);
 }
 
 // A request sits at a target that went silent, and the hedge budget is spent.
 // Were the hedge refused, its caller would wait for the deadline. It replaces a
 // lost request, so the retry budget pays for it.
 BOOST_AUTO_TEST_CASE(Choose_HedgeAwayFromSilentTarget_NeedsNoHedgeBudget) {
-  Warm();
+  WarmUp();
   std::optional<TargetId> first = Choose();
   BOOST_REQUIRE(first);
   while (const auto hedge = Choose(AttemptKind::kHedge, {*first})) {
--- a/test/jacinthdeck/routing/router_test.cc
+++ b/test/jacinthdeck/routing/router_test.cc
@@ -27,7 +27,7 @@
 // learned until the deadline, while each request sent there waits for a hedge.
 // The missing answers themselves must keep new work away.
 BOOST_AUTO_TEST_CASE(Choose_TargetNeverAnswers_IsLeftBeforeAnyTimeout) {
-  Warm();
+  WarmUp();
   const auto picks = Run(400, [this](const TargetId& target) {
     if (target != replicas[0]) {
       Finish(target);
@@ -39,7 +39,7 @@
 // The hedges win and the silent target's requests are cancelled each time, so
 // its count of requests in flight stays low. The cancelled waits must count.
 BOOST_AUTO_TEST_CASE(Choose_SilentTargetIsCancelledEachTime_IsEjected) {
-  Warm();
+  WarmUp();
   const auto picks = Run(1000, [this](const TargetId& target) {
     if (target == replicas[0]) {
       Finish(target, AttemptStatus::kCancelled, milliseconds(30));
@@ -52,7 +52,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Choose_SlowTarget_GetsLittleWork) {
-  Warm();
+  WarmUp();
   const auto picks = Run(2000, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kAnswered,
            milliseconds(target == replicas[0] ? 50 : 5));
@@ -63,7 +63,7 @@
 // The load rises and every replica of the shard becomes slow. None is at fault;
 // ejecting one would push its work onto the others and eject them next.
 BOOST_AUTO_TEST_CASE(Choose_AllReplicasBecomeSlow_NoneIsEjected) {
-  Warm();
+  WarmUp();
   (void)Run(300, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kAnswered, milliseconds(40));
   });
@@ -77,7 +77,7 @@
   });
   BOOST_REQUIRE(router.counters().ejections >= 1U);
   now += seconds(30);
-  Warm();
+  WarmUp();
   const auto picks =
       Run(900, [this](const TargetId& target) { Finish(target); });
   BOOST_TEST(picks.at(replicas[0]) > 200);
@@ -167,7 +167,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Snapshot_AfterWork_ShowsEveryTarget) {
-  Warm();
+  WarmUp();
   const auto snapshots = router.Snapshot(now);
   BOOST_REQUIRE(snapshots.size() == 3U);
   BOOST_TEST((snapshots[0].id == replicas[0]));
--- a/test/jacinthdeck/routing/target_health_test.cc
+++ b/test/jacinthdeck/routing/target_health_test.cc
@@ -9,18 +9,18 @@
 using std::chrono::seconds;
 
 struct TargetHealthFixture {
-  void End(Verdict verdict, int times, bool stands_out = true) {
+  void End(HealthSample sample, int times, bool slower_than_peers = true) {
     for (int i = 0; i < times; ++i) {
-      health.OnEnd(verdict, stands_out, now, random);
+      health.OnEnd(sample, slower_than_peers, now, random);
     }
   }
 
-  void Probe(Verdict verdict) {
+  void Probe(HealthSample sample) {
     now += seconds(1);
     BOOST_REQUIRE(health.MayProbe(now));
     health.OnProbe();
     BOOST_TEST(!health.MayProbe(now));
-    End(verdict, 1);
+    End(sample, 1);
   }
 
   [[nodiscard]] HealthState State() const { return health.State(now); }
@@ -33,45 +33,45 @@
 BOOST_FIXTURE_TEST_SUITE(TargetHealthTest, TargetHealthFixture)
 
 BOOST_AUTO_TEST_CASE(State_ThreeFailuresInARow_IsEjected) {
-  End(Verdict::kFailed, 2);
+  End(HealthSample::kFailed, 2);
   BOOST_TEST((State() == HealthState::kTrusted));
-  End(Verdict::kFailed, 1);
+  End(HealthSample::kFailed, 1);
   BOOST_TEST((State() == HealthState::kEjected));
 }
 
 BOOST_AUTO_TEST_CASE(State_MostlyLate_IsEjected) {
-  End(Verdict::kGood, 12);
-  End(Verdict::kSlow, 10);
+  End(HealthSample::kGood, 12);
+  End(HealthSample::kSlow, 10);
   BOOST_TEST((State() == HealthState::kEjected));
 }
 
 // The whole service became slow, so every target is late. Ejecting for that
 // would push all work onto the last ones and end in an outage.
 BOOST_AUTO_TEST_CASE(State_LateAsTheWholeService_IsTrusted) {
-  End(Verdict::kSlow, 50, false);
+  End(HealthSample::kSlow, 50, false);
   BOOST_TEST((State() == HealthState::kTrusted));
 }
 
 BOOST_AUTO_TEST_CASE(State_FewLateOnes_IsTrusted) {
   for (int i = 0; i < 100; ++i) {
-    End(i % 10 == 0 ? Verdict::kSlow : Verdict::kGood, 1);
+    End(i % 10 == 0 ? HealthSample::kSlow : HealthSample::kGood, 1);
   }
   BOOST_TEST((State() == HealthState::kTrusted));
 }
 
 BOOST_AUTO_TEST_CASE(State_ThreeGoodProbes_IsTrustedAgain) {
-  End(Verdict::kFailed, 3);
-  Probe(Verdict::kGood);
-  Probe(Verdict::kGood);
+  End(HealthSample::kFailed, 3);
+  Probe(HealthSample::kGood);
+  Probe(HealthSample::kGood);
   BOOST_TEST((State() != HealthState::kTrusted));
-  Probe(Verdict::kGood);
+  Probe(HealthSample::kGood);
   BOOST_TEST((State() == HealthState::kTrusted));
 }
 
 // A target stays dead for long. Each probe delays one caller, so probes must
 // become rare; they must not end, or it would never come back.
 BOOST_AUTO_TEST_CASE(State_ProbesKeepFailing_EjectionGrowsUpToABound) {
-  End(Verdict::kFailed, 3);
+  End(HealthSample::kFailed, 3);
   Duration longest{};
   for (int i = 0; i < 20; ++i) {
     const TimePoint ejected = now;
@@ -80,7 +80,7 @@
     }
     longest = std::max<Duration>(longest, now - ejected);
     health.OnProbe();
-    End(Verdict::kFailed, 1);
+    End(HealthSample::kFailed, 1);
   }
   BOOST_TEST((longest > seconds(15)));
   BOOST_TEST((longest <= seconds(30) + milliseconds(100)));
@@ -89,8 +89,8 @@
 // A request that was sent before the ejection ends well during it. That is no
 // probe and must not bring the target back early.
 BOOST_AUTO_TEST_CASE(State_EarlierRequestEndsDuringEjection_StaysEjected) {
-  End(Verdict::kFailed, 3);
-  End(Verdict::kGood, 10);
+  End(HealthSample::kFailed, 3);
+  End(HealthSample::kGood, 10);
   BOOST_TEST((State() == HealthState::kEjected));
 }
 
--- a/test/standins/target_list_test.cc
+++ b/test/standins/target_list_test.cc
@@ -33,15 +33,16 @@
 BOOST_AUTO_TEST_CASE(ReadHostList_OneHost_GivesItsTarget) {
   const auto read = Read(host);
   BOOST_REQUIRE(read.index() == 0U);
-  const TargetInfo expected{.id = TargetId("a"),
-                            .service = ServiceId("S"),
-                            .domain = FailureDomain("d"),
-                            .address = "127.0.0.1",
-                            .port = 4000,
-                            .state = TargetState::kLive,
-                            .slots = 3,
-                            .connections = 30,
-                            .open_cost = std::chrono::milliseconds(6)};
+  const TargetInfo expected{
+      .id = TargetId("a"),
+      .service = ServiceId("S"),
+      .domain = FailureDomain("d"),
+      .address = "127.0.0.1",
+      .port = 4000,
+      .state = TargetState::kLive,
+      .slots = 3,
+      .connections = 30,
+      .connection_open_time = std::chrono::milliseconds(6)};
   BOOST_TEST((std::get<0>(read).at(0) == expected));
 }
 
--- a/test/standins/target_test.cc
+++ b/test/standins/target_test.cc
@@ -25,7 +25,7 @@
                  .state = TargetState::kLive,
                  .slots = 1,
                  .connections = 4,
-                 .open_cost = {}},
+                 .connection_open_time = {}},
                 0,
                 std::make_shared<const Dataset>(ServiceId("S"), 1000, 1),
                 log,
