--- a/test/jacinthdeck/core/backoff_test.cc
+++ b/test/jacinthdeck/core/backoff_test.cc
@@ -15,7 +15,7 @@
 // A store that went away is asked by every node at once. What the operator sees
 // without jitter: a spike of calls at each doubling that keeps the store down.
 // The delay must be spread and bounded.
-BOOST_AUTO_TEST_CASE(Backoff_RepeatedFailures_DelaysAreJitteredAndBounded) {
+BOOST_AUTO_TEST_CASE(OnFailure_RepeatedFailures_DelaysAreJitteredAndBounded) {
   Duration longest{};
   for (int i = 0; i < 1000; ++i) {
     const Duration delay = backoff.OnFailure(random);
@@ -26,7 +26,7 @@
   BOOST_TEST((longest > std::chrono::seconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(Backoff_AfterSuccess_StartsAgainFromTheFirstWindow) {
+BOOST_AUTO_TEST_CASE(OnFailure_AfterSuccess_DrawsFromTheFirstWindow) {
   for (int i = 0; i < 10; ++i) {
     (void)backoff.OnFailure(random);
   }
--- a/test/jacinthdeck/core/bounded_ring_test.cc
+++ b/test/jacinthdeck/core/bounded_ring_test.cc
@@ -16,7 +16,7 @@
 // A decision thread that stalls must not stall its writers: the fifth call is
 // refused at once, and the item is still the writer's, so that it can answer
 // "not run".
-BOOST_AUTO_TEST_CASE(Ring_Full_RefusesAndKeepsTheWritersItem) {
+BOOST_AUTO_TEST_CASE(TryPush_RingFull_ReturnsFalseAndLeavesTheItem) {
   for (int i = 0; i < 4; ++i) {
     BOOST_TEST(ring.TryPush(int{i}));
   }
@@ -28,22 +28,22 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(Ring_TwoWriters_LosesNothingThatWasAccepted) {
+BOOST_AUTO_TEST_CASE(PopAll_TwoWriters_ReturnsEveryAcceptedItem) {
   int accepted[2] = {0, 0};
-  const auto write = [&](int who) {
+  const auto write = [&](int writer) {
     for (int i = 0; i < 1000; ++i) {
-      while (!ring.TryPush(int{who})) {
+      while (!ring.TryPush(int{writer})) {
         std::this_thread::yield();
       }
-      ++accepted[who];
+      ++accepted[writer];
     }
   };
   std::thread first(write, 0);
   std::thread second(write, 1);
   int seen[2] = {0, 0};
   while (seen[0] + seen[1] < 2000) {
-    for (const int who : ring.PopAll(std::chrono::seconds(10))) {
-      ++seen[who];
+    for (const int writer : ring.PopAll(std::chrono::seconds(10))) {
+      ++seen[writer];
     }
   }
   first.join();
--- a/test/jacinthdeck/routing/connection_plan_test.cc
+++ b/test/jacinthdeck/routing/connection_plan_test.cc
@@ -105,7 +105,8 @@
 // life for five seconds more. Whatever the order, their sum must stay within
 // the target's limit, or it refuses connections at random and callers see
 // failures with every restart.
-BOOST_AUTO_TEST_CASE(PlanFor_EntriesComeAndGo_SumStaysWithinTheLimit) {
+BOOST_AUTO_TEST_CASE(
+    ConnectionPlanFor_HostsStartAndStop_SumStaysWithinTheLimit) {
   for (const std::uint32_t limit : {25U, 30U, 35U, 100U}) {
     target.connections = limit;
     hosts = std::vector<internal::FakeHost>(8);
@@ -145,7 +146,8 @@
   BOOST_TEST(router.ConnectionLimit(TargetId("nobody"), now) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(PlanFor_AllEntriesStartAtOnce_SumStaysWithinTheLimit) {
+BOOST_AUTO_TEST_CASE(
+    ConnectionPlanFor_AllHostsStartAtOnce_SumStaysWithinTheLimit) {
   for (internal::FakeHost& host : hosts) {
     Start(host);
   }
@@ -160,7 +162,7 @@
 // A target returns and eight entries open their spares. It takes 6 ms for each,
 // one after the other. Opened at once they would queue up before the first
 // request; they must be spread.
-BOOST_AUTO_TEST_CASE(PlanConnections_ManyEntries_OpeningsAreSpread) {
+BOOST_AUTO_TEST_CASE(PlanConnections_ManyHosts_OpeningsAreSpread) {
   std::vector<Duration> delays;
   for (int i = 0; i < 8; ++i) {
     const ConnectionPlan plan = PlanConnections(target, 3, 8, random);
@@ -178,7 +180,7 @@
   BOOST_TEST((PlanConnections(target, 3, 8, random) == ConnectionPlan()));
 }
 
-BOOST_AUTO_TEST_CASE(ConnectionShare_LimitBelowTheEntries_IsOne) {
+BOOST_AUTO_TEST_CASE(ConnectionShare_LimitBelowHostCount_IsOne) {
   BOOST_TEST(ConnectionShare(30, 590) == 1U);
 }
 
--- a/test/jacinthdeck/routing/hedge_policy_test.cc
+++ b/test/jacinthdeck/routing/hedge_policy_test.cc
@@ -17,30 +17,31 @@
   }
 
   LatencyHistogram latencies;
-  QuantileHedging learned;
+  QuantileHedging quantile_hedging;
 };
 
 BOOST_FIXTURE_TEST_SUITE(HedgePolicyTest, HedgePolicyFixture)
 
-BOOST_AUTO_TEST_CASE(Learned_WithoutLatencies_IsCautious) {
-  BOOST_TEST((learned.Delay(latencies) == milliseconds(50)));
+BOOST_AUTO_TEST_CASE(QuantileHedging_NoSamples_ReturnsTheDefaultDelay) {
+  BOOST_TEST((quantile_hedging.Delay(latencies) == milliseconds(50)));
 }
 
-BOOST_AUTO_TEST_CASE(Learned_OneInAHundredStraggles_IsAboveTheUsualLatency) {
+BOOST_AUTO_TEST_CASE(
+    QuantileHedging_OnePercentStragglers_IsAboveTheNormalLatency) {
   Fill(1);
-  BOOST_TEST((learned.Delay(latencies) >= Duration(5800)));
-  BOOST_TEST((learned.Delay(latencies) <= Duration(6500)));
+  BOOST_TEST((quantile_hedging.Delay(latencies) >= Duration(5800)));
+  BOOST_TEST((quantile_hedging.Delay(latencies) <= Duration(6500)));
 }
 
 // More requests straggle than lie above the quantile, so the quantile is a
 // straggler's latency. The caller would wait for the straggler and then for the
 // hedge. The delay must stay far below.
-BOOST_AUTO_TEST_CASE(Learned_MoreStragglersThanTheQuantileLeaves_IsCapped) {
+BOOST_AUTO_TEST_CASE(QuantileHedging_StragglersReachTheQuantile_IsCapped) {
   Fill(5);
-  BOOST_TEST((learned.Delay(latencies) <= milliseconds(20)));
+  BOOST_TEST((quantile_hedging.Delay(latencies) <= milliseconds(20)));
 }
 
-BOOST_AUTO_TEST_CASE(Baselines_WhateverTheLatencies_KeepTheirDelay) {
+BOOST_AUTO_TEST_CASE(Baselines_AnyLatencies_ReturnAFixedDelay) {
   Fill(5);
   BOOST_TEST((NoHedging().Delay(latencies) == kNoHedge));
   BOOST_TEST(
--- a/test/jacinthdeck/routing/host_count_window_test.cc
+++ b/test/jacinthdeck/routing/host_count_window_test.cc
@@ -26,18 +26,18 @@
   BOOST_TEST(window.Highest(At(101)) == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(Highest_CountRises_IsBelievedAtOnce) {
+BOOST_AUTO_TEST_CASE(Highest_CountRises_TakesEffectAtOnce) {
   window.Add(6, At(0));
   window.Add(8, At(1));
   BOOST_TEST(window.Highest(At(1)) == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(Highest_LongWithoutNews_KeepsTheLastCount) {
+BOOST_AUTO_TEST_CASE(Highest_NoNewCounts_KeepsTheLastCount) {
   window.Add(6, At(0));
   BOOST_TEST(window.Highest(At(1000)) == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(Highest_BelowTheExpectedCount_IsTheExpectedOne) {
+BOOST_AUTO_TEST_CASE(Highest_CountBelowExpected_IsTheExpectedCount) {
   HostCountWindow expecting(std::chrono::seconds(60), 8);
   expecting.Add(6, At(0));
   BOOST_TEST(expecting.Highest(At(1000)) == 8U);
--- a/test/jacinthdeck/routing/in_flight_window_test.cc
+++ b/test/jacinthdeck/routing/in_flight_window_test.cc
@@ -24,7 +24,7 @@
 
 // One entry alone sends to a target with three slots. Were its window to fall
 // to one after sheds, two slots would stay idle while requests wait here.
-BOOST_AUTO_TEST_CASE(Size_AfterShedsWithOneEntry_KeepsTheSlotsBusy) {
+BOOST_AUTO_TEST_CASE(Size_ShedsWithOneHost_StaysAboveTheSlotCount) {
   InFlightWindow window(3);
   window.SetFloor(3, 1);
   TimePoint now{};
@@ -37,7 +37,7 @@
   BOOST_TEST(window.floor() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Size_ShedsOfOneMoment_CountOnce) {
+BOOST_AUTO_TEST_CASE(Size_ShedsWithinOneInterval_DecreasesOnce) {
   InFlightWindow window(10);
   for (int i = 0; i < 5; ++i) {
     window.OnOverload(TimePoint() + milliseconds(i));
--- a/test/jacinthdeck/routing/latency_histogram_test.cc
+++ b/test/jacinthdeck/routing/latency_histogram_test.cc
@@ -23,7 +23,7 @@
   BOOST_TEST((histogram.Quantile(0.99) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(Quantile_TwoGroups_IsWithinABucketOfTheRightOne) {
+BOOST_AUTO_TEST_CASE(Quantile_BimodalLatencies_IsWithinOneBucket) {
   Fill(960, milliseconds(5));
   Fill(40, milliseconds(50));
   BOOST_TEST(ToMilliseconds(histogram.Quantile(0.9)) > 4.7);
--- a/test/jacinthdeck/routing/load_hint_test.cc
+++ b/test/jacinthdeck/routing/load_hint_test.cc
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(LoadHintTest)
 
-BOOST_AUTO_TEST_CASE(Value_AbsurdReports_IsBetweenZeroAndOne) {
+BOOST_AUTO_TEST_CASE(Value_InvalidReports_IsBetweenZeroAndOne) {
   LoadHint hint;
   for (const double load : {-5.0, 1e9, std::numeric_limits<double>::quiet_NaN(),
                             std::numeric_limits<double>::infinity()}) {
@@ -21,7 +21,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Value_OldReport_IsWorthNothing) {
+BOOST_AUTO_TEST_CASE(Value_OldReport_IsZero) {
   LoadHint hint;
   hint.Add(1, TimePoint());
   BOOST_TEST(hint.Value(TimePoint() + milliseconds(5), milliseconds(10)) ==
--- a/test/jacinthdeck/routing/replica_chooser_test.cc
+++ b/test/jacinthdeck/routing/replica_chooser_test.cc
@@ -22,7 +22,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaChooserTest, ReplicaChooserFixture)
 
-BOOST_AUTO_TEST_CASE(Pick_EqualReplicas_AreTakenEvenly) {
+BOOST_AUTO_TEST_CASE(Pick_EqualReplicas_ArePickedEvenly) {
   const RandomChooser any;
   const LeastInFlightChooser least;
   const std::array<const ReplicaChooser*, 3> choosers{&any, &least, &score};
@@ -34,7 +34,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LeastInFlight_OneIdleReplica_IsTaken) {
+BOOST_AUTO_TEST_CASE(LeastInFlight_OneIdleReplica_IsPicked) {
   replicas[0].in_flight = 1;
   replicas[2].in_flight = 2;
   BOOST_TEST(Pick(LeastInFlightChooser())[1] == 3000);
@@ -43,7 +43,7 @@
 // A target that is stuck reports no load, and the others report full load. Were
 // reports trusted, every request would go to the stuck one. Two requests in
 // flight must weigh more than any report.
-BOOST_AUTO_TEST_CASE(Score_LyingLoadReport_LosesToOwnRequestsInFlight) {
+BOOST_AUTO_TEST_CASE(Score_FalseLoadReports_InFlightCountDecides) {
   replicas[0].in_flight = 2;
   replicas[1].load_hint = 1;
   replicas[2].load_hint = 1;
@@ -56,7 +56,7 @@
   BOOST_TEST(Pick(score)[0] > 850);
 }
 
-BOOST_AUTO_TEST_CASE(Score_SlowOrFailingReplica_IsLeftOut) {
+BOOST_AUTO_TEST_CASE(Score_SlowOrFailingReplica_IsNotPicked) {
   replicas[0].relative_latency = 3;
   replicas[1].bad_attempt_rate = 0.6;
   BOOST_TEST(Pick(score)[2] == 3000);
--- a/test/jacinthdeck/routing/router_fixture.h
+++ b/test/jacinthdeck/routing/router_fixture.h
@@ -51,21 +51,22 @@
   }
 
   //! Sends requests one after the other; the ends depend on the target.
-  template <typename End>
-  [[nodiscard]] std::map<TargetId, int> Run(int requests, End end) {
+  template <typename OnChosen>
+  [[nodiscard]] std::map<TargetId, int> SendRequests(int requests,
+                                                     OnChosen on_chosen) {
     std::map<TargetId, int> picks;
     for (int i = 0; i < requests; ++i) {
       now += std::chrono::milliseconds(5);
       if (const auto target = Choose()) {
         ++picks[*target];
-        end(*target);
+        on_chosen(*target);
       }
     }
     return picks;
   }
 
   void WarmUp() {
-    (void)Run(500, [this](const TargetId& target) { Finish(target); });
+    (void)SendRequests(500, [this](const TargetId& target) { Finish(target); });
   }
 
   ServiceId service{"CounterDesk"};
--- a/test/jacinthdeck/routing/router_pick_test.cc
+++ b/test/jacinthdeck/routing/router_pick_test.cc
@@ -38,7 +38,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Choose_EightEntries_KeepsWithinTheShareOfConnections) {
+BOOST_AUTO_TEST_CASE(Choose_EightHosts_StaysWithinTheConnectionShare) {
   router.SetHostCount(8, now);
   int chosen = 0;
   while (Choose()) {
@@ -51,9 +51,9 @@
 // The targets shed almost everything. A hedge would only take the place of a
 // first attempt of another call, so none may be granted however many tokens are
 // left.
-BOOST_AUTO_TEST_CASE(Choose_HedgeWhileSaturated_IsRefused) {
+BOOST_AUTO_TEST_CASE(Choose_HedgeWhileServiceSaturated_IsRefused) {
   WarmUp();
-  (void)Run(200, [this](const TargetId& target) {
+  (void)SendRequests(200, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kShed);
   });
   // The pauses after the sheds are over, so only their share speaks against it.
@@ -65,7 +65,7 @@
 
 // Every target fails. Each call would retry on each replica and triple the load
 // on what is left; the retries must stay a tenth of the first attempts.
-BOOST_AUTO_TEST_CASE(Choose_RetriesInAnOutage_AreATenthOfTheFirsts) {
+BOOST_AUTO_TEST_CASE(Choose_RetriesDuringAnOutage_StayWithinTheRetryBudget) {
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(1);
     const auto first = Choose();
@@ -79,7 +79,7 @@
   BOOST_TEST(router.counters().retries >= 500U);
 }
 
-BOOST_AUTO_TEST_CASE(Choose_HedgesAskedForAll_AreAFewPercentOfTheFirsts) {
+BOOST_AUTO_TEST_CASE(Choose_HedgeForEveryRequest_StaysWithinTheHedgeBudget) {
   WarmUp();
   const auto before = router.counters().first_attempts;
   for (int i = 0; i < 5000; ++i) {
@@ -99,7 +99,7 @@
 // A request sits at a target that went silent, and the hedge budget is spent.
 // Were the hedge refused, its caller would wait for the deadline. It replaces a
 // lost request, so the retry budget pays for it.
-BOOST_AUTO_TEST_CASE(Choose_HedgeAwayFromSilentTarget_NeedsNoHedgeBudget) {
+BOOST_AUTO_TEST_CASE(Choose_FailoverFromSilentTarget_NeedsNoHedgeBudget) {
   WarmUp();
   std::optional<TargetId> first = Choose();
   BOOST_REQUIRE(first);
@@ -115,8 +115,8 @@
 
 // Two replicas shed and the third is ejected. A retry at once would meet the
 // same full queues, or go to the lost target and stay there. It must wait.
-BOOST_AUTO_TEST_CASE(Choose_RetryAfterShedsBesideEjected_WaitsThenTriesAgain) {
-  (void)Run(2000, [this](const TargetId& target) {
+BOOST_AUTO_TEST_CASE(Choose_RetryAfterShedsAndEjection_WaitsForTheShedBackoff) {
+  (void)SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kLost
                                          : AttemptStatus::kAnswered);
   });
@@ -136,7 +136,7 @@
   BOOST_TEST((*again != replicas[0]));
 }
 
-BOOST_AUTO_TEST_CASE(Choose_RetryWithNoOtherReplica_TakesATriedOneAgain) {
+BOOST_AUTO_TEST_CASE(Choose_RetryWithNoUntriedReplica_ReusesATriedOne) {
   const auto retry = Choose(AttemptKind::kRetry, replicas);
   BOOST_TEST(retry.has_value());
   BOOST_TEST(!Choose(AttemptKind::kHedge, replicas).has_value());
--- a/test/jacinthdeck/routing/router_test.cc
+++ b/test/jacinthdeck/routing/router_test.cc
@@ -16,7 +16,7 @@
 // idle, so least-in-flight sends it a third of all work and a third of all
 // callers see an error. After three failures it must get probes only.
 BOOST_AUTO_TEST_CASE(Choose_TargetFailsAtOnce_GetsProbesOnly) {
-  const auto picks = Run(2000, [this](const TargetId& target) {
+  const auto picks = SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kNotSent
                                          : AttemptStatus::kAnswered);
   });
@@ -26,9 +26,9 @@
 // A target accepts requests and never answers. Nothing fails and nothing is
 // learned until the deadline, while each request sent there waits for a hedge.
 // The missing answers themselves must keep new work away.
-BOOST_AUTO_TEST_CASE(Choose_TargetNeverAnswers_IsLeftBeforeAnyTimeout) {
+BOOST_AUTO_TEST_CASE(Choose_TargetNeverAnswers_IsAvoidedBeforeAnyTimeout) {
   WarmUp();
-  const auto picks = Run(400, [this](const TargetId& target) {
+  const auto picks = SendRequests(400, [this](const TargetId& target) {
     if (target != replicas[0]) {
       Finish(target);
     }
@@ -38,9 +38,9 @@
 
 // The hedges win and the silent target's requests are cancelled each time, so
 // its count of requests in flight stays low. The cancelled waits must count.
-BOOST_AUTO_TEST_CASE(Choose_SilentTargetIsCancelledEachTime_IsEjected) {
+BOOST_AUTO_TEST_CASE(Choose_RequestsToSilentTargetCancelled_IsEjected) {
   WarmUp();
-  const auto picks = Run(1000, [this](const TargetId& target) {
+  const auto picks = SendRequests(1000, [this](const TargetId& target) {
     if (target == replicas[0]) {
       Finish(target, AttemptStatus::kCancelled, milliseconds(30));
     } else {
@@ -53,7 +53,7 @@
 
 BOOST_AUTO_TEST_CASE(Choose_SlowTarget_GetsLittleWork) {
   WarmUp();
-  const auto picks = Run(2000, [this](const TargetId& target) {
+  const auto picks = SendRequests(2000, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kAnswered,
            milliseconds(target == replicas[0] ? 50 : 5));
   });
@@ -64,14 +64,14 @@
 // ejecting one would push its work onto the others and eject them next.
 BOOST_AUTO_TEST_CASE(Choose_AllReplicasBecomeSlow_NoneIsEjected) {
   WarmUp();
-  (void)Run(300, [this](const TargetId& target) {
+  (void)SendRequests(300, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kAnswered, milliseconds(40));
   });
   BOOST_TEST(router.counters().ejections == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Choose_EjectedTargetIsWellAgain_GetsItsShareBack) {
-  (void)Run(2000, [this](const TargetId& target) {
+BOOST_AUTO_TEST_CASE(Choose_EjectedTargetRecovers_RegainsItsShare) {
+  (void)SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kLost
                                          : AttemptStatus::kAnswered);
   });
@@ -79,14 +79,14 @@
   now += seconds(30);
   WarmUp();
   const auto picks =
-      Run(900, [this](const TargetId& target) { Finish(target); });
+      SendRequests(900, [this](const TargetId& target) { Finish(target); });
   BOOST_TEST(picks.at(replicas[0]) > 200);
 }
 
 // All replicas fail at once, for example since the network is cut for a moment.
 // Were all ejected, the shard would stay unreachable after the network is back.
 BOOST_AUTO_TEST_CASE(Choose_AllReplicasFail_MostStayInUse) {
-  const auto picks = Run(300, [this](const TargetId& target) {
+  const auto picks = SendRequests(300, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kLost);
   });
   int sum = 0;
@@ -99,7 +99,7 @@
 // A lost probe of a request that may run only once would leave its caller with
 // an unknown outcome, for the sake of an experiment.
 BOOST_AUTO_TEST_CASE(Choose_RequestMayNotProbe_NeverGoesToAnEjectedTarget) {
-  (void)Run(2000, [this](const TargetId& target) {
+  (void)SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kLost
                                          : AttemptStatus::kAnswered);
   });
@@ -115,7 +115,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Choose_TargetIsLeaving_GetsNothingNewAtOnce) {
+BOOST_AUTO_TEST_CASE(Choose_TargetIsLeaving_GetsNoNewWork) {
   const auto running = Choose();
   BOOST_REQUIRE(running);
   for (TargetInfo& info : targets) {
@@ -126,14 +126,15 @@
   router.SetTargets(targets, now);
   Finish(*running);
   const auto picks =
-      Run(300, [this](const TargetId& target) { Finish(target); });
+      SendRequests(300, [this](const TargetId& target) { Finish(target); });
   BOOST_TEST(!picks.contains(*running));
 }
 
 // The host list still calls a target live while it answers that it is draining.
 // Each such answer costs the caller a retry, so the target must be left at the
 // first one; a stale word of the target must not exclude it for ever.
-BOOST_AUTO_TEST_CASE(Choose_TargetAnswersDraining_IsLeftThoughTheListLags) {
+BOOST_AUTO_TEST_CASE(
+    Choose_TargetReportsDraining_IsExcludedBeforeTheHostListUpdates) {
   const auto draining = Choose();
   BOOST_REQUIRE(draining);
   AttemptResult result;
@@ -143,11 +144,11 @@
   router.Finish(result, now);
   router.SetTargets(targets, now);
   const auto picks =
-      Run(300, [this](const TargetId& target) { Finish(target); });
+      SendRequests(300, [this](const TargetId& target) { Finish(target); });
   BOOST_TEST(!picks.contains(*draining));
   now += seconds(15);
   const auto later =
-      Run(300, [this](const TargetId& target) { Finish(target); });
+      SendRequests(300, [this](const TargetId& target) { Finish(target); });
   BOOST_TEST(later.contains(*draining));
 }
 
@@ -157,7 +158,7 @@
   BOOST_TEST((refusal == RouteRefusal::kNoReplica));
 }
 
-BOOST_AUTO_TEST_CASE(Finish_TargetGoneMeanwhile_IsForgottenAfterItsLastEnd) {
+BOOST_AUTO_TEST_CASE(Finish_TargetRemoved_RecordIsErasedAfterTheLastAttempt) {
   const auto target = Choose();
   BOOST_REQUIRE(target);
   router.SetTargets({}, now);
--- a/test/jacinthdeck/routing/target_health_test.cc
+++ b/test/jacinthdeck/routing/target_health_test.cc
@@ -39,7 +39,7 @@
   BOOST_TEST((State() == HealthState::kEjected));
 }
 
-BOOST_AUTO_TEST_CASE(State_MostlyLate_IsEjected) {
+BOOST_AUTO_TEST_CASE(State_MostlySlowAttempts_IsEjected) {
   End(HealthSample::kGood, 12);
   End(HealthSample::kSlow, 10);
   BOOST_TEST((State() == HealthState::kEjected));
@@ -47,12 +47,12 @@
 
 // The whole service became slow, so every target is late. Ejecting for that
 // would push all work onto the last ones and end in an outage.
-BOOST_AUTO_TEST_CASE(State_LateAsTheWholeService_IsTrusted) {
+BOOST_AUTO_TEST_CASE(State_AsSlowAsItsPeers_StaysTrusted) {
   End(HealthSample::kSlow, 50, false);
   BOOST_TEST((State() == HealthState::kTrusted));
 }
 
-BOOST_AUTO_TEST_CASE(State_FewLateOnes_IsTrusted) {
+BOOST_AUTO_TEST_CASE(State_FewSlowAttempts_StaysTrusted) {
   for (int i = 0; i < 100; ++i) {
     End(i % 10 == 0 ? HealthSample::kSlow : HealthSample::kGood, 1);
   }
@@ -88,7 +88,7 @@
 
 // A request that was sent before the ejection ends well during it. That is no
 // probe and must not bring the target back early.
-BOOST_AUTO_TEST_CASE(State_EarlierRequestEndsDuringEjection_StaysEjected) {
+BOOST_AUTO_TEST_CASE(State_EarlierAttemptsEndDuringEjection_StaysEjected) {
   End(HealthSample::kFailed, 3);
   End(HealthSample::kGood, 10);
   BOOST_TEST((State() == HealthState::kEjected));
