--- a/src/jacinthdeck/core/backoff.h
+++ b/src/jacinthdeck/core/backoff.h
@@ -1,5 +1,4 @@
-// Exponential backoff with full jitter, for whatever is asked again after a
-// failure.
+// Exponential backoff with full jitter for operations that are retried.
 #ifndef JACINTHDECK_CORE_BACKOFF_H_
 #define JACINTHDECK_CORE_BACKOFF_H_
 
@@ -11,16 +10,17 @@
 namespace jacinthdeck {
 
 /**
- * \brief Delay before the next try after a run of failures.
+ * \brief Delays between retries: the window doubles with each consecutive
+ * failure up to a limit, and each delay is drawn uniformly from the window.
  *
- * Full jitter: without it, nodes that lost the store at one moment would return
- * at one moment too and overload it again. A delay drawn evenly from the whole
- * window spreads them over it.
+ * Without jitter, all hosts that lose the store at the same moment would also
+ * retry at the same moment and overload it again. A uniform draw from the whole
+ * window spreads their retries over it.
  */
 class Backoff {
  public:
   /**
-   * \brief Makes a backoff.
+   * \brief Creates a backoff without failures.
    * \param first Upper bound of the delay after the first failure.
    * \param limit Upper bound of any delay.
    */
@@ -28,9 +28,9 @@
       : m_first(first), m_limit(limit), m_window(first) {}
 
   /**
-   * \brief Counts a failure.
+   * \brief Counts a failure and doubles the window for the next one.
    * \param random Source of the jitter.
-   * \return Time to wait before the next try, at least a millisecond.
+   * \return Time to wait before the next try, at least 1 ms.
    */
   [[nodiscard]] Duration OnFailure(Random& random) {
     const auto window = static_cast<std::uint64_t>(m_window.count());
@@ -40,13 +40,13 @@
         Duration(static_cast<Duration::rep>(random.Below(window))));
   }
 
-  /*! \brief Forgets the failures counted so far. */
+  /*! \brief Resets the window to its initial length. */
   void OnSuccess() noexcept { m_window = m_first; }
 
  private:
   Duration m_first;
   Duration m_limit;
-  //! Grows from m_first and never passes m_limit.
+  //! Upper bound of the next delay; starts at m_first, at most m_limit.
   Duration m_window;
 };
 
--- a/src/jacinthdeck/core/boottime_clock.h
+++ b/src/jacinthdeck/core/boottime_clock.h
@@ -1,4 +1,4 @@
-// The runtime's clock in a running daemon.
+// Clock of a running daemon.
 #ifndef JACINTHDECK_CORE_BOOTTIME_CLOCK_H_
 #define JACINTHDECK_CORE_BOOTTIME_CLOCK_H_
 
@@ -10,12 +10,12 @@
 namespace jacinthdeck {
 
 /**
- * \brief The machine's time since its start, also while the process or the
- * whole machine is paused.
+ * \brief Time since the machine booted, including time in which the process or
+ * the whole machine was suspended.
  *
- * std::chrono::steady_clock stands still while a machine is suspended: a node
- * that woke from that would take its lapsed serving lease for a fresh one and
- * answer by a revision that is gone.
+ * std::chrono::steady_clock does not advance while a machine is suspended.
+ * After a resume, a host would treat its expired serving lease as valid and
+ * answer from an outdated revision. CLOCK_BOOTTIME includes the suspended time.
  */
 class BoottimeClock final : public Clock {
  public:
--- a/src/jacinthdeck/core/bounded_ring.h
+++ b/src/jacinthdeck/core/bounded_ring.h
@@ -1,5 +1,5 @@
-// Bounded queue that joins two threads; a full one refuses instead of blocking
-// its writers.
+// Bounded queue between threads that rejects items instead of blocking when it
+// is full.
 #ifndef JACINTHDECK_CORE_BOUNDED_RING_H_
 #define JACINTHDECK_CORE_BOUNDED_RING_H_
 
@@ -14,22 +14,22 @@
 namespace jacinthdeck {
 
 /**
- * \brief Ring of a fixed size for several writers and one reader.
+ * \brief Queue of fixed capacity for several writers and one reader.
  *
- * Writers never wait: a thread that waited on a full ring would hand the stall
- * of its reader on to callers who could have been told at once to come back
- * later.
+ * Writers never block. If a writer waited for room, a stalled reader would
+ * stall the writer's callers too; a rejected push lets the writer tell them
+ * immediately to retry later.
  */
 template <typename T>
 class BoundedRing {
  public:
-  /*! \brief Makes an empty ring; capacity is at least 1. */
+  /*! \brief Creates an empty queue; the capacity must be at least 1. */
   explicit BoundedRing(std::size_t capacity) : m_items(capacity) {}
 
   /**
-   * \brief Adds an item.
-   * \param item Moved from only if there is room.
-   * \return False if the ring is full.
+   * \brief Appends an item.
+   * \param item Item to append; moved from only if there is room.
+   * \return False if the queue is full.
    */
   [[nodiscard]] bool TryPush(T& item) {
     {
@@ -43,13 +43,14 @@
     return true;
   }
 
-  /*! \brief Adds an item; false, and the item is gone, if the ring is full. */
+  /*! \brief Appends an item; returns false and destroys it if the queue is
+   * full. */
   [[nodiscard]] bool TryPush(T&& item) { return TryPush(item); }
 
   /**
-   * \brief Takes all items, waiting for the first one.
-   * \param wait Longest time to wait, on the machine's steady clock.
-   * \return The items in order; empty if the time passed.
+   * \brief Removes all items, waiting for the first one if there is none.
+   * \param wait Longest time to wait, measured by std::chrono::steady_clock.
+   * \return The items in the order of their pushes; empty after a timeout.
    */
   [[nodiscard]] std::vector<T> PopAll(std::chrono::microseconds wait) {
     std::unique_lock lock(m_mutex);
@@ -68,7 +69,7 @@
  private:
   std::mutex m_mutex;
   std::condition_variable m_not_empty;
-  //! Never grows past the capacity given at the start.
+  //! Holds at most the capacity that was passed to the constructor.
   boost::circular_buffer<T> m_items;
 };
 
--- a/src/jacinthdeck/core/clock.h
+++ b/src/jacinthdeck/core/clock.h
@@ -1,4 +1,4 @@
-// Source of time that the runtime passes in; tests replace it by ManualClock.
+// Interface of the clock that the runtime reads; tests use ManualClock instead.
 #ifndef JACINTHDECK_CORE_CLOCK_H_
 #define JACINTHDECK_CORE_CLOCK_H_
 
@@ -6,14 +6,14 @@
 
 namespace jacinthdeck {
 
-/*! \brief A monotonic clock. */
+/*! \brief Monotonic clock. */
 class Clock {
  public:
   virtual ~Clock() = default;
 
   /**
    * \brief Reads the clock.
-   * \return The present moment; never earlier than any moment returned before.
+   * \return The current time; never earlier than a time returned before.
    */
   [[nodiscard]] virtual TimePoint Now() const noexcept = 0;
 };
--- a/src/jacinthdeck/core/endpoint.cc
+++ b/src/jacinthdeck/core/endpoint.cc
@@ -1,4 +1,4 @@
-// Text form of endpoints.
+// Formats and parses endpoints.
 #include "jacinthdeck/core/endpoint.h"
 
 #include <arpa/inet.h>
--- a/src/jacinthdeck/core/endpoint.h
+++ b/src/jacinthdeck/core/endpoint.h
@@ -1,4 +1,4 @@
-// An IPv4 number and a port.
+// IPv4 address and TCP port.
 #ifndef JACINTHDECK_CORE_ENDPOINT_H_
 #define JACINTHDECK_CORE_ENDPOINT_H_
 
@@ -10,19 +10,19 @@
 
 namespace jacinthdeck {
 
-/*! \brief Where a process listens or connects to. */
+/*! \brief IPv4 address and port to listen on or to connect to. */
 struct Endpoint {
-  //! IPv4 number in dotted form.
+  //! IPv4 address in dotted decimal notation.
   std::string address;
-  //! 0 lets the kernel pick one, where listening.
+  //! Port; when listening, 0 lets the kernel choose a free one.
   std::uint16_t port = 0;
 
   [[nodiscard]] bool operator==(const Endpoint&) const = default;
 
-  /*! \brief Renders `address:port`. */
+  /*! \brief Formats the endpoint as `address:port`. */
   [[nodiscard]] std::string ToString() const;
 
-  /*! \brief Reads `address:port`; kInvalidArgument for anything else. */
+  /*! \brief Parses `address:port`; fails with kInvalidArgument otherwise. */
   [[nodiscard]] static Result<Endpoint> Parse(std::string_view text);
 };
 
--- a/src/jacinthdeck/core/error.h
+++ b/src/jacinthdeck/core/error.h
@@ -1,4 +1,4 @@
-// Typed errors: what went wrong, where, and what to do next.
+// Error codes and the error value that the project's results carry.
 #ifndef JACINTHDECK_CORE_ERROR_H_
 #define JACINTHDECK_CORE_ERROR_H_
 
@@ -8,7 +8,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Kind of an error; callers branch on this, never on the text. */
+/*! \brief Kind of an error; code branches on it, never on the message. */
 enum class ErrorCode {
   kInvalidArgument,
   kNotFound,
@@ -22,16 +22,16 @@
   kInternal,
 };
 
-//! Names of the error codes, as they stand in replies and logs.
+//! Names of the error codes in replies and logs.
 inline constexpr NameTable<ErrorCode, 10> kErrorCodeNames{
     {"invalid_argument", "not_found", "conflict", "too_large", "unavailable",
      "timeout", "rate_limited", "outcome_unknown", "corrupt", "internal"}};
 
-/*! \brief An error as a value. */
+/*! \brief Error code with the object concerned and a message. */
 struct Error {
   //! Kind of the error.
   ErrorCode code = ErrorCode::kInternal;
-  //! Field, key, file position or peer that the error is about; may be empty.
+  //! Field, key, file position or peer that the error concerns; may be empty.
   std::string subject;
   //! What was found and what was expected.
   std::string message;
--- a/src/jacinthdeck/core/fwd.h
+++ b/src/jacinthdeck/core/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the core module: time, identifiers, outcomes, errors.
+// Forward declarations of the core module.
 #ifndef JACINTHDECK_CORE_FWD_H_
 #define JACINTHDECK_CORE_FWD_H_
 
--- a/src/jacinthdeck/core/ids.h
+++ b/src/jacinthdeck/core/ids.h
@@ -1,4 +1,4 @@
-// The identifiers that the modules share.
+// Identifier types shared by all modules.
 #ifndef JACINTHDECK_CORE_IDS_H_
 #define JACINTHDECK_CORE_IDS_H_
 
@@ -9,27 +9,28 @@
 
 namespace jacinthdeck {
 
-/*! \brief One daemon, named in its settings; the name outlives restarts. */
+/*! \brief Name of a host from its settings file; stable across restarts. */
 using HostId = StrongId<struct HostTag, std::string>;
-/*! \brief One back-end server. */
+/*! \brief Identifier of a target, a back-end server of shards. */
 using TargetId = StrongId<struct TargetTag, std::string>;
-/*! \brief A query service that operators declared. */
+/*! \brief Name of a query service declared by the operators. */
 using ServiceId = StrongId<struct ServiceTag, std::string>;
-/*! \brief A customer whose calls are counted and limited apart from others. */
+/*! \brief Client account whose calls are counted and limited separately. */
 using TenantId = StrongId<struct TenantTag, std::string>;
-/*! \brief Part of an environment that fails as one. */
+/*! \brief Set of machines that fail together. */
 using FailureDomain = StrongId<struct FailureDomainTag, std::string>;
-/*! \brief One call inside one process. */
+/*! \brief Identifier of a call, unique within one process. */
 using CallId = StrongId<struct CallTag, std::uint64_t>;
-/*! \brief One request to one target; never reused by a process. */
+/*! \brief Identifier of one request to one target; a process never reuses it.
+ */
 using AttemptId = StrongId<struct AttemptTag, std::uint64_t>;
-/*! \brief A shard of one partition map. */
+/*! \brief Identifier of a shard within one partition map. */
 using ShardId = StrongId<struct ShardTag, std::uint32_t>;
-/*! \brief One snapshot of a service's index; higher is newer. */
+/*! \brief Version of a service's index snapshot; higher is newer. */
 using IndexVersion = StrongId<struct IndexVersionTag, std::uint64_t>;
-/*! \brief One revision of the operators' configuration; higher is newer. */
+/*! \brief Revision of the operators' configuration; higher is newer. */
 using Revision = StrongId<struct RevisionTag, std::uint64_t>;
-/*! \brief Canonical hash of a request's service, method and body. */
+/*! \brief Hash of a request's service, method and body in canonical form. */
 using Fingerprint = StrongId<struct FingerprintTag, std::uint64_t>;
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/core/json.cc
+++ b/src/jacinthdeck/core/json.cc
@@ -1,4 +1,4 @@
-// JSON parsing and rendering by jansson.
+// Parses and serializes JSON with the jansson library.
 #include "jacinthdeck/core/json.h"
 
 #include <jansson.h>
--- a/src/jacinthdeck/core/json.h
+++ b/src/jacinthdeck/core/json.h
@@ -1,4 +1,4 @@
-// Parsing and rendering of JSON values of the jansson library.
+// Parsing and serialization of JSON values of the jansson library.
 #ifndef JACINTHDECK_CORE_JSON_H_
 #define JACINTHDECK_CORE_JSON_H_
 
@@ -11,31 +11,31 @@
 
 namespace jacinthdeck {
 
-//! Most bytes of a JSON text that an outside system may send: a store value of
-//! 1 MiB, escaped, and its envelope.
+//! Largest JSON text, in bytes, that is accepted from another system: a store
+//! value of 1 MiB after escaping, with its envelope.
 inline constexpr std::size_t kMaxJsonBytes = std::size_t{4} << 20U;
 
 /**
- * \brief Parses a JSON text; a member that stands twice is refused.
- * \param text The text.
- * \param subject Where the text came from, for errors.
- * \return The value; kTooLarge above kMaxJsonBytes, kCorrupt with the line for
- * what is no JSON.
+ * \brief Parses a JSON text and rejects objects with duplicate members.
+ * \param text JSON text.
+ * \param subject Origin of the text, used as the subject of an error.
+ * \return The value; fails with kTooLarge above kMaxJsonBytes, and with
+ * kCorrupt and the line number for invalid JSON.
  */
 [[nodiscard]] Result<JsonPtr> ParseJson(std::string_view text,
                                         std::string_view subject);
 
 /**
- * \brief Renders a value on one line.
+ * \brief Serializes a value on one line.
  * \param value Any JSON value.
- * \return Its text, members in the order of their names.
+ * \return Compact JSON text with members sorted by name.
  */
 [[nodiscard]] std::string DumpJson(const json_t& value);
 
 /**
- * \brief Renders a value over several lines, for people.
+ * \brief Serializes a value on several lines for human readers.
  * \param value Any JSON value.
- * \return Its text, indented by two spaces.
+ * \return JSON text indented by two spaces, members sorted by name.
  */
 [[nodiscard]] std::string DumpJsonIndented(const json_t& value);
 
--- a/src/jacinthdeck/core/json_ptr.cc
+++ b/src/jacinthdeck/core/json_ptr.cc
@@ -1,4 +1,4 @@
-// Ownership of JSON values of the jansson library.
+// Owning pointer to a JSON value of the jansson library.
 #include "jacinthdeck/core/json_ptr.h"
 
 #include <jansson.h>
--- a/src/jacinthdeck/core/json_ptr.h
+++ b/src/jacinthdeck/core/json_ptr.h
@@ -1,4 +1,4 @@
-// Ownership of JSON values of the jansson library.
+// Owning pointer to a JSON value of the jansson library.
 #ifndef JACINTHDECK_CORE_JSON_PTR_H_
 #define JACINTHDECK_CORE_JSON_PTR_H_
 
@@ -8,7 +8,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Gives a reference to a JSON value back. */
+/*! \brief Releases a reference to a JSON value. */
 struct JsonDeleter {
   void operator()(json_t* value) const noexcept;
 };
--- a/src/jacinthdeck/core/json_reader.cc
+++ b/src/jacinthdeck/core/json_reader.cc
@@ -1,4 +1,4 @@
-// Checks of types and ranges while reading JSON.
+// Reads JSON members and checks their types and ranges.
 #include "jacinthdeck/core/json_reader.h"
 
 #include <jansson.h>
@@ -38,7 +38,7 @@
 
 std::vector<std::string> JsonReader::Names() const {
   std::vector<std::string> names;
-  // The object is only read; the library has no iterator for const objects.
+  // jansson has no iterator for const objects; the object is not modified.
   auto* object = const_cast<json_t*>(m_value);
   for (void* it = json_object_iter(object); it != nullptr;
        it = json_object_iter_next(object, it)) {
--- a/src/jacinthdeck/core/json_reader.h
+++ b/src/jacinthdeck/core/json_reader.h
@@ -1,5 +1,5 @@
-// Checked access to the members of a JSON value: each mistake of the sender is
-// a typed error that names the member.
+// Checked access to the members of a JSON value: a missing member or a wrong
+// type is reported as an error that names the member.
 #ifndef JACINTHDECK_CORE_JSON_READER_H_
 #define JACINTHDECK_CORE_JSON_READER_H_
 
@@ -15,25 +15,26 @@
 namespace jacinthdeck {
 
 /**
- * \brief View of one JSON value and the path that led to it.
+ * \brief View of a JSON value and its path within the document.
  *
- * Every failure is kCorrupt with the path of the member as its subject. The
- * value must outlive the reader.
+ * Every failure has the code kCorrupt and the path of the member as its
+ * subject. The value must outlive the reader.
  */
 class JsonReader {
  public:
   JsonReader(const json_t* value, std::string path);
 
-  /*! \brief The value that is read; never null. */
+  /*! \brief Returns the underlying value; never null. */
   [[nodiscard]] const json_t* raw() const noexcept { return m_value; }
 
-  /*! \brief Where the value stands, for errors. */
+  /*! \brief Returns the path of the value, as used in errors. */
   [[nodiscard]] const std::string& path() const noexcept { return m_path; }
 
-  /*! \brief Names of the members, in order; empty for what is no object. */
+  /*! \brief Returns the sorted member names; empty for a value that is not an
+   * object. */
   [[nodiscard]] std::vector<std::string> Names() const;
 
-  /*! \brief Tells whether the value is an object with such a member. */
+  /*! \brief Returns true if the value is an object with this member. */
   [[nodiscard]] bool Has(std::string_view name) const;
 
   /*! \brief Reads a member of any type. */
@@ -45,16 +46,16 @@
   /*! \brief Reads a member that must be a string. */
   [[nodiscard]] Result<std::string> String(std::string_view name) const;
 
-  /*! \brief Reads a member that must be true or false. */
+  /*! \brief Reads a member that must be a boolean. */
   [[nodiscard]] Result<bool> Bool(std::string_view name) const;
 
   /*! \brief Reads a member that must be a number. */
   [[nodiscard]] Result<double> Number(std::string_view name) const;
 
   /**
-   * \brief Reads a member that must be a whole number.
-   * \param name Member.
-   * \param max Highest value that is accepted; the lowest is 0.
+   * \brief Reads a member that must be an integer.
+   * \param name Name of the member.
+   * \param max Highest accepted value; the lowest is 0.
    */
   [[nodiscard]] Result<std::uint64_t> Unsigned(std::string_view name,
                                                std::uint64_t max) const;
@@ -70,8 +71,8 @@
   [[nodiscard]] Result<std::string> AsString() const;
 
   /**
-   * \brief Reads this value, which must be a whole number.
-   * \param max Highest value that is accepted; the lowest is 0.
+   * \brief Reads this value, which must be an integer.
+   * \param max Highest accepted value; the lowest is 0.
    */
   [[nodiscard]] Result<std::uint64_t> AsUnsigned(std::uint64_t max) const;
 
--- a/src/jacinthdeck/core/manual_clock.h
+++ b/src/jacinthdeck/core/manual_clock.h
@@ -1,5 +1,5 @@
-// A clock that stands still until it is told to advance, for tests, scenarios
-// and benches.
+// Clock that only moves when it is advanced, for tests, scenarios and
+// benchmarks.
 #ifndef JACINTHDECK_CORE_MANUAL_CLOCK_H_
 #define JACINTHDECK_CORE_MANUAL_CLOCK_H_
 
@@ -7,14 +7,14 @@
 
 namespace jacinthdeck {
 
-/*! \brief Clock under the control of its owner. */
+/*! \brief Clock that its owner advances explicitly. */
 class ManualClock final : public Clock {
  public:
   [[nodiscard]] TimePoint Now() const noexcept override { return m_now; }
 
   /**
    * \brief Moves the clock forward.
-   * \param step Time to add; negative values are ignored, so the clock stays
+   * \param step Time to add; negative values are ignored to keep the clock
    * monotonic.
    */
   void Advance(Duration step) noexcept {
--- a/src/jacinthdeck/core/name_table.h
+++ b/src/jacinthdeck/core/name_table.h
@@ -1,4 +1,4 @@
-// Names of enumerators, kept as data: one constexpr table for each enum.
+// Constexpr tables that map enumerators to names and back.
 #ifndef JACINTHDECK_CORE_NAME_TABLE_H_
 #define JACINTHDECK_CORE_NAME_TABLE_H_
 
@@ -22,7 +22,7 @@
   /**
    * \brief Looks up the name of a value.
    * \param value Enumerator of the enum.
-   * \return Its name, or "invalid" for a value outside the enum.
+   * \return The name, or "invalid" for a value that is not an enumerator.
    */
   [[nodiscard]] constexpr std::string_view Name(Enum value) const noexcept {
     const auto index = static_cast<std::size_t>(value);
@@ -32,7 +32,7 @@
   /**
    * \brief Looks up a value by its name.
    * \param name Exact name.
-   * \return The enumerator, or nothing if no enumerator has that name.
+   * \return The enumerator, or std::nullopt if none has this name.
    */
   [[nodiscard]] constexpr std::optional<Enum> Find(
       std::string_view name) const noexcept {
--- a/src/jacinthdeck/core/outcome.h
+++ b/src/jacinthdeck/core/outcome.h
@@ -1,4 +1,4 @@
-// The closed set of ways in which a call can end.
+// Possible final outcomes of a call.
 #ifndef JACINTHDECK_CORE_OUTCOME_H_
 #define JACINTHDECK_CORE_OUTCOME_H_
 
@@ -6,19 +6,19 @@
 
 namespace jacinthdeck {
 
-/*! \brief Final outcome of a call, as its caller sees it. */
+/*! \brief Final outcome of a call as reported to the caller. */
 enum class Outcome {
-  //! Every key range asked for is covered.
+  //! The answer covers every requested key range.
   kWhole,
-  //! Some key ranges are missing; the answer names them.
+  //! Some requested key ranges are missing; the answer lists them.
   kPartial,
-  //! Refused, and no target can have run any part of it.
+  //! The call was rejected, and no target can have executed any part of it.
   kNotRun,
-  //! Failed, and it may or may not have run.
+  //! The call failed, and targets may or may not have executed it.
   kUnknown,
 };
 
-//! Names of the outcomes, as they stand in answers, logs and metrics.
+//! Names of the outcomes in answers, logs and metrics.
 inline constexpr NameTable<Outcome, 4> kOutcomeNames{
     {"whole", "partial", "not_run", "unknown"}};
 
--- a/src/jacinthdeck/core/random.h
+++ b/src/jacinthdeck/core/random.h
@@ -1,4 +1,5 @@
-// Seeded randomness that is passed in, so that every decision can be replayed.
+// Seeded random number generator; it is passed in explicitly so that every
+// decision can be replayed.
 #ifndef JACINTHDECK_CORE_RANDOM_H_
 #define JACINTHDECK_CORE_RANDOM_H_
 
@@ -7,17 +8,17 @@
 
 namespace jacinthdeck {
 
-/*! \brief Generator with the same sequence on every machine for the same seed.
- */
+/*! \brief Generator whose sequence for a given seed is the same on every
+ * machine. */
 class Random {
  public:
   explicit Random(std::uint64_t seed) : m_engine(seed) {}
 
   /**
    * \brief Draws an integer below a bound.
-   * \param bound Exclusive upper bound; 0 is taken as 1.
-   * \return A number in [0, bound); the bias is below 2^-32 for bounds below
-   * 2^32.
+   * \param bound Exclusive upper bound; 0 is treated as 1.
+   * \return An integer in [0, bound); the modulo bias is below 2^-32 for bounds
+   * below 2^32.
    */
   [[nodiscard]] std::uint64_t Below(std::uint64_t bound) {
     return bound == 0 ? 0 : m_engine() % bound;
@@ -29,7 +30,7 @@
     return static_cast<double>(m_engine() >> 11U) * kScale;
   }
 
-  /*! \brief Draws a seed for a generator of one's own. */
+  /*! \brief Draws a seed for another, independent generator. */
   [[nodiscard]] std::uint64_t DrawSeed() { return m_engine(); }
 
  private:
--- a/src/jacinthdeck/core/result.h
+++ b/src/jacinthdeck/core/result.h
@@ -1,5 +1,5 @@
-// Outcomes as values: a thin layer over Boost.LEAF with the project's own error
-// type.
+// Result type and helpers: a thin layer over Boost.LEAF with the project's
+// Error.
 #ifndef JACINTHDECK_CORE_RESULT_H_
 #define JACINTHDECK_CORE_RESULT_H_
 
@@ -13,14 +13,15 @@
 
 namespace jacinthdeck {
 
-/*! \brief A value, or an Error that travels to the nearest handler. */
+/*! \brief A value, or a failure whose Error is delivered to the nearest LEAF
+ * handler. */
 template <typename T>
 using Result = boost::leaf::result<T>;
 
 /**
- * \brief Makes a failed result.
+ * \brief Creates a failed result.
  * \param code Kind of the error.
- * \param subject What the error is about.
+ * \param subject Field, key or peer that the error concerns.
  * \param message What was found and what was expected.
  * \return Identifier that converts to any Result.
  */
@@ -32,8 +33,8 @@
 }
 
 /**
- * \brief Passes an error on that was captured before.
- * \param error Error to pass on.
+ * \brief Creates a failed result from an error captured earlier.
+ * \param error Error to forward.
  * \return Identifier that converts to any Result.
  */
 [[nodiscard]] inline boost::leaf::error_id Fail(Error error) {
@@ -42,7 +43,7 @@
 
 namespace internal {
 
-/*! \brief Names the value type of a Result. */
+/*! \brief Gives the value type of a Result. */
 template <typename T>
 struct ResultValue;
 
@@ -54,10 +55,11 @@
 }  // namespace internal
 
 /**
- * \brief Runs an operation and turns its result into a plain variant, so that
- * it can be stored or handed to another thread. \param operation Callable
- * without arguments that returns Result<T>; T is not void. \return The value,
- * or the Error that the operation failed with.
+ * \brief Runs an operation and converts its result to a std::variant, which can
+ * be stored or passed to another thread.
+ * \param operation Callable without arguments that returns Result<T>; T is not
+ * void.
+ * \return The value, or the Error that the operation failed with.
  */
 template <typename Operation>
 [[nodiscard]] auto Capture(Operation&& operation) {
--- a/src/jacinthdeck/core/settings_table.cc
+++ b/src/jacinthdeck/core/settings_table.cc
@@ -1,4 +1,4 @@
-// Lookup and checks over toml++.
+// Reads settings with toml++ and checks their types and ranges.
 #include "jacinthdeck/core/settings_table.h"
 
 #include <algorithm>
@@ -27,7 +27,9 @@
   std::vector<SettingsError> errors;
   bool parsed = false;
 
-  //! Looks a dotted key up and remembers it as known.
+  //! Looks up a dotted key and records it as known. Returns null if it is
+  //! absent and records an error if a required key is missing from a parsed
+  //! file.
   const toml::node* FindKey(const std::string& key, SettingPresence presence) {
     known_keys.push_back(key);
     const toml::node* node = root.at_path(key).node();
@@ -43,7 +45,8 @@
     errors.push_back({node.source().begin.line, key, message});
   }
 
-  // A misspelt key would otherwise leave its default in force without a word.
+  // Reports keys that were never looked up. Otherwise a misspelled key would
+  // silently leave the default in effect.
   void AddUnknownKeys(const toml::table& table, const std::string& prefix) {
     for (const auto& [name, node] : table) {
       const std::string key = prefix + std::string(name.str());
--- a/src/jacinthdeck/core/settings_table.h
+++ b/src/jacinthdeck/core/settings_table.h
@@ -1,4 +1,4 @@
-// Reads checked values from a TOML settings file and collects every fault.
+// Reads checked values from a TOML settings file and collects all errors.
 #ifndef JACINTHDECK_CORE_SETTINGS_TABLE_H_
 #define JACINTHDECK_CORE_SETTINGS_TABLE_H_
 
@@ -14,9 +14,9 @@
 
 namespace jacinthdeck {
 
-/*! \brief One fault of a settings file. */
+/*! \brief Error in a settings file. */
 struct SettingsError {
-  //! Line in the file; 0 where the fault is an absent key.
+  //! Line in the file; 0 if a required key is missing.
   std::uint32_t line = 0;
   //! Dotted key, such as `listen.callers`; empty for a syntax error.
   std::string key;
@@ -26,10 +26,10 @@
   [[nodiscard]] bool operator==(const SettingsError&) const = default;
 };
 
-/*! \brief Whether a key may be absent. */
+/*! \brief Whether a key must be present. */
 enum class SettingPresence { kRequired, kOptional };
 
-/*! \brief Inclusive range of a number. */
+/*! \brief Inclusive range of allowed numbers. */
 struct SettingRange {
   double low = 0;
   double high = 0;
@@ -38,49 +38,52 @@
 /**
  * \brief Typed access to the keys of a settings file.
  *
- * A wrong value yields its fallback and a fault that names the key, what it was
- * and what is allowed, so that one run shows all faults of a file.
+ * A wrong value returns its fallback and records an error with the key, the
+ * value found and the values allowed, so that one run reports all errors of a
+ * file.
  */
 class SettingsTable {
  public:
+  /*! \brief Parses the text of a TOML file; a syntax error is recorded. */
   explicit SettingsTable(const std::string& text);
   ~SettingsTable();
   SettingsTable(const SettingsTable&) = delete;
   SettingsTable& operator=(const SettingsTable&) = delete;
 
-  /*! \brief Reads a text that is not empty. */
+  /*! \brief Reads a non-empty string. */
   [[nodiscard]] std::string Text(const std::string& key,
                                  SettingPresence presence,
                                  const std::string& fallback = "");
 
-  /*! \brief Reads one of a few words. */
+  /*! \brief Reads a string that must be one of the allowed values. */
   [[nodiscard]] std::string OneOf(
       const std::string& key,
       std::initializer_list<std::string_view> allowed,
       const std::string& fallback);
 
-  /*! \brief Reads a number, whole or not. */
+  /*! \brief Reads an integer or floating-point number. */
   [[nodiscard]] double Number(const std::string& key,
                               SettingRange range,
                               SettingPresence presence,
                               double fallback = 0);
 
-  /*! \brief Reads true or false. */
+  /*! \brief Reads a boolean. */
   [[nodiscard]] bool Flag(const std::string& key, bool fallback);
 
-  /*! \brief Reads a time in milliseconds. */
+  /*! \brief Reads a duration given in milliseconds. */
   [[nodiscard]] Duration Milliseconds(const std::string& key,
                                       SettingRange range,
                                       Duration fallback);
 
-  /*! \brief Reads `address:port`. */
+  /*! \brief Reads an endpoint of the form `address:port`. */
   [[nodiscard]] Endpoint Address(const std::string& key,
                                  SettingPresence presence);
 
-  /*! \brief Reads a list of `address:port`; empty if it is absent. */
+  /*! \brief Reads a list of `address:port`; empty if the key is absent. */
   [[nodiscard]] std::vector<Endpoint> Addresses(const std::string& key);
 
-  /*! \brief Gives all faults, unknown keys included; called last. */
+  /*! \brief Returns all errors, including unknown keys. Call it after all
+   * reads, since only keys read before count as known. */
   [[nodiscard]] std::vector<SettingsError> TakeErrors();
 
  private:
--- a/src/jacinthdeck/core/strong_id.h
+++ b/src/jacinthdeck/core/strong_id.h
@@ -1,4 +1,4 @@
-// Identifiers that cannot be mixed up: one type for each kind of thing.
+// Strongly typed identifiers.
 #ifndef JACINTHDECK_CORE_STRONG_ID_H_
 #define JACINTHDECK_CORE_STRONG_ID_H_
 
@@ -10,9 +10,10 @@
 namespace jacinthdeck {
 
 /**
- * \brief Wraps a raw value so that only identifiers of the same kind compare
- * and assign. \tparam Tag Empty type that names the kind. \tparam Raw
- * Underlying type, an integer or a string.
+ * \brief Wraps a raw value so that only identifiers of the same kind can be
+ * compared and assigned.
+ * \tparam Tag Type that names the kind; it needs no definition.
+ * \tparam Raw Underlying type, an integer or a string.
  */
 template <typename Tag, typename Raw>
 class StrongId {
@@ -22,7 +23,7 @@
   constexpr StrongId() = default;
   constexpr explicit StrongId(Raw raw) noexcept : m_raw(std::move(raw)) {}
 
-  /*! \brief Gives the underlying value. */
+  /*! \brief Returns the underlying value. */
   [[nodiscard]] constexpr const Raw& raw() const noexcept { return m_raw; }
 
   [[nodiscard]] constexpr auto operator<=>(const StrongId&) const = default;
@@ -34,7 +35,7 @@
 
 }  // namespace jacinthdeck
 
-/*! \brief Lets identifiers be keys of unordered containers. */
+/*! \brief Hash of an identifier, for keys of unordered containers. */
 template <typename Tag, typename Raw>
 struct std::hash<jacinthdeck::StrongId<Tag, Raw>> {
   [[nodiscard]] std::size_t operator()(
--- a/src/jacinthdeck/core/time.h
+++ b/src/jacinthdeck/core/time.h
@@ -1,5 +1,5 @@
-// Time as every decision sees it: microseconds on the runtime's clock, never
-// the wall clock.
+// Time types of the runtime: microseconds on its monotonic clock, never the
+// wall clock.
 #ifndef JACINTHDECK_CORE_TIME_H_
 #define JACINTHDECK_CORE_TIME_H_
 
@@ -7,10 +7,10 @@
 
 namespace jacinthdeck {
 
-/*! \brief Length of time, in microseconds. */
+/*! \brief Duration in microseconds. */
 using Duration = std::chrono::microseconds;
 
-/*! \brief Tag that keeps runtime time points apart from those of other clocks.
+/*! \brief Clock tag that makes time points of the runtime a type of their own.
  */
 struct RuntimeClockTag {
   using rep = Duration::rep;
@@ -19,14 +19,14 @@
   using time_point = std::chrono::time_point<RuntimeClockTag, Duration>;
 };
 
-/*! \brief Moment on the runtime's clock of one process; not comparable between
- * processes. */
+/*! \brief Time point on the runtime's clock of one process; not comparable
+ * between processes. */
 using TimePoint = RuntimeClockTag::time_point;
 
 /**
- * \brief Converts to fractional milliseconds, for logs and reports.
- * \param duration Any length of time.
- * \return The same length in milliseconds.
+ * \brief Converts a duration to fractional milliseconds, for logs and reports.
+ * \param duration Duration to convert.
+ * \return Number of milliseconds.
  */
 [[nodiscard]] constexpr double ToMilliseconds(Duration duration) noexcept {
   return static_cast<double>(duration.count()) / 1000.0;
--- a/src/jacinthdeck/core/timer_queue.h
+++ b/src/jacinthdeck/core/timer_queue.h
@@ -1,4 +1,4 @@
-// One moment for each key, earliest first.
+// Queue of timers, at most one per key, ordered by due time.
 #ifndef JACINTHDECK_CORE_TIMER_QUEUE_H_
 #define JACINTHDECK_CORE_TIMER_QUEUE_H_
 
@@ -11,26 +11,27 @@
 namespace jacinthdeck {
 
 /**
- * \brief Timers of many keys; each operation is logarithmic in their number.
- * \tparam Key Ordered key; it holds one timer at a time.
+ * \brief Queue of timers identified by keys; each operation takes logarithmic
+ * time in the number of timers.
+ * \tparam Key Ordered type; each key has at most one timer.
  */
 template <typename Key>
 class TimerQueue {
  public:
-  /*! \brief Gives the earliest moment, or nothing while no timer is set. */
+  /*! \brief Returns the earliest due time, or std::nullopt without timers. */
   [[nodiscard]] std::optional<TimePoint> Next() const {
     return m_by_time.empty() ? std::nullopt
                              : std::optional(m_by_time.begin()->due);
   }
 
-  /*! \brief Sets or moves the timer of a key. */
+  /*! \brief Sets the timer of a key, replacing an earlier one. */
   void Set(const Key& key, TimePoint due) {
     Remove(key);
     m_by_time.insert(Entry{due, key});
     m_due.emplace(key, due);
   }
 
-  /*! \brief Drops the timer of a key, if it has one. */
+  /*! \brief Removes the timer of a key, if it has one. */
   void Remove(const Key& key) {
     const auto found = m_due.find(key);
     if (found != m_due.end()) {
@@ -40,9 +41,9 @@
   }
 
   /**
-   * \brief Takes the earliest timer that is due.
-   * \param now Present time.
-   * \return Its key, or nothing if none is due.
+   * \brief Removes the earliest timer that is due.
+   * \param now Current time.
+   * \return Key of the timer, or std::nullopt if none is due.
    */
   [[nodiscard]] std::optional<Key> TakeDue(TimePoint now) {
     if (m_by_time.empty() || m_by_time.begin()->due > now) {
@@ -61,7 +62,7 @@
     [[nodiscard]] auto operator<=>(const Entry&) const = default;
   };
 
-  //! Holds exactly one entry for each entry of m_due.
+  //! Contains exactly one entry for each entry of m_due.
   std::set<Entry> m_by_time;
   std::map<Key, TimePoint> m_due;
 };
--- a/src/jacinthdeck/core/traffic_bytes.h
+++ b/src/jacinthdeck/core/traffic_bytes.h
@@ -1,4 +1,4 @@
-// Bytes by the length of their way.
+// Byte counters of traffic within and across failure domains.
 #ifndef JACINTHDECK_CORE_TRAFFIC_BYTES_H_
 #define JACINTHDECK_CORE_TRAFFIC_BYTES_H_
 
@@ -7,13 +7,14 @@
 
 namespace jacinthdeck {
 
-/*! \brief Bytes within the host's failure domain, and to or from others: those
- * take longer, and are what a platform charges for. */
+/*! \brief Bytes exchanged within the host's failure domain and with other
+ * domains; traffic between domains has a higher latency and is charged for by
+ * platforms. */
 struct TrafficBytes {
   std::uint64_t own_domain = 0;
   std::uint64_t other_domains = 0;
 
-  /*! \brief Counts bytes of a peer. */
+  /*! \brief Adds bytes exchanged with a peer. */
   void Add(std::size_t bytes, bool in_own_domain) noexcept {
     (in_own_domain ? own_domain : other_domains) += bytes;
   }
--- a/test/jacinthdeck/core/backoff_test.cc
+++ b/test/jacinthdeck/core/backoff_test.cc
@@ -1,4 +1,4 @@
-// Tests of the backoff between tries.
+// Tests of the exponential backoff.
 #include "jacinthdeck/core/backoff.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,9 +12,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(BackoffTest, BackoffFixture)
 
-// A store that went away is asked by every node at once. What the operator sees
-// without jitter: a spike of calls at each doubling that keeps the store down.
-// The delay must be spread and bounded.
+// When the store is unavailable, all hosts retry. Without jitter they would
+// send a burst of requests at each doubling and keep the store overloaded.
+// Delays must be spread over the window and stay below the limit.
 BOOST_AUTO_TEST_CASE(OnFailure_RepeatedFailures_DelaysAreJitteredAndBounded) {
   Duration longest{};
   for (int i = 0; i < 1000; ++i) {
--- a/test/jacinthdeck/core/bounded_ring_test.cc
+++ b/test/jacinthdeck/core/bounded_ring_test.cc
@@ -1,4 +1,4 @@
-// Tests of the ring between threads.
+// Tests of the bounded queue between threads.
 #include "jacinthdeck/core/bounded_ring.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,8 +13,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(BoundedRingTest, BoundedRingFixture)
 
-// A decision thread that stalls must not stall its writers: the fifth call is
-// refused at once, and the item is still the writer's, so that it can answer
+// A stalled reader must not block the writers. The fifth item is rejected
+// immediately, and the writer keeps it so that it can answer the call with
 // "not run".
 BOOST_AUTO_TEST_CASE(TryPush_RingFull_ReturnsFalseAndLeavesTheItem) {
   for (int i = 0; i < 4; ++i) {
--- a/test/jacinthdeck/core/result_test.cc
+++ b/test/jacinthdeck/core/result_test.cc
@@ -1,4 +1,4 @@
-// Tests of the result helpers.
+// Tests of Capture().
 #include "jacinthdeck/core/result.h"
 
 #include <boost/test/unit_test.hpp>
