--- a/src/jacinthdeck/routing/attempt.h
+++ b/src/jacinthdeck/routing/attempt.h
@@ -1,4 +1,4 @@
-// Kinds and ends of a request to one target.
+// Kinds and final statuses of an attempt, a request to one target.
 #ifndef JACINTHDECK_ROUTING_ATTEMPT_H_
 #define JACINTHDECK_ROUTING_ATTEMPT_H_
 
@@ -6,44 +6,48 @@
 
 namespace jacinthdeck {
 
-/*! \brief Why an attempt is made. */
+/*! \brief Reason for an attempt. */
 enum class AttemptKind { kFirst, kRetry, kHedge };
 
-//! Names of the attempt kinds, for logs and metrics.
+//! Names of the attempt kinds in logs and metrics.
 inline constexpr NameTable<AttemptKind, 3> kAttemptKindNames{
     {"first", "retry", "hedge"}};
 
 /*! \brief How an attempt ended. */
 enum class AttemptStatus {
-  //! The target answered for the version and range it was asked for.
+  //! The target answered for the requested version and range.
   kAnswered,
-  //! The target no longer, or not yet, serves the version.
+  //! The target does not serve the version any more, or not yet.
   kVersionGone,
-  //! The target does not hold the range in that version.
+  //! The target does not hold the range in this version.
   kWrongRange,
-  //! The target refused before running it (slots, drain, cold start).
+  //! The target rejected the request before executing it, because it was out of
+  //! slots, draining or in a cold start.
   kShed,
   //! No byte of the request left this host.
   kNotSent,
-  //! The connection ended after bytes had left; it may have run.
+  //! The connection closed after bytes were sent; the request may have been
+  //! executed.
   kLost,
-  //! No end was seen within the attempt's time.
+  //! No reply arrived before the attempt's timeout.
   kTimedOut,
-  //! The target ended it with an error of its own; it ran.
+  //! The target executed the request and returned an error.
   kFailed,
-  //! Cancelled by us, as the loser of a hedge or at the end of its call.
+  //! This host cancelled the attempt: another attempt answered first, or the
+  //! call ended.
   kCancelled,
 };
 
-//! Names of the attempt ends, for logs and metrics.
+//! Names of the attempt statuses in logs and metrics.
 inline constexpr NameTable<AttemptStatus, 9> kAttemptStatusNames{
     {"answered", "version_gone", "wrong_range", "shed", "not_sent", "lost",
      "timed_out", "failed", "cancelled"}};
 
 /**
- * \brief Tells whether the target cannot have run the request.
- * \param status End of the attempt.
- * \return True only where a refusal that says "not run" would be true.
+ * \brief Checks whether a status proves that the target did not execute the
+ * request.
+ * \param status Final status of the attempt.
+ * \return True only if the call may be reported as "not run".
  */
 [[nodiscard]] constexpr bool ProvesNotRun(AttemptStatus status) noexcept {
   return status == AttemptStatus::kVersionGone ||
--- a/src/jacinthdeck/routing/connection_plan.cc
+++ b/src/jacinthdeck/routing/connection_plan.cc
@@ -1,4 +1,4 @@
-// Shares of the connection limits, and staggered opening.
+// Computes connection shares and staggers the opening of connections.
 #include "jacinthdeck/routing/connection_plan.h"
 
 #include <algorithm>
@@ -20,8 +20,9 @@
   }
   plan.max_connections = share;
   plan.idle_spares = share > 1 ? 1 : 0;
-  // All entries return at once after a restart of a target. Openings spread
-  // over the time in which it can accept one from each do not queue up in it.
+  // All hosts reconnect at once after a target restarts. Their connections
+  // would queue up at the target, so they are spread over the time that it
+  // needs to accept one from each host.
   const Duration spread = target.connection_open_time * (hosts + 1);
   plan.first_open_delay = Duration(static_cast<Duration::rep>(
       random.Below(static_cast<std::uint64_t>(spread.count()))));
--- a/src/jacinthdeck/routing/connection_plan.h
+++ b/src/jacinthdeck/routing/connection_plan.h
@@ -1,4 +1,4 @@
-// This entry's share of a target's connections, and when to open them.
+// This host's share of a target's connections, and when to open them.
 #ifndef JACINTHDECK_ROUTING_CONNECTION_PLAN_H_
 #define JACINTHDECK_ROUTING_CONNECTION_PLAN_H_
 
@@ -10,42 +10,44 @@
 
 namespace jacinthdeck {
 
-/*! \brief Advice for the transport on one target. */
+/*! \brief Limits and timing of the transport's connections to one target. */
 struct ConnectionPlan {
-  //! Most connections to hold, open or opening; idle ones above it are closed
-  //! at once.
+  //! Maximum number of connections, open or being opened; idle connections
+  //! above it are closed immediately.
   std::uint32_t max_connections = 0;
-  //! Idle connections to keep beside those in use, within max_connections.
+  //! Idle connections to keep in addition to those in use, within
+  //! max_connections.
   std::uint32_t idle_spares = 0;
-  //! Wait after the start, or after a loss of all connections, before the first
-  //! spare is opened; a request that needs a connection does not wait.
+  //! Delay before the first idle spare is opened after the start or after the
+  //! loss of all connections. A request that needs a connection does not wait.
   Duration first_open_delay{};
-  //! Least time between two openings of spares.
+  //! Minimum time between the openings of two idle spares.
   Duration open_interval{};
 
   [[nodiscard]] bool operator==(const ConnectionPlan&) const = default;
 };
 
 /**
- * \brief This entry's share of a connection limit.
+ * \brief Computes this host's share of a target's connection limit.
  *
- * One share is left free: a restarted entry's old connections linger at the
- * target until it notices, while the new life opens its own.
- * \param limit Connections that the target accepts from all entries together.
- * \param hosts Highest number of entries seen lately, at least 1.
- * \return Whole connections; at least 1, also where the limit is below the
- * number of entries, see docs/design/limits.md.
+ * One share is left free for a restarted host: the target still counts the old
+ * process's connections until it detects their end, while the new process
+ * already opens its own.
+ * \param limit Connections that the target accepts from all hosts together.
+ * \param hosts Highest recent number of hosts, at least 1.
+ * \return Number of connections; at least 1, even if the limit is below the
+ * number of hosts, see docs/design/limits.md.
  */
 [[nodiscard]] std::uint32_t ConnectionShare(std::uint32_t limit,
                                             std::uint32_t hosts) noexcept;
 
 /**
  * \brief Plans the connections to a target.
- * \param target Target.
- * \param share Connections that this entry may hold.
- * \param hosts Entries that open connections, at least 1.
+ * \param target Target to connect to.
+ * \param share Connections that this host may hold.
+ * \param hosts Number of hosts that open connections, at least 1.
  * \param random Source of the jitter.
- * \return The plan; nothing is opened to a target that is not live.
+ * \return The plan; it allows no connections to a target that is not live.
  */
 [[nodiscard]] ConnectionPlan PlanConnections(const TargetInfo& target,
                                              std::uint32_t share,
--- a/src/jacinthdeck/routing/decaying_average.h
+++ b/src/jacinthdeck/routing/decaying_average.h
@@ -1,4 +1,4 @@
-// Average in which each new sample counts for a fixed share.
+// Exponentially weighted moving average.
 #ifndef JACINTHDECK_ROUTING_DECAYING_AVERAGE_H_
 #define JACINTHDECK_ROUTING_DECAYING_AVERAGE_H_
 
@@ -7,30 +7,31 @@
 
 namespace jacinthdeck {
 
-/*! \brief Exponentially weighted moving average that starts as a plain mean. */
+/*! \brief Exponentially weighted moving average that starts as a plain mean:
+ * once the window is full, each sample has the weight 1 / window. */
 class DecayingAverage {
  public:
   /**
-   * \brief Makes an average without samples.
-   * \param window_samples Samples after which an old one has faded to about a
-   * third; at least 1.
+   * \brief Creates an average without samples.
+   * \param window_samples Number of samples after which the weight of an old
+   * one has fallen to about a third; at least 1.
    */
   explicit DecayingAverage(std::uint32_t window_samples) noexcept
       : m_window_samples(window_samples) {}
 
-  /*! \brief Gives the average; 0 before the first sample. */
+  /*! \brief Returns the average; 0 before the first sample. */
   [[nodiscard]] double value() const noexcept { return m_value; }
 
-  /*! \brief Counts the samples, up to the memory. */
+  /*! \brief Returns the number of samples, at most the window. */
   [[nodiscard]] std::uint32_t samples() const noexcept { return m_samples; }
 
-  /*! \brief Takes a sample. */
+  /*! \brief Adds a sample. */
   void Add(double sample) noexcept {
     m_samples = std::min(m_samples + 1, m_window_samples);
     m_value += (sample - m_value) / m_samples;
   }
 
-  /*! \brief Forgets all samples. */
+  /*! \brief Removes all samples. */
   void Reset() noexcept {
     m_samples = 0;
     m_value = 0;
@@ -38,7 +39,7 @@
 
  private:
   std::uint32_t m_window_samples;
-  //! Never above m_window_samples.
+  //! At most m_window_samples.
   std::uint32_t m_samples = 0;
   double m_value = 0;
 };
--- a/src/jacinthdeck/routing/fwd.h
+++ b/src/jacinthdeck/routing/fwd.h
@@ -1,5 +1,4 @@
-// Forward declarations of the routing module: replica choice, limits, hedging,
-// budgets.
+// Forward declarations of the routing module.
 #ifndef JACINTHDECK_ROUTING_FWD_H_
 #define JACINTHDECK_ROUTING_FWD_H_
 
--- a/src/jacinthdeck/routing/hedge_policy.cc
+++ b/src/jacinthdeck/routing/hedge_policy.cc
@@ -1,4 +1,4 @@
-// The hedge delays.
+// Computes the delay before a hedge under each policy.
 #include "jacinthdeck/routing/hedge_policy.h"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 constexpr double kHighQuantile = 0.965;
 constexpr double kBaseQuantile = 0.75;
-//! Above the ratio of the two quantiles of an exponential distribution (2.5).
+//! Cap of the delay as a multiple of the base quantile; above the ratio of the
+//! two quantiles in an exponential distribution (2.5).
 constexpr int kMaxBaseMultiple = 3;
 constexpr std::uint64_t kMinHedgeSamples = 50;
 constexpr Duration kDefaultDelay = std::chrono::milliseconds(50);
--- a/src/jacinthdeck/routing/hedge_policy.h
+++ b/src/jacinthdeck/routing/hedge_policy.h
@@ -1,4 +1,4 @@
-// Strategies for how long to wait for a first attempt before a hedge.
+// Policies for the delay between a first attempt and its hedge.
 #ifndef JACINTHDECK_ROUTING_HEDGE_POLICY_H_
 #define JACINTHDECK_ROUTING_HEDGE_POLICY_H_
 
@@ -7,34 +7,34 @@
 
 namespace jacinthdeck {
 
-//! Delay that no call outlives; stands for "no hedge".
+//! Delay that means "no hedge"; longer than any call.
 inline constexpr Duration kNoHedge = std::chrono::hours(1);
 
-/*! \brief Gives the delay before a hedge. */
+/*! \brief Determines the delay before a hedge is sent. */
 class HedgePolicy {
  public:
   virtual ~HedgePolicy() = default;
 
   /**
-   * \brief Gives the delay.
+   * \brief Computes the delay.
    * \param latencies Recent latencies of the service.
-   * \return Time from the sending of the first attempt, above zero.
+   * \return Time after sending the first attempt, above zero.
    */
   [[nodiscard]] virtual Duration Delay(
       const LatencyHistogram& latencies) const = 0;
 };
 
-/*! \brief Baseline: never. */
+/*! \brief Baseline that never hedges. */
 class NoHedging final : public HedgePolicy {
  public:
   [[nodiscard]] Duration Delay(
       const LatencyHistogram& latencies) const override;
 };
 
-/*! \brief Baseline: a delay that was set once. */
+/*! \brief Baseline with a fixed delay. */
 class FixedHedging final : public HedgePolicy {
  public:
-  /*! \brief Makes a policy with a delay above zero. */
+  /*! \brief Creates a policy; the delay must be above zero. */
   explicit FixedHedging(Duration delay) noexcept : m_delay(delay) {}
 
   [[nodiscard]] Duration Delay(
@@ -45,12 +45,13 @@
 };
 
 /**
- * \brief A high quantile of recent latencies, capped by a multiple of a middle
- * one.
+ * \brief Uses a high quantile of recent latencies, capped at a multiple of a
+ * lower quantile.
  *
- * The quantile alone fails once more requests straggle than lie above it: it
- * then is a straggler's latency, and a hedge comes too late to help. The middle
- * quantile does not see stragglers.
+ * If the share of stragglers exceeds the share of requests above the high
+ * quantile, that quantile is itself the latency of a straggler, and a hedge
+ * would be sent too late to help. The lower quantile is not affected by
+ * stragglers.
  */
 class QuantileHedging final : public HedgePolicy {
  public:
--- a/src/jacinthdeck/routing/host_count_window.h
+++ b/src/jacinthdeck/routing/host_count_window.h
@@ -1,5 +1,4 @@
-// Highest number of entries seen lately, by which the targets' limits are
-// shared.
+// Highest recent number of hosts, by which the limits of targets are divided.
 #ifndef JACINTHDECK_ROUTING_HOST_COUNT_WINDOW_H_
 #define JACINTHDECK_ROUTING_HOST_COUNT_WINDOW_H_
 
@@ -12,26 +11,27 @@
 namespace jacinthdeck {
 
 /**
- * \brief Maximum of the entry count over a window of time.
+ * \brief Maximum of the host count over a sliding time window.
  *
- * An entry that fell silent may only be cut off from this one and still hold
- * its connections. Shares that grew at once would then sum up to more than the
- * target accepts, and it would refuse connections at random. A fall of the
- * count is believed only after the window.
+ * A host that is no longer visible may only be partitioned from this one and
+ * still hold its connections to the targets. If the shares grew immediately,
+ * their sum could exceed a target's limit, and the target would refuse
+ * connections at random. A lower count therefore takes effect only after the
+ * window.
  */
 class HostCountWindow {
  public:
   /**
-   * \brief Makes a window.
-   * \param window How long a higher count is remembered.
-   * \param expected Count that is never gone below; at least 1.
+   * \brief Creates a window without counts.
+   * \param window Time for which a higher count stays in effect.
+   * \param expected Minimum of the returned count; at least 1.
    */
   HostCountWindow(Duration window, std::uint32_t expected)
       : m_window(window), m_expected(std::max<std::uint32_t>(expected, 1)) {}
 
-  /*! \brief Gives the highest count of the window that ends now. */
+  /*! \brief Returns the highest count in the window that ends now. */
   [[nodiscard]] std::uint32_t Highest(TimePoint now) noexcept {
-    // The newest count holds however old it is.
+    // The latest count stays in effect regardless of its age.
     while (m_counts.size() > 1 && m_counts.front().last_seen + m_window < now) {
       m_counts.pop_front();
     }
@@ -39,7 +39,7 @@
                             : std::max(m_expected, m_counts.front().hosts);
   }
 
-  /*! \brief Takes the present count. */
+  /*! \brief Adds the current count. */
   void Add(std::uint32_t hosts, TimePoint now) {
     if (!m_counts.empty()) {
       m_counts.back().last_seen = now;
@@ -53,13 +53,13 @@
  private:
   struct Count {
     std::uint32_t hosts = 0;
-    //! Last moment at which it held.
+    //! Last time at which this was the count.
     TimePoint last_seen;
   };
 
   Duration m_window;
   std::uint32_t m_expected;
-  //! Falling counts in the order of time; the front is the highest.
+  //! Decreasing counts in chronological order; the front is the highest.
   std::deque<Count> m_counts;
 };
 
--- a/src/jacinthdeck/routing/latency_histogram.cc
+++ b/src/jacinthdeck/routing/latency_histogram.cc
@@ -1,4 +1,4 @@
-// Boost.Histogram does the buckets; decay and quantiles are here.
+// Adds decay and quantiles to a Boost.Histogram.
 #include "jacinthdeck/routing/latency_histogram.h"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
   }
   const Axis& axis = m_weights.axis();
   const double target_weight = quantile * m_total_weight;
-  // The bucket below the axis has the index -1, the one above it size().
+  // The underflow bucket has the index -1, the overflow bucket size().
   double weight_below = 0;
   for (int i = -1; i < axis.size(); ++i) {
     const double weight = m_weights.at(i);
--- a/src/jacinthdeck/routing/latency_histogram.h
+++ b/src/jacinthdeck/routing/latency_histogram.h
@@ -1,4 +1,4 @@
-// Recent latencies of a service, from which the hedge delay is learned.
+// Histogram of a service's recent latencies, used to compute the hedge delay.
 #ifndef JACINTHDECK_ROUTING_LATENCY_HISTOGRAM_H_
 #define JACINTHDECK_ROUTING_LATENCY_HISTOGRAM_H_
 
@@ -13,30 +13,30 @@
 namespace jacinthdeck {
 
 /**
- * \brief Histogram with logarithmic buckets whose old samples fade.
+ * \brief Histogram with logarithmic buckets in which old samples lose weight.
  *
- * All weights are halved after each kDecaySamples samples, so that a change of
- * the service shows within a few thousand requests.
+ * All weights are halved after every kDecaySamples samples, so that a change in
+ * latency shows within a few thousand requests.
  */
 class LatencyHistogram {
  public:
-  //! Samples between two halvings.
+  //! Number of samples between two halvings of the weights.
   static constexpr std::uint32_t kDecaySamples = 2000;
 
   LatencyHistogram();
 
-  /*! \brief Counts the samples since the start. */
+  /*! \brief Returns the number of samples added since construction. */
   [[nodiscard]] std::uint64_t samples() const noexcept { return m_samples; }
 
   /**
-   * \brief Finds a quantile.
-   * \param quantile Share of the samples below, 0 to 1.
-   * \return The value, interpolated within a bucket that is 6% wide; zero
+   * \brief Computes a quantile.
+   * \param quantile Fraction of the samples below the result, 0 to 1.
+   * \return The latency, interpolated within a bucket that is 6% wide; zero
    * before the first sample.
    */
   [[nodiscard]] Duration Quantile(double quantile) const;
 
-  /*! \brief Takes a sample. */
+  /*! \brief Adds a sample. */
   void Add(Duration latency);
 
  private:
@@ -47,7 +47,7 @@
 
   boost::histogram::histogram<std::tuple<Axis>, Weights> m_weights;
   std::uint64_t m_samples = 0;
-  //! Sum of all weights, those outside the axis included.
+  //! Sum of all weights, including underflow and overflow.
   double m_total_weight = 0;
 };
 
--- a/src/jacinthdeck/routing/load_hint.h
+++ b/src/jacinthdeck/routing/load_hint.h
@@ -1,4 +1,4 @@
-// Load that a target reported of itself, with bounded influence.
+// Load reported by a target, with bounded influence on replica choice.
 #ifndef JACINTHDECK_ROUTING_LOAD_HINT_H_
 #define JACINTHDECK_ROUTING_LOAD_HINT_H_
 
@@ -9,25 +9,26 @@
 namespace jacinthdeck {
 
 /**
- * \brief Last load reported, fading with its age.
+ * \brief Last reported load, weighted by its age.
  *
- * Reports lag or lie. One that says "idle" must not draw all work to a target
- * that is stuck, and one that says "full" must not empty a sound one. The hint
- * is worth at most one request in flight, and nothing once it is old.
+ * Load reports can be late or wrong. A report of no load must not attract all
+ * requests to a stuck target, and a report of full load must not drain a
+ * healthy one. The hint therefore counts as at most one request in flight, and
+ * as nothing once it has expired.
  */
 class LoadHint {
  public:
-  /*! \brief Takes a report; values outside [0, 1] are clamped. */
+  /*! \brief Records a report; values outside [0, 1] are clamped. */
   void Add(double load, TimePoint now) noexcept {
     m_load = load >= 0 ? std::min(load, 1.0) : 0;
     m_reported_at = now;
   }
 
   /**
-   * \brief Gives the worth of the hint.
-   * \param now Present time.
-   * \param lifetime Age at which it is worth nothing, above zero.
-   * \return Requests in flight that it counts as, 0 to 1.
+   * \brief Returns the weight of the hint.
+   * \param now Current time.
+   * \param lifetime Age at which the hint expires, above zero.
+   * \return Number of requests in flight that the hint counts as, 0 to 1.
    */
   [[nodiscard]] double Value(TimePoint now, Duration lifetime) const noexcept {
     const auto age = static_cast<double>((now - m_reported_at).count());
@@ -36,7 +37,7 @@
   }
 
  private:
-  //! Between 0 and 1.
+  //! Reported load, between 0 and 1.
   double m_load = 0;
   TimePoint m_reported_at{};
 };
--- a/src/jacinthdeck/routing/replica_chooser.cc
+++ b/src/jacinthdeck/routing/replica_chooser.cc
@@ -1,5 +1,5 @@
-// The strategies; ties are broken evenly, so that entries do not all favour the
-// first replica of the map.
+// Strategies of replica choice. Ties are broken uniformly at random, so that
+// hosts do not all prefer the first replica of the partition map.
 #include "jacinthdeck/routing/replica_chooser.h"
 
 #include <algorithm>
@@ -8,13 +8,13 @@
 
 namespace internal {
 
-//! Latency ratios between 1/kLatencyNoiseRatio and kLatencyNoiseRatio are taken
-//! as equal.
+//! Relative latencies up to this ratio are noise and count as 1.
 constexpr double kLatencyNoiseRatio = 1.5;
 constexpr double kMaxRelativeLatency = 8;
 constexpr double kBadAttemptWeight = 4;
 constexpr double kSharedDomainFactor = 1.25;
-//! Rates below this are left to the ejection, which needs samples to decide.
+//! Rates up to this do not affect the score; outlier ejection handles them once
+//! it has enough samples.
 constexpr double kToleratedBadAttemptRate = 0.5;
 
 template <typename Score>
--- a/src/jacinthdeck/routing/replica_chooser.h
+++ b/src/jacinthdeck/routing/replica_chooser.h
@@ -1,4 +1,4 @@
-// Strategies that pick one of the replicas that may get a request.
+// Strategies that pick one of the replicas eligible for a request.
 #ifndef JACINTHDECK_ROUTING_REPLICA_CHOOSER_H_
 #define JACINTHDECK_ROUTING_REPLICA_CHOOSER_H_
 
@@ -10,43 +10,45 @@
 
 namespace jacinthdeck {
 
-/*! \brief What a strategy sees of a replica. */
+/*! \brief Data about a replica on which a strategy decides. */
 struct ReplicaView {
-  //! Requests of this entry at it.
+  //! This host's requests in flight at the replica.
   std::uint32_t in_flight = 0;
-  //! Worth of the load it reported, in requests; 0 to 1.
+  //! Weight of the load that the replica reported, in requests; 0 to 1.
   double load_hint = 0;
-  //! Its latency over that of its service; 1 while unknown.
+  //! Latency of the replica divided by that of its service; 1 while unknown.
   double relative_latency = 1;
-  //! Share of its recent attempts that failed or were late.
+  //! Fraction of its recent attempts that failed or were slow.
   double bad_attempt_rate = 0;
-  //! An earlier attempt of the same shard went to its failure domain.
+  //! True if an earlier attempt for the same shard went to a target in the same
+  //! failure domain.
   bool shares_domain = false;
 };
 
-/*! \brief Picks a replica. */
+/*! \brief Interface of a replica choice strategy. */
 class ReplicaChooser {
  public:
   virtual ~ReplicaChooser() = default;
 
   /**
    * \brief Picks a replica.
-   * \param replicas Replicas that may get the request; at least one.
+   * \param replicas Eligible replicas; at least one.
    * \param random Source of randomness.
-   * \return Index into the replicas.
+   * \return Index of the chosen replica in replicas.
    */
   [[nodiscard]] virtual std::size_t Pick(std::span<const ReplicaView> replicas,
                                          Random& random) const = 0;
 };
 
-/*! \brief Baseline: any replica, evenly. */
+/*! \brief Baseline that picks a replica uniformly at random. */
 class RandomChooser final : public ReplicaChooser {
  public:
   [[nodiscard]] std::size_t Pick(std::span<const ReplicaView> replicas,
                                  Random& random) const override;
 };
 
-/*! \brief Baseline: the replica with the fewest requests of this entry. */
+/*! \brief Baseline that picks the replica with this host's fewest requests in
+ * flight. */
 class LeastInFlightChooser final : public ReplicaChooser {
  public:
   [[nodiscard]] std::size_t Pick(std::span<const ReplicaView> replicas,
@@ -54,11 +56,13 @@
 };
 
 /**
- * \brief Lowest expected wait, from own requests in flight, latency and trouble
- * seen, and a bounded hint.
+ * \brief Picks the replica with the lowest expected wait, computed from this
+ * host's requests in flight, the observed latency and rate of bad attempts, and
+ * the bounded load hint.
  *
- * Latency differences within noise are ignored: with a few requests in flight
- * they would decide every choice and herd an entry onto one replica.
+ * Latency differences within the noise are ignored. With few requests in flight
+ * they would decide every choice and concentrate a host's requests on one
+ * replica.
  */
 class ScoreChooser final : public ReplicaChooser {
  public:
--- a/src/jacinthdeck/routing/route_request.h
+++ b/src/jacinthdeck/routing/route_request.h
@@ -1,4 +1,4 @@
-// What the engine asks a router for, and tells it afterwards.
+// Requests of the query engine to the router, and results it reports back.
 #ifndef JACINTHDECK_ROUTING_ROUTE_REQUEST_H_
 #define JACINTHDECK_ROUTING_ROUTE_REQUEST_H_
 
@@ -12,47 +12,48 @@
 
 namespace jacinthdeck {
 
-/*! \brief What the engine asks the router for. */
+/*! \brief Request of the query engine for a target for one attempt. */
 struct RouteRequest {
   ServiceId service;
-  //! Targets that hold the shard in the pinned version.
+  //! Targets that hold the shard in the version pinned by the call.
   std::span<const TargetId> replicas;
-  //! Targets that this call already tried for the shard; taken again only for a
-  //! retry for which no other has room.
+  //! Targets that the call already tried for the shard, in order. They are
+  //! chosen again only for a retry if no other replica has room, or for a
+  //! failover.
   std::span<const TargetId> tried;
   AttemptKind kind = AttemptKind::kFirst;
-  //! False for a request that may run only once: it never serves as the probe
-  //! of a target in doubt, since a lost probe would leave its outcome unknown.
+  //! False for a request that may be executed only once. It is never used to
+  //! probe an ejected target, since a lost probe would leave its outcome
+  //! unknown.
   bool may_probe = true;
 };
 
-/*! \brief Why no target was chosen. */
+/*! \brief Reason why no target was chosen. */
 enum class RouteRefusal {
-  //! No replica may get new work at all.
+  //! No replica may get new work.
   kNoReplica,
-  //! Replicas exist, but each is at this entry's limit: ask again after an
-  //! attempt has finished.
+  //! Every eligible replica is at this host's limit; ask again after an attempt
+  //! has finished.
   kAtLimit,
-  //! The budget for hedges or retries is spent, or the replicas have no room
-  //! for a hedge.
+  //! The hedge or retry budget is spent, or no replica has room for a hedge.
   kNoBudget,
 };
 
-//! Names of the refusals, for logs and metrics.
+//! Names of the refusals in logs and metrics.
 inline constexpr NameTable<RouteRefusal, 3> kRouteRefusalNames{
     {"no_replica", "at_limit", "no_budget"}};
 
-/*! \brief How an attempt ended, as the router learns from it. */
+/*! \brief Result of an attempt, as reported to the router. */
 struct AttemptResult {
   TargetId target;
   AttemptStatus status = AttemptStatus::kAnswered;
-  //! From sending to the end.
+  //! Time from sending the request to the end of the attempt.
   Duration latency{};
-  //! Load that the target reported with its reply, 0 to 1; a hint that may lie.
+  //! Load that the target reported with its reply, 0 to 1; it may be wrong.
   std::optional<double> reported_load;
-  //! Kind that the attempt was chosen for.
+  //! Kind of the attempt, as passed to Choose().
   AttemptKind kind = AttemptKind::kFirst;
-  //! With kShed: the target said that it is draining.
+  //! With kShed: whether the target reported that it is draining.
   bool draining = false;
 };
 
--- a/src/jacinthdeck/routing/router.cc
+++ b/src/jacinthdeck/routing/router.cc
@@ -1,5 +1,5 @@
-// Ranks the replicas, lets the strategy pick among the best rank, and learns
-// from the ends.
+// Maintains the targets, charges the budgets and records the results of
+// attempts.
 #include "jacinthdeck/routing/router.h"
 
 #include <algorithm>
@@ -112,9 +112,9 @@
   if (const auto* refusal = std::get_if<RouteRefusal>(&picked)) {
     return CountRefusal(*refusal);
   }
-  // Waiting for the ordinary end of an attempt at a lost target would take as
-  // long as the call has. Ejection bounds how many attempts are in this state,
-  // so they are paid for as the retries that they are.
+  // Without a failover, an attempt at a lost target would last until the call's
+  // deadline. Ejection bounds the number of such attempts, so a failover is
+  // charged to the retry budget.
   if (!ChargeBudget(failover ? AttemptKind::kRetry : request.kind, service)) {
     return CountRefusal(RouteRefusal::kNoBudget);
   }
@@ -175,14 +175,15 @@
       target.OnShed(now);
       return HealthSample::kNone;
     case AttemptStatus::kCancelled:
-      // Only a wait above the delay tells of the target; a shorter one tells
-      // of the call that ended.
+      // A cancelled attempt says something about the target only if it was
+      // already late; a shorter one only shows that its call ended.
       if (!late) {
         return HealthSample::kNone;
       }
       service.OnOverdue(result.latency, *m_options.hedging);
       target.OnOverdue(result.latency);
-      // Several in a row with no reply between them: the target is silent.
+      // Several late attempts in a row without a reply mean that the target is
+      // unresponsive; a single one is most often a straggler.
       return target.OnUnanswered(now - result.latency, now) > 1
                  ? HealthSample::kFailed
                  : HealthSample::kSlow;
--- a/src/jacinthdeck/routing/router.h
+++ b/src/jacinthdeck/routing/router.h
@@ -1,5 +1,5 @@
-// Chooses a target for each attempt and holds the limits, the budgets and what
-// is known of targets.
+// Chooses a target for each attempt, and maintains the limits, the budgets and
+// the statistics of targets.
 #ifndef JACINTHDECK_ROUTING_ROUTER_H_
 #define JACINTHDECK_ROUTING_ROUTER_H_
 
@@ -28,92 +28,94 @@
 namespace jacinthdeck {
 
 /**
- * \brief Replica choice, limits and budgets of one entry.
+ * \brief Replica choice, limits and budgets of one host.
  *
- * Deterministic: time and seed are passed in. Every Choose() that gives a
- * target is followed by exactly one Finish() for it.
+ * The router is deterministic: time and seed are passed in. Each target
+ * returned by Choose() must be followed by exactly one Finish() for it.
  */
 class Router {
  public:
-  /*! \brief Makes a router with the default options. */
+  /*! \brief Creates a router with the default options. */
   explicit Router(std::uint64_t seed);
 
   /**
-   * \brief Makes a router.
-   * \param seed Seed of all its randomness.
-   * \param options Strategies, budgets and shares.
+   * \brief Creates a router.
+   * \param seed Seed of the random number generator.
+   * \param options Strategies, budgets and limits.
    */
   Router(std::uint64_t seed, RouterOptions options);
 
-  /*! \brief Tells how long to wait for a first attempt before a hedge is worth
-   * its load; kNoHedge where none ever is. */
+  /*! \brief Returns how long to wait for a first attempt before sending a
+   * hedge; kNoHedge if hedging is off. */
   [[nodiscard]] Duration HedgeDelay(const ServiceId& service) const;
 
-  /*! \brief Finds what is known of a target; null when it is not known. */
+  /*! \brief Returns the description of a target; null if it is unknown. */
   [[nodiscard]] const TargetInfo* FindTarget(const TargetId& target) const;
 
-  /*! \brief Tells whether a target gets more than probes. */
+  /*! \brief Returns true if a target gets regular requests, not only probes. */
   [[nodiscard]] bool IsAvailable(const TargetId& target, TimePoint now) const;
 
-  /*! \brief Counts since the start. */
+  /*! \brief Returns the counters since construction. */
   [[nodiscard]] const RouterCounters& counters() const noexcept {
     return m_counters;
   }
 
-  /*! \brief Tells whether sheds are common in a service: it then has no room
-   * for extra requests, and new work should be refused early. */
+  /*! \brief Returns true if a service sheds a large share of its requests. It
+   * then has no room for extra requests, and new work should be rejected early.
+   */
   [[nodiscard]] bool IsSaturated(const ServiceId& service) const;
 
-  /*! \brief Describes all targets, for the status page. */
+  /*! \brief Returns the state of all targets, for the status page. */
   [[nodiscard]] std::vector<TargetSnapshot> Snapshot(TimePoint now);
 
-  /*! \brief Most connections that this entry may hold to a target; 0 for one
-   * that is unknown or not live. */
+  /*! \brief Returns the maximum number of this host's connections to a target;
+   * 0 if it is unknown or not live. */
   [[nodiscard]] std::uint32_t ConnectionLimit(const TargetId& target,
                                               TimePoint now);
 
   /**
    * \brief Plans the connections to a target.
-   * \param target Target.
-   * \param now Present time.
-   * \return The plan; nothing may be opened to a target that is unknown or not
-   * live.
+   * \param target Target to connect to.
+   * \param now Current time.
+   * \return The plan; it allows no connections to a target that is unknown or
+   * not live.
    */
   [[nodiscard]] ConnectionPlan ConnectionPlanFor(const TargetId& target,
                                                  TimePoint now);
 
   /**
-   * \brief Replaces the known targets.
+   * \brief Replaces the list of known targets.
    * \param targets All targets of all services.
-   * \param now Present time.
+   * \param now Current time.
    */
   void SetTargets(const std::vector<TargetInfo>& targets, TimePoint now);
 
   /**
-   * \brief Says among how many entries the limits of the targets are shared.
-   * \param hosts Entries that may hold connections now, this one included; at
-   * least 1. A fall takes effect after RouterOptions::host_count_window.
-   * \param now Present time.
+   * \brief Sets the number of hosts among which the targets' limits are
+   * divided. \param hosts Hosts that may hold connections now, including this
+   * one; at least 1. A decrease takes effect after
+   * RouterOptions::host_count_window. \param now Current time.
    */
   void SetHostCount(std::uint32_t hosts, TimePoint now);
 
   /**
-   * \brief Chooses a target and takes one place of this entry's limit on it.
-   * \param request What is to be sent.
-   * \param now Present time.
-   * \return The target, or why there is none. After kAtLimit an attempt of this
-   * entry is in flight at one of the replicas, so an end will follow; a retry
-   * also gets it during the pause after a shed, at most a third of a second,
-   * and has to ask again by itself.
+   * \brief Chooses a target and counts a request in flight at it.
+   * \param request Attempt that needs a target.
+   * \param now Current time.
+   * \return The target, or the reason why there is none. With kAtLimit, an
+   * attempt of this host is in flight at one of the replicas, so the caller can
+   * ask again when it ends. A retry also gets kAtLimit during the backoff after
+   * a shed, at most a third of a second, and then has to ask again on its own.
    */
   [[nodiscard]] std::variant<TargetId, RouteRefusal> Choose(
       const RouteRequest& request,
       TimePoint now);
 
   /**
-   * \brief Gives the place back and learns from the end of the attempt.
-   * \param result How the attempt ended.
-   * \param now Present time.
+   * \brief Removes the request in flight and updates the statistics with the
+   * result of the attempt.
+   * \param result Result of the attempt.
+   * \param now Current time.
    */
   void Finish(const AttemptResult& result, TimePoint now);
 
@@ -149,7 +151,8 @@
                                        TimePoint now);
   [[nodiscard]] bool SharesDomain(const RouteRequest& request,
                                   const FailureDomain& domain) const;
-  //! A hedge whose latest attempt is at a target that is likely lost.
+  //! Returns true for a hedge whose previous attempt is at a target that is
+  //! probably lost.
   [[nodiscard]] bool IsFailover(const RouteRequest& request,
                                 TimePoint now) const;
   [[nodiscard]] bool ChargeBudget(AttemptKind kind, ServiceRecord& service);
@@ -161,13 +164,13 @@
   RouterOptions m_options;
   Random m_random;
   HostCountWindow m_host_count;
-  //! Moment of the first event, from which the newcomer's hold counts.
+  //! Time of the first event; RouterOptions::startup_hold starts here.
   std::optional<TimePoint> m_first_event;
   std::unordered_map<ServiceId, ServiceRecord> m_services;
-  //! Records stay while requests are in flight, also once the target is gone.
+  //! A record is kept while requests are in flight, even if its target is gone.
   std::unordered_map<TargetId, TargetRecord> m_targets;
   RouterCounters m_counters;
-  //! Scratch of one Choose(), kept to save allocations.
+  //! Buffers of a Choose() call, kept as members to avoid allocations.
   std::vector<Candidate> m_candidates;
   std::vector<ReplicaView> m_views;
   std::vector<TargetRecord*> m_view_targets;
--- a/src/jacinthdeck/routing/router_counters.h
+++ b/src/jacinthdeck/routing/router_counters.h
@@ -1,4 +1,4 @@
-// What a router has done since its start, for the metrics.
+// Counters of a router, exported as metrics.
 #ifndef JACINTHDECK_ROUTING_ROUTER_COUNTERS_H_
 #define JACINTHDECK_ROUTING_ROUTER_COUNTERS_H_
 
@@ -6,22 +6,22 @@
 
 namespace jacinthdeck {
 
-/*! \brief Counts of a router; none ever falls. */
+/*! \brief Monotonically increasing counters since the router's start. */
 struct RouterCounters {
   std::uint64_t first_attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t hedges = 0;
-  //! Hedges that answered.
+  //! Hedges that were answered.
   std::uint64_t hedges_won = 0;
   std::uint64_t refused_no_replica = 0;
   std::uint64_t refused_at_limit = 0;
   std::uint64_t refused_no_budget = 0;
-  //! Hedges refused since the replicas had no room.
+  //! Hedges refused because the replicas had no room.
   std::uint64_t refused_saturated = 0;
   std::uint64_t ejections = 0;
   std::uint64_t probes = 0;
   std::uint64_t sheds = 0;
-  //! Answers that said that the target is draining.
+  //! Replies in which a target reported that it is draining.
   std::uint64_t drains = 0;
 };
 
--- a/src/jacinthdeck/routing/router_options.h
+++ b/src/jacinthdeck/routing/router_options.h
@@ -1,4 +1,4 @@
-// Settings of a router.
+// Options of a router.
 #ifndef JACINTHDECK_ROUTING_ROUTER_OPTIONS_H_
 #define JACINTHDECK_ROUTING_ROUTER_OPTIONS_H_
 
@@ -11,31 +11,31 @@
 
 namespace jacinthdeck {
 
-/*! \brief Strategies, budgets and shares of one entry's router. */
+/*! \brief Strategies, budgets and limits of a host's router. */
 struct RouterOptions {
-  //! Never null.
+  //! Strategy of replica choice; never null.
   std::shared_ptr<const ReplicaChooser> chooser =
       std::make_shared<ScoreChooser>();
-  //! Never null.
+  //! Policy of the hedge delay; never null.
   std::shared_ptr<const HedgePolicy> hedging =
       std::make_shared<QuantileHedging>();
-  //! Leave out targets that fail or lag; off only for baselines.
+  //! Whether failing or slow targets are ejected; off only for baselines.
   bool eject_outliers = true;
-  //! Hedges for each first attempt.
+  //! Hedge tokens earned per first attempt.
   double hedge_ratio = 0.035;
-  //! Part of its token that a hedge which answered first gives back.
+  //! Part of its token that is refunded for a hedge that answered first.
   double hedge_refund = 0.4;
   double hedge_burst = 20;
-  //! Retries for each first attempt.
+  //! Retry tokens earned per first attempt.
   double retry_ratio = 0.1;
   double retry_burst = 50;
-  //! Entries that the deployment is meant to have; the count never falls below.
+  //! Number of hosts planned for the deployment; lower counts are raised to it.
   std::uint32_t expected_hosts = 1;
-  //! How long a higher count of entries is remembered.
+  //! Time for which a higher host count stays in effect.
   Duration host_count_window = std::chrono::seconds(60);
-  //! After its start an entry holds one connection a target for this long,
-  //! until the others have seen it and have shrunk their shares. The daemon
-  //! sets it to longer than its membership takes to spread.
+  //! Time after the start in which a host holds only one connection per target,
+  //! so that the other hosts can discover it and reduce their shares. The
+  //! daemon sets it above the propagation time of its membership.
   Duration startup_hold{};
 };
 
--- a/src/jacinthdeck/routing/router_pick.cc
+++ b/src/jacinthdeck/routing/router_pick.cc
@@ -1,4 +1,4 @@
-// The part of the router that narrows the replicas down to one.
+// Ranks the replicas of a request and picks one of them.
 #include <algorithm>
 
 #include "jacinthdeck/routing/router.h"
@@ -21,8 +21,8 @@
     }
     const bool tried =
         std::ranges::find(request.tried, id) != request.tried.end();
-    // A retry that follows a shed at once meets the same full queue, and the
-    // retries of a call are spent within a few milliseconds: it waits.
+    // A retry immediately after a shed would find the same full queue, and the
+    // call would spend its retries within a few milliseconds, so it waits.
     const bool retry_waits =
         request.kind == AttemptKind::kRetry && target.HasShedRecently(now);
     const bool full = retry_waits ||
@@ -34,8 +34,10 @@
 }
 
 // A fault of the network or of the service makes many targets look bad at once.
-// Were all left out, the rest would be overloaded or the shard unreachable, so
-// no more than half of a replica set is; those that replied last stay doubtful.
+// If all of them were ejected, the remaining ones would be overloaded or the
+// shard would be unreachable. At most half of a replica set is therefore
+// ejected; the targets with the most recent replies are ranked as degraded
+// instead.
 void Router::LimitEjections() {
   const auto is_ejected = [](const Candidate& candidate) {
     return candidate.rank == TargetRank::kEjected;
@@ -57,8 +59,9 @@
   }
 }
 
-// A target is slow in comparison with the others that hold the same data: all
-// of them are slow where the load is high, and the ejected ones say nothing.
+// Gives each candidate the latency of its fastest peer that holds the same
+// data. Slowness is relative to these peers, since all of them are slow under
+// high load. Ejected targets are not compared: they get only probes.
 void Router::UpdatePeerLatencies() {
   for (const Candidate& candidate : m_candidates) {
     Duration fastest{};
@@ -101,14 +104,14 @@
     return best;
   }
   if (request.kind == AttemptKind::kRetry) {
-    // Two retries that each wait for the target that the other tried would
-    // block one another in the engine's queues until their deadlines.
+    // Otherwise two retries could each wait for the target that the other one
+    // tried, and block each other in the engine's queues until their deadlines.
     if (TargetRecord* again = PickTrusted(request, true, now)) {
       return again;
     }
   }
-  // Ejected targets get probes only: a full window of a sound target is worth
-  // waiting for, and at least half of the replicas are not left out.
+  // Ejected targets get only probes. At least half of the replicas are not
+  // ejected, so the request waits for a full window of one of them.
   const bool any_not_ejected =
       std::ranges::any_of(m_candidates, [](const Candidate& c) {
         return !c.tried && c.rank != TargetRank::kEjected;
@@ -125,9 +128,9 @@
           PickRank(request, TargetRank::kPreferred, false, now)) {
     return best;
   }
-  // An extra request never queues behind others, but one that replaces a
-  // request at a lost target is not extra: it may go past the window, though
-  // not past the connections.
+  // A hedge never queues behind other requests. A failover replaces a request
+  // at a lost target, so it is not extra load: it may exceed the in-flight
+  // window, but not the share of connections.
   if (IsFailover(request, now)) {
     for (Candidate& candidate : m_candidates) {
       const TargetRecord& target = *candidate.target;
--- a/src/jacinthdeck/routing/service_record.cc
+++ b/src/jacinthdeck/routing/service_record.cc
@@ -1,4 +1,5 @@
-// Learning of the hedge delay, at intervals that keep it cheap.
+// Updates the hedge delay of a service at intervals, since reading quantiles is
+// expensive.
 #include "jacinthdeck/routing/service_record.h"
 
 namespace jacinthdeck {
@@ -6,10 +7,10 @@
 namespace internal {
 
 constexpr std::uint32_t kServiceAverageSamples = 500;
-//! Samples between two readings of the quantiles.
+//! Samples between two updates of the delays from the quantiles.
 constexpr std::uint64_t kQuantileUpdateSamples = 64;
 constexpr double kSaturatedShedRate = 0.05;
-//! Events before the pressure is believed.
+//! Samples required before the shed rate is used.
 constexpr std::uint32_t kMinShedSamples = 50;
 
 }  // namespace internal
@@ -42,7 +43,7 @@
   m_latencies.Add(latency);
   if (m_latencies.samples() % internal::kQuantileUpdateSamples == 0) {
     m_hedge_delay = hedging.Delay(m_latencies);
-    // Lateness is judged the same way under every policy.
+    // The threshold of a late attempt is the same under every hedge policy.
     m_late_after = QuantileHedging().Delay(m_latencies);
   }
 }
--- a/src/jacinthdeck/routing/service_record.h
+++ b/src/jacinthdeck/routing/service_record.h
@@ -1,4 +1,4 @@
-// What a router has learned of a service as a whole.
+// Statistics and budgets of a service, kept by the router.
 #ifndef JACINTHDECK_ROUTING_SERVICE_RECORD_H_
 #define JACINTHDECK_ROUTING_SERVICE_RECORD_H_
 
@@ -12,40 +12,41 @@
 
 namespace jacinthdeck {
 
-/*! \brief Latencies, budgets and pressure of a service. */
+/*! \brief Latencies, shed rate and budgets of a service. */
 class ServiceRecord {
  public:
-  /*! \brief Makes a record with full budgets. */
+  /*! \brief Creates a record with the given budgets; hedging sets the delay. */
   ServiceRecord(TokenBudget hedge_budget,
                 TokenBudget retry_budget,
                 const HedgePolicy& hedging);
 
-  /*! \brief Time before a hedge. */
+  /*! \brief Returns the delay before a hedge. */
   [[nodiscard]] Duration hedge_delay() const noexcept { return m_hedge_delay; }
 
-  /*! \brief Latency above which an attempt is late. */
+  /*! \brief Returns the latency above which an attempt is late. */
   [[nodiscard]] Duration late_after() const noexcept { return m_late_after; }
 
-  /*! \brief Average latency of answers, in microseconds. */
+  /*! \brief Returns the average latency of answers in microseconds. */
   [[nodiscard]] double latency() const noexcept { return m_latency.value(); }
 
-  /*! \brief Tells whether sheds are common, so that no hedge should be sent. */
+  /*! \brief Returns true if the shed rate is so high that no hedge should be
+   * sent. */
   [[nodiscard]] bool saturated() const noexcept;
 
-  /*! \brief Budget of hedges. */
+  /*! \brief Returns the budget of hedges. */
   [[nodiscard]] TokenBudget& hedge_budget() noexcept { return m_hedge_budget; }
 
-  /*! \brief Budget of retries. */
+  /*! \brief Returns the budget of retries. */
   [[nodiscard]] TokenBudget& retry_budget() noexcept { return m_retry_budget; }
 
-  /*! \brief Takes the latency of an answer. */
+  /*! \brief Records the latency of an answer. */
   void OnAnswer(Duration latency, const HedgePolicy& hedging);
 
-  /*! \brief Takes an attempt that was cancelled without an answer; the latency
-   * is a lower bound. */
+  /*! \brief Records a late attempt that was cancelled without an answer; its
+   * latency is a lower bound. */
   void OnOverdue(Duration latency, const HedgePolicy& hedging);
 
-  /*! \brief Takes an event that tells of pressure, or of its absence. */
+  /*! \brief Records whether a reply was a shed. */
   void AddShedSample(bool shed) noexcept { m_shed_rate.Add(shed ? 1 : 0); }
 
  private:
--- a/src/jacinthdeck/routing/target_health.cc
+++ b/src/jacinthdeck/routing/target_health.cc
@@ -1,4 +1,5 @@
-// Ejection by failures in a row, failure rate, or lateness against the service.
+// Ejects a target for consecutive failures, a high failure rate, or slowness
+// compared with its peers.
 #include "jacinthdeck/routing/target_health.h"
 
 #include <algorithm>
@@ -7,9 +8,9 @@
 
 namespace internal {
 
-//! Attempts after which an outcome has mostly faded.
+//! Window of the averages, in attempts.
 constexpr std::uint32_t kHealthAverageSamples = 12;
-//! Samples before a rate is believed.
+//! Samples required before the rates are used.
 constexpr std::uint32_t kMinRateSamples = 6;
 constexpr std::uint32_t kMaxConsecutiveFailures = 3;
 constexpr double kMaxFailureRate = 0.5;
@@ -17,7 +18,7 @@
 constexpr std::uint32_t kProbesToReinstate = 3;
 constexpr Duration kFirstEjection = std::chrono::seconds(1);
 constexpr Duration kMaxEjection = std::chrono::seconds(30);
-//! Time without an ejection after which earlier ones are forgotten.
+//! Time without an ejection after which the ejection backoff starts over.
 constexpr Duration kEjectionCountLifetime = std::chrono::seconds(60);
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
 
@@ -74,8 +75,8 @@
   const auto doublings = std::min<std::uint32_t>(m_ejections, 5);
   const Duration max_ejection = std::min(
       internal::kMaxEjection, internal::kFirstEjection * (1U << doublings));
-  // Entries eject a target at one moment; without jitter they would all probe
-  // it at one moment too.
+  // Hosts eject a failing target at about the same time. Without jitter they
+  // would also probe it at the same time.
   const auto half = static_cast<std::uint64_t>(max_ejection.count()) / 2;
   m_ejected_until = now + max_ejection / 2 +
                     Duration(static_cast<Duration::rep>(random.Below(half)));
--- a/src/jacinthdeck/routing/target_health.h
+++ b/src/jacinthdeck/routing/target_health.h
@@ -1,4 +1,4 @@
-// Outlier ejection: what the outcomes of recent attempts say of a target.
+// Outlier ejection of a target based on the outcomes of recent attempts.
 #ifndef JACINTHDECK_ROUTING_TARGET_HEALTH_H_
 #define JACINTHDECK_ROUTING_TARGET_HEALTH_H_
 
@@ -11,73 +11,76 @@
 
 namespace jacinthdeck {
 
-/*! \brief What the end of an attempt says of its target. */
+/*! \brief Classification of an attempt for the health of its target. */
 enum class HealthSample {
   kGood,
-  //! Answered late, or cancelled while it was already late.
+  //! Answered late, or cancelled when it was already late.
   kSlow,
   kFailed,
-  //! Says nothing, such as a refusal or an early cancellation.
+  //! Not counted, such as a shed or an early cancellation.
   kNone,
 };
 
-/*! \brief Whether a target is chosen by its score. */
+/*! \brief Health state of a target, which decides what requests it gets. */
 enum class HealthState {
   kTrusted,
-  //! Left out until the end of the ejection.
+  //! Gets no requests until the end of the ejection.
   kEjected,
-  //! The ejection is over: one request at a time finds out whether it is well.
+  //! The ejection is over; the target gets one request at a time as a probe.
   kProbing,
 };
 
-//! Names of the health states, for the status page.
+//! Names of the health states on the status page.
 inline constexpr NameTable<HealthState, 3> kHealthStateNames{
     {"trusted", "ejected", "probing"}};
 
 /**
- * \brief Tracks failures and lateness of one target and ejects it.
+ * \brief Tracks failures and slowness of one target and ejects it as an
+ * outlier.
  *
- * A target that fails at once looks idle, so a choice by load alone sends it
- * everything: a black hole. One that is slow or silent holds answers hostage.
- * Only outcomes seen by this entry count; what a target reports of itself does
- * not.
+ * A target that fails immediately looks idle, so a choice by load alone would
+ * send it all requests (a black hole). A slow or unresponsive target delays
+ * every answer that needs it. Only outcomes observed by this host count, not
+ * the load that a target reports.
  */
 class TargetHealth {
  public:
   TargetHealth() noexcept;
 
-  /*! \brief Share of recent attempts that failed. */
+  /*! \brief Returns the fraction of recent attempts that failed. */
   [[nodiscard]] double failure_rate() const noexcept {
     return m_failure_rate.value();
   }
 
-  /*! \brief Share of recent attempts that were late. */
+  /*! \brief Returns the fraction of recent attempts that were slow. */
   [[nodiscard]] double slow_rate() const noexcept {
     return m_slow_rate.value();
   }
 
-  /*! \brief Ejections since the target was last well for long. */
+  /*! \brief Returns the number of ejections since the last long healthy period.
+   */
   [[nodiscard]] std::uint32_t ejections() const noexcept { return m_ejections; }
 
-  /*! \brief Gives the state at a moment. */
+  /*! \brief Returns the state at a time. */
   [[nodiscard]] HealthState State(TimePoint now) const noexcept;
 
-  /*! \brief Tells whether a probe may be sent now. */
+  /*! \brief Returns true if a probe may be sent now. */
   [[nodiscard]] bool MayProbe(TimePoint now) const noexcept {
     return State(now) == HealthState::kProbing && !m_probe_in_flight;
   }
 
-  /*! \brief Counts a probe that is being sent. */
+  /*! \brief Records that a probe is being sent. */
   void OnProbe() noexcept { m_probe_in_flight = true; }
 
   /**
-   * \brief Takes the end of an attempt.
-   * \param sample What it says.
-   * \param slower_than_peers Its latency is far above its peers'; a target is
-   * slow only in comparison.
-   * \param now Present time.
+   * \brief Records the end of an attempt and ejects the target if it is an
+   * outlier.
+   * \param sample Classification of the attempt.
+   * \param slower_than_peers Whether the target's latency is far above that of
+   * its peers; only then can slow attempts make it an outlier.
+   * \param now Current time.
    * \param random Source of the jitter of the ejection.
-   * \return True if the target is ejected by it.
+   * \return True if the target was ejected.
    */
   bool OnEnd(HealthSample sample,
              bool slower_than_peers,
@@ -96,7 +99,8 @@
   std::uint32_t m_good_probes = 0;
   bool m_ejected = false;
   bool m_probe_in_flight = false;
-  //! End of the ejection; has a meaning while m_ejected.
+  //! End of the ejection, or the earliest time of the next probe; valid only
+  //! while m_ejected is true.
   TimePoint m_ejected_until{};
   TimePoint m_reinstated{};
 };
--- a/src/jacinthdeck/routing/target_info.h
+++ b/src/jacinthdeck/routing/target_info.h
@@ -1,4 +1,4 @@
-// What the host list and the settings say of a target.
+// Description of a target from the host list and the settings.
 #ifndef JACINTHDECK_ROUTING_TARGET_INFO_H_
 #define JACINTHDECK_ROUTING_TARGET_INFO_H_
 
@@ -14,29 +14,29 @@
 /*! \brief Whether new work may go to a target. */
 enum class TargetState {
   kLive,
-  //! Finishes what it has and gets nothing new.
+  //! Finishes its running requests and gets no new ones.
   kLeaving,
   kGone,
 };
 
-//! Names of the target states as they stand in the host list.
+//! Names of the target states in the host list.
 inline constexpr NameTable<TargetState, 3> kTargetStateNames{
     {"live", "leaving", "gone"}};
 
-/*! \brief One target as the host list names it. */
+/*! \brief Address, state and limits of a target. */
 struct TargetInfo {
   TargetId id;
   ServiceId service;
   FailureDomain domain;
-  //! IP number.
+  //! IP address.
   std::string address;
   std::uint16_t port = 0;
   TargetState state = TargetState::kLive;
-  //! Requests it works on at once.
+  //! Number of requests that it executes concurrently.
   std::uint32_t slots = 1;
-  //! Connections it accepts from all entries together.
+  //! Connections that it accepts from all hosts together.
   std::uint32_t connections = 1;
-  //! Time it takes to open a connection.
+  //! Time that the target needs to accept one connection.
   Duration connection_open_time{};
 
   [[nodiscard]] bool operator==(const TargetInfo&) const = default;
--- a/src/jacinthdeck/routing/target_record.cc
+++ b/src/jacinthdeck/routing/target_record.cc
@@ -1,4 +1,4 @@
-// Ranks and statistics of one target.
+// Rank and statistics of one target.
 #include "jacinthdeck/routing/target_record.h"
 
 #include <algorithm>
@@ -8,23 +8,25 @@
 namespace internal {
 
 constexpr std::uint32_t kLatencyAverageSamples = 24;
-//! Latencies within this factor of the peers' are noise of a busy target.
+//! A target is slow above this multiple of the fastest peer's latency; smaller
+//! differences are noise on a busy target.
 constexpr double kSlowLatencyRatio = 2;
-//! Silence of this many hedge delays makes a target doubtful.
+//! Number of late thresholds without a reply after which a target is
+//! unresponsive.
 constexpr int kUnresponsiveDelays = 2;
-//! How long the word of a target that it is draining holds. The host list lags
-//! by seconds; one that still drains then says so again without running
-//! anything.
+//! Time for which a target's report that it is draining stays in effect. The
+//! host list is updated seconds later. A target that is still draining after
+//! this time reports it again without executing the request.
 constexpr Duration kDrainingHold = std::chrono::seconds(10);
 constexpr Duration kShedBackoff = std::chrono::milliseconds(10);
-//! Pause after attempts that got no answer, for each in a row but the first: a
-//! single one is most often a straggler.
+//! Backoff per consecutive late attempt that was cancelled without a reply.
 constexpr Duration kUnansweredBackoff = std::chrono::milliseconds(50);
 constexpr std::uint32_t kMaxShedDoublings = 5;
-//! A load report is worth nothing after this many average latencies.
+//! Lifetime of a load report, in average latencies of the service.
 constexpr double kHintLifetimeLatencies = 8;
-//! Age at which past latencies and troubles no longer keep work away. A target
-//! that gets no work gives no newer ones, so it would never get any again.
+//! Age at which past latencies and failures no longer affect the choice. A
+//! target without requests yields no new samples, so old ones would exclude it
+//! forever.
 constexpr Duration kStatisticsLifetime = std::chrono::seconds(2);
 constexpr Duration kMinHintLifetime = std::chrono::milliseconds(1);
 
--- a/src/jacinthdeck/routing/target_snapshot.h
+++ b/src/jacinthdeck/routing/target_snapshot.h
@@ -1,4 +1,4 @@
-// What a router knows of one target, for the status page.
+// Snapshot of a router's state of one target, for the status page.
 #ifndef JACINTHDECK_ROUTING_TARGET_SNAPSHOT_H_
 #define JACINTHDECK_ROUTING_TARGET_SNAPSHOT_H_
 
@@ -11,21 +11,21 @@
 
 namespace jacinthdeck {
 
-/*! \brief A target at one moment. */
+/*! \brief State of a target at one time. */
 struct TargetSnapshot {
   TargetId id;
   ServiceId service;
   FailureDomain domain;
   TargetState state = TargetState::kLive;
   HealthState health = HealthState::kTrusted;
-  //! It answered lately that it is draining.
+  //! The target recently reported that it is draining.
   bool draining = false;
   std::uint32_t in_flight = 0;
-  //! Requests that this entry may keep at it.
+  //! Requests that this host may have in flight at the target.
   std::uint32_t window = 0;
-  //! Connections that this entry may hold to it.
+  //! Connections that this host may hold to the target.
   std::uint32_t connections = 0;
-  //! Average of recent answers; zero before the first.
+  //! Average latency of recent answers; zero before the first.
   Duration latency{};
   double failure_rate = 0;
   double slow_rate = 0;
--- a/src/jacinthdeck/routing/token_budget.h
+++ b/src/jacinthdeck/routing/token_budget.h
@@ -1,4 +1,4 @@
-// Bounds extra requests to a share of the first attempts.
+// Token budget that limits extra attempts to a fraction of the first attempts.
 #ifndef JACINTHDECK_ROUTING_TOKEN_BUDGET_H_
 #define JACINTHDECK_ROUTING_TOKEN_BUDGET_H_
 
@@ -9,37 +9,38 @@
 /**
  * \brief Tokens that first attempts earn and extra attempts spend.
  *
- * Without it, an outage turns each failure into a retry, the retries overload
- * what is left, and the load never falls again. A share of the first attempts
- * bounds the extra load whatever fails, since retries and hedges earn nothing.
+ * Without a budget, an outage turns each failure into a retry, the retries
+ * overload the remaining targets, and the load does not decrease again. The
+ * budget bounds the extra load under any failure, since retries and hedges earn
+ * no tokens.
  */
 class TokenBudget {
  public:
   /**
-   * \brief Makes a full budget.
+   * \brief Creates a full budget.
    * \param ratio Tokens earned by one first attempt, 0 or more.
-   * \param burst Most tokens held; 0 forbids every extra attempt.
+   * \param burst Maximum number of tokens; 0 forbids extra attempts.
    */
   TokenBudget(double ratio, double burst) noexcept
       : m_ratio(ratio), m_burst(burst), m_tokens(burst) {}
 
-  /*! \brief Tells how many tokens are left. */
+  /*! \brief Returns the number of tokens left. */
   [[nodiscard]] double tokens() const noexcept { return m_tokens; }
 
-  /*! \brief Counts a first attempt. */
+  /*! \brief Adds the tokens earned by a first attempt. */
   void Earn() noexcept { Refund(m_ratio); }
 
   /**
-   * \brief Gives tokens back, for an extra attempt that took work off others.
-   * \param tokens Tokens, 0 to 1.
+   * \brief Returns tokens for an extra attempt that saved work elsewhere.
+   * \param tokens Tokens to add, 0 to 1.
    */
   void Refund(double tokens) noexcept {
     m_tokens = std::min(m_burst, m_tokens + tokens);
   }
 
   /**
-   * \brief Pays for one extra attempt.
-   * \return False, with nothing spent, where less than one token is left.
+   * \brief Spends one token for an extra attempt.
+   * \return False, without spending anything, if less than one token is left.
    */
   [[nodiscard]] bool TrySpend() noexcept {
     if (m_tokens < 1) {
