--- a/test/jacinthdeck/routing/connection_plan_test.cc
+++ b/test/jacinthdeck/routing/connection_plan_test.cc
@@ -1,5 +1,5 @@
-// Tests that the entries' shares fit the targets' limits while entries come and
-// go.
+// Tests that the hosts' shares stay within the targets' connection limits while
+// hosts start and stop.
 #include "jacinthdeck/routing/connection_plan.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr Duration kMembershipDelay = seconds(2);
 constexpr Duration kConnectionLinger = seconds(5);
 
-/*! \brief One entry host with the connections that its present and former life
+/*! \brief Host with the connections that its current and its previous process
  * hold at the target. */
 struct FakeHost {
   std::unique_ptr<Router> router;
@@ -56,14 +56,15 @@
     host.router.reset();
   }
 
-  //! Each entry opens all it may; idle connections above its share are closed.
+  //! Lets each host open all connections of its share and close those above it.
+  //! Returns the number of connections that the target counts.
   [[nodiscard]] std::uint32_t OpenAll() {
     std::uint32_t sum = 0;
     for (internal::FakeHost& host : hosts) {
       if (host.up) {
         host.held =
             host.router->ConnectionPlanFor(target.id, now).max_connections;
-        // The send path asks for the limit alone.
+        // The send path reads only the limit, so it must match the plan.
         BOOST_TEST(host.router->ConnectionLimit(target.id, now) == host.held);
       }
       sum += host.held + (now < host.lingers_until ? host.lingering : 0);
@@ -100,11 +101,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(ConnectionPlanTest, ConnectionPlanFixture)
 
-// Six to eight entries start, stop and restart one at a time, and each learns
-// of the others two seconds late. A target counts the connections of a former
-// life for five seconds more. Whatever the order, their sum must stay within
-// the target's limit, or it refuses connections at random and callers see
-// failures with every restart.
+// Six to eight hosts start, stop and restart one at a time. Each learns of the
+// others two seconds late, and the target counts the connections of a stopped
+// process for five more seconds. In any order, the sum of the connections must
+// stay within the target's limit. Otherwise the target refuses connections at
+// random, and callers see failures at every restart.
 BOOST_AUTO_TEST_CASE(
     ConnectionPlanFor_HostsStartAndStop_SumStaysWithinTheLimit) {
   for (const std::uint32_t limit : {25U, 30U, 35U, 100U}) {
@@ -134,7 +135,7 @@
   }
 }
 
-// Nothing may be opened to a target that leaves or that nobody knows.
+// No connection may be opened to a leaving or an unknown target.
 BOOST_AUTO_TEST_CASE(ConnectionLimit_TargetNotLiveOrUnknown_IsZero) {
   Router router(1);
   TargetInfo leaving = target;
@@ -159,9 +160,9 @@
   BOOST_TEST(OpenAll() == 24U);
 }
 
-// A target returns and eight entries open their spares. It takes 6 ms for each,
-// one after the other. Opened at once they would queue up before the first
-// request; they must be spread.
+// Eight hosts open idle connections to a restarted target, which accepts one at
+// a time in 6 ms. Connections opened at the same time would delay the first
+// request in the accept queue, so they must be spread.
 BOOST_AUTO_TEST_CASE(PlanConnections_ManyHosts_OpeningsAreSpread) {
   std::vector<Duration> delays;
   for (int i = 0; i < 8; ++i) {
--- a/test/jacinthdeck/routing/hedge_policy_test.cc
+++ b/test/jacinthdeck/routing/hedge_policy_test.cc
@@ -1,4 +1,4 @@
-// Tests of the hedge delays.
+// Tests of the hedge policies.
 #include "jacinthdeck/routing/hedge_policy.h"
 
 #include <boost/test/unit_test.hpp>
@@ -8,7 +8,8 @@
 using std::chrono::milliseconds;
 
 struct HedgePolicyFixture {
-  //! A service around 5 ms in which some requests take ten times as long.
+  //! Adds latencies around 5 ms, of which the given percentage are stragglers
+  //! of 50 ms.
   void Fill(int stragglers_in_100) {
     for (int i = 0; i < 1000; ++i) {
       latencies.Add(i % 100 < stragglers_in_100 ? milliseconds(50)
@@ -33,9 +34,10 @@
   BOOST_TEST((quantile_hedging.Delay(latencies) <= Duration(6500)));
 }
 
-// More requests straggle than lie above the quantile, so the quantile is a
-// straggler's latency. The caller would wait for the straggler and then for the
-// hedge. The delay must stay far below.
+// The share of stragglers exceeds the share of requests above the high
+// quantile, so that quantile is a straggler's latency. Without the cap, a
+// caller would wait that long before the hedge is sent. The delay must stay far
+// below.
 BOOST_AUTO_TEST_CASE(QuantileHedging_StragglersReachTheQuantile_IsCapped) {
   Fill(5);
   BOOST_TEST((quantile_hedging.Delay(latencies) <= milliseconds(20)));
--- a/test/jacinthdeck/routing/host_count_window_test.cc
+++ b/test/jacinthdeck/routing/host_count_window_test.cc
@@ -1,4 +1,4 @@
-// Tests of the highest entry count of a window.
+// Tests of the highest host count within a window.
 #include "jacinthdeck/routing/host_count_window.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,9 +15,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(HostCountWindowTest, HostCountWindowFixture)
 
-// Two of eight entries are cut off from this one, but not from the targets.
-// Were the fall believed at once, the shares would grow and sum up to more than
-// the targets' connections, and connections would be refused at random.
+// Two of eight hosts are partitioned from this one, but not from the targets.
+// If the lower count took effect at once, the shares would grow beyond the
+// targets' connection limits, and connections would be refused at random.
 BOOST_AUTO_TEST_CASE(Highest_CountFalls_StaysHighForTheWindow) {
   window.Add(8, At(0));
   window.Add(8, At(30));
--- a/test/jacinthdeck/routing/in_flight_window_test.cc
+++ b/test/jacinthdeck/routing/in_flight_window_test.cc
@@ -1,4 +1,4 @@
-// Tests of the adaptive window.
+// Tests of the adaptive in-flight window.
 #include "jacinthdeck/routing/in_flight_window.h"
 
 #include <boost/test/unit_test.hpp>
@@ -9,9 +9,9 @@
 
 BOOST_AUTO_TEST_SUITE(InFlightWindowTest)
 
-// A target sheds what this entry sends. Were the window kept, each shed request
-// would be sent again into a full queue; were it to fall to zero, nothing would
-// ever open it again.
+// A target sheds this host's requests. If the window did not shrink, each shed
+// request would be sent again into a full queue. If it fell to zero, no answer
+// could ever make it grow again.
 BOOST_AUTO_TEST_CASE(Size_AfterSheds_FallsToOneAndNoLower) {
   InFlightWindow window(6);
   TimePoint now{};
@@ -22,8 +22,8 @@
   BOOST_TEST(window.Size(10) == 1U);
 }
 
-// One entry alone sends to a target with three slots. Were its window to fall
-// to one after sheds, two slots would stay idle while requests wait here.
+// A single host sends to a target with three slots. If its window fell to one
+// after sheds, two slots would stay idle while requests wait on the host.
 BOOST_AUTO_TEST_CASE(Size_ShedsWithOneHost_StaysAboveTheSlotCount) {
   InFlightWindow window(3);
   window.SetFloor(3, 1);
--- a/test/jacinthdeck/routing/load_hint_test.cc
+++ b/test/jacinthdeck/routing/load_hint_test.cc
@@ -1,4 +1,4 @@
-// Tests of the worth of reported load.
+// Tests of the weight of reported load.
 #include "jacinthdeck/routing/load_hint.h"
 
 #include <boost/test/unit_test.hpp>
--- a/test/jacinthdeck/routing/replica_chooser_test.cc
+++ b/test/jacinthdeck/routing/replica_chooser_test.cc
@@ -1,4 +1,4 @@
-// Tests of the strategies.
+// Tests of the replica choice strategies.
 #include "jacinthdeck/routing/replica_chooser.h"
 
 #include <array>
@@ -40,8 +40,8 @@
   BOOST_TEST(Pick(LeastInFlightChooser())[1] == 3000);
 }
 
-// A target that is stuck reports no load, and the others report full load. Were
-// reports trusted, every request would go to the stuck one. Two requests in
+// A stuck target reports no load, and the others report full load. If reports
+// were trusted, every request would go to the stuck target. Two requests in
 // flight must weigh more than any report.
 BOOST_AUTO_TEST_CASE(Score_FalseLoadReports_InFlightCountDecides) {
   replicas[0].in_flight = 2;
--- a/test/jacinthdeck/routing/router_fixture.h
+++ b/test/jacinthdeck/routing/router_fixture.h
@@ -1,4 +1,4 @@
-// A router over three replicas of one shard.
+// Fixture with a router over three replicas of one shard.
 #ifndef JACINTHDECK_TEST_ROUTING_ROUTER_FIXTURE_H_
 #define JACINTHDECK_TEST_ROUTING_ROUTER_FIXTURE_H_
 
@@ -50,7 +50,8 @@
     router.Finish(result, now);
   }
 
-  //! Sends requests one after the other; the ends depend on the target.
+  //! Chooses targets for requests 5 ms apart and passes each to on_chosen,
+  //! which may finish it. Returns the number of requests per target.
   template <typename OnChosen>
   [[nodiscard]] std::map<TargetId, int> SendRequests(int requests,
                                                      OnChosen on_chosen) {
--- a/test/jacinthdeck/routing/router_pick_test.cc
+++ b/test/jacinthdeck/routing/router_pick_test.cc
@@ -13,9 +13,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouterPickTest, RouterFixture)
 
-// The engine asks again after an end. If a refusal for the limit came while
-// nothing is in flight, no end would follow and the call would wait for its
-// deadline beside idle targets.
+// After kAtLimit, the engine asks again when an attempt ends. If kAtLimit were
+// returned while no attempt is in flight, the call would wait until its
+// deadline although targets are idle.
 BOOST_AUTO_TEST_CASE(Choose_AtLimit_AlwaysHasAnAttemptInFlight) {
   router.SetHostCount(8, now);
   std::vector<TargetId> running;
@@ -48,23 +48,24 @@
   BOOST_TEST((refusal == RouteRefusal::kAtLimit));
 }
 
-// The targets shed almost everything. A hedge would only take the place of a
-// first attempt of another call, so none may be granted however many tokens are
-// left.
+// The targets shed almost all requests. A hedge would only displace a first
+// attempt of another call, so it must be refused regardless of the tokens left.
 BOOST_AUTO_TEST_CASE(Choose_HedgeWhileServiceSaturated_IsRefused) {
   WarmUp();
   (void)SendRequests(200, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kShed);
   });
-  // The pauses after the sheds are over, so only their share speaks against it.
+  // The backoff after the sheds is over, so only the shed rate refuses the
+  // hedge.
   now += seconds(1);
   BOOST_TEST(router.IsSaturated(service));
   BOOST_TEST(!Choose(AttemptKind::kHedge, {replicas[0]}));
   BOOST_TEST((refusal == RouteRefusal::kNoBudget));
 }
 
-// Every target fails. Each call would retry on each replica and triple the load
-// on what is left; the retries must stay a tenth of the first attempts.
+// Every target fails. Without a budget each call would retry on each replica
+// and triple the load on the remaining targets. Retries must stay at a tenth of
+// the first attempts.
 BOOST_AUTO_TEST_CASE(Choose_RetriesDuringAnOutage_StayWithinTheRetryBudget) {
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(1);
@@ -96,9 +97,9 @@
   BOOST_TEST(router.counters().hedges <= first_attempts * 35 / 1000 + 21);
 }
 
-// A request sits at a target that went silent, and the hedge budget is spent.
-// Were the hedge refused, its caller would wait for the deadline. It replaces a
-// lost request, so the retry budget pays for it.
+// A request is in flight at an unresponsive target, and the hedge budget is
+// spent. If the hedge were refused, the caller would wait until the deadline.
+// It replaces a lost request, so it is charged to the retry budget.
 BOOST_AUTO_TEST_CASE(Choose_FailoverFromSilentTarget_NeedsNoHedgeBudget) {
   WarmUp();
   std::optional<TargetId> first = Choose();
@@ -113,8 +114,8 @@
   BOOST_TEST((*failover != *first));
 }
 
-// Two replicas shed and the third is ejected. A retry at once would meet the
-// same full queues, or go to the lost target and stay there. It must wait.
+// Two replicas shed and the third is ejected. An immediate retry would find the
+// same full queues, or go to the lost target and get no reply. It must wait.
 BOOST_AUTO_TEST_CASE(Choose_RetryAfterShedsAndEjection_WaitsForTheShedBackoff) {
   (void)SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kLost
--- a/test/jacinthdeck/routing/router_test.cc
+++ b/test/jacinthdeck/routing/router_test.cc
@@ -1,4 +1,4 @@
-// Tests of replica choice by state and outcomes.
+// Tests of replica choice by target state and attempt results.
 #include "jacinthdeck/routing/router.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,9 +12,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouterTest, RouterFixture)
 
-// A target refuses every connection at once. By requests in flight it looks
-// idle, so least-in-flight sends it a third of all work and a third of all
-// callers see an error. After three failures it must get probes only.
+// A target refuses every connection immediately and therefore looks idle.
+// Least-in-flight would send it a third of all requests, and a third of all
+// callers would see an error. After three failures it must get only probes.
 BOOST_AUTO_TEST_CASE(Choose_TargetFailsAtOnce_GetsProbesOnly) {
   const auto picks = SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kNotSent
@@ -23,9 +23,9 @@
   BOOST_TEST(picks.at(replicas[0]) < 20);
 }
 
-// A target accepts requests and never answers. Nothing fails and nothing is
-// learned until the deadline, while each request sent there waits for a hedge.
-// The missing answers themselves must keep new work away.
+// A target accepts requests and never answers. No attempt fails before the
+// deadline, and each request sent to it waits for a hedge. The missing replies
+// themselves must keep new requests away.
 BOOST_AUTO_TEST_CASE(Choose_TargetNeverAnswers_IsAvoidedBeforeAnyTimeout) {
   WarmUp();
   const auto picks = SendRequests(400, [this](const TargetId& target) {
@@ -36,8 +36,9 @@
   BOOST_TEST(picks.at(replicas[0]) <= 3);
 }
 
-// The hedges win and the silent target's requests are cancelled each time, so
-// its count of requests in flight stays low. The cancelled waits must count.
+// Hedges answer first, and each request to the unresponsive target is
+// cancelled, so its number of requests in flight stays low. The cancelled late
+// attempts must count against its health.
 BOOST_AUTO_TEST_CASE(Choose_RequestsToSilentTargetCancelled_IsEjected) {
   WarmUp();
   const auto picks = SendRequests(1000, [this](const TargetId& target) {
@@ -60,8 +61,9 @@
   BOOST_TEST(picks.at(replicas[0]) < 40);
 }
 
-// The load rises and every replica of the shard becomes slow. None is at fault;
-// ejecting one would push its work onto the others and eject them next.
+// Under rising load every replica of the shard becomes slow, and none is
+// faulty. Ejecting one would move its requests to the others and eject them
+// next.
 BOOST_AUTO_TEST_CASE(Choose_AllReplicasBecomeSlow_NoneIsEjected) {
   WarmUp();
   (void)SendRequests(300, [this](const TargetId& target) {
@@ -83,8 +85,8 @@
   BOOST_TEST(picks.at(replicas[0]) > 200);
 }
 
-// All replicas fail at once, for example since the network is cut for a moment.
-// Were all ejected, the shard would stay unreachable after the network is back.
+// All replicas fail at the same time, for example in a short network outage. If
+// all were ejected, the shard would stay unreachable after the outage.
 BOOST_AUTO_TEST_CASE(Choose_AllReplicasFail_MostStayInUse) {
   const auto picks = SendRequests(300, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kLost);
@@ -96,8 +98,8 @@
   BOOST_TEST(sum == 300);
 }
 
-// A lost probe of a request that may run only once would leave its caller with
-// an unknown outcome, for the sake of an experiment.
+// If a request that may be executed only once served as a probe and were lost,
+// its outcome would be unknown to the caller.
 BOOST_AUTO_TEST_CASE(Choose_RequestMayNotProbe_NeverGoesToAnEjectedTarget) {
   (void)SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kLost
@@ -130,9 +132,9 @@
   BOOST_TEST(!picks.contains(*running));
 }
 
-// The host list still calls a target live while it answers that it is draining.
-// Each such answer costs the caller a retry, so the target must be left at the
-// first one; a stale word of the target must not exclude it for ever.
+// The host list still lists a target as live while its replies say that it is
+// draining. Each such reply costs the caller a retry, so the target must be
+// excluded after the first one. An outdated report must not exclude it forever.
 BOOST_AUTO_TEST_CASE(
     Choose_TargetReportsDraining_IsExcludedBeforeTheHostListUpdates) {
   const auto draining = Choose();
--- a/test/jacinthdeck/routing/target_health_test.cc
+++ b/test/jacinthdeck/routing/target_health_test.cc
@@ -1,4 +1,4 @@
-// Tests of outlier ejection and of the way back.
+// Tests of outlier ejection and reinstatement.
 #include "jacinthdeck/routing/target_health.h"
 
 #include <boost/test/unit_test.hpp>
@@ -45,8 +45,9 @@
   BOOST_TEST((State() == HealthState::kEjected));
 }
 
-// The whole service became slow, so every target is late. Ejecting for that
-// would push all work onto the last ones and end in an outage.
+// The whole service is slow, so attempts at every target are late. Ejecting
+// targets for this would move all requests to the remaining ones and cause an
+// outage.
 BOOST_AUTO_TEST_CASE(State_AsSlowAsItsPeers_StaysTrusted) {
   End(HealthSample::kSlow, 50, false);
   BOOST_TEST((State() == HealthState::kTrusted));
@@ -68,8 +69,9 @@
   BOOST_TEST((State() == HealthState::kTrusted));
 }
 
-// A target stays dead for long. Each probe delays one caller, so probes must
-// become rare; they must not end, or it would never come back.
+// A target stays down for a long time. Each probe delays one caller, so probes
+// must become rare. They must not stop, or the target would never be
+// reinstated.
 BOOST_AUTO_TEST_CASE(State_ProbesKeepFailing_EjectionGrowsUpToABound) {
   End(HealthSample::kFailed, 3);
   Duration longest{};
@@ -86,8 +88,8 @@
   BOOST_TEST((longest <= seconds(30) + milliseconds(100)));
 }
 
-// A request that was sent before the ejection ends well during it. That is no
-// probe and must not bring the target back early.
+// Requests sent before the ejection end successfully during it. They are not
+// probes and must not reinstate the target early.
 BOOST_AUTO_TEST_CASE(State_EarlierAttemptsEndDuringEjection_StaysEjected) {
   End(HealthSample::kFailed, 3);
   End(HealthSample::kGood, 10);
--- a/test/jacinthdeck/routing/token_budget_test.cc
+++ b/test/jacinthdeck/routing/token_budget_test.cc
@@ -1,4 +1,4 @@
-// Tests of the budget of extra attempts.
+// Tests of the token budget of extra attempts.
 #include "jacinthdeck/routing/token_budget.h"
 
 #include <boost/test/unit_test.hpp>
@@ -7,9 +7,9 @@
 
 BOOST_AUTO_TEST_SUITE(TokenBudgetTest)
 
-// Every attempt fails, and each failure asks for another attempt. Callers would
-// see the outage last longer than its cause, since the retries alone overload
-// the targets. What is granted must stay a share of the first attempts.
+// Every attempt fails, and each failure requests another attempt. Unlimited
+// retries would overload the targets and prolong the outage beyond its cause.
+// The granted attempts must stay a fraction of the first attempts.
 BOOST_AUTO_TEST_CASE(TokenBudget_EveryAttemptRetries_ShareIsBounded) {
   TokenBudget budget(0.1, 10);
   int granted = 0;
