--- a/src/jacinthdeck/routing/target_health.cc
+++ b/src/jacinthdeck/routing/target_health.cc
@@ -12,7 +12,7 @@
 constexpr std::uint32_t kHealthAverageSamples = 12;
 //! Samples required before the rates are used.
 constexpr std::uint32_t kMinRateSamples = 6;
-constexpr std::uint32_t kMaxConsecutiveFailures = 3;
+constexpr std::uint32_t kConsecutiveFailureLimit = 3;
 constexpr double kMaxFailureRate = 0.5;
 constexpr double kMaxSlowRate = 0.5;
 constexpr std::uint32_t kProbesToReinstate = 3;
@@ -61,7 +61,7 @@
 }
 
 bool TargetHealth::IsOutlier(bool slower_than_peers) const noexcept {
-  if (m_consecutive_failures >= internal::kMaxConsecutiveFailures) {
+  if (m_consecutive_failures >= internal::kConsecutiveFailureLimit) {
     return true;
   }
   if (m_failure_rate.samples() < internal::kMinRateSamples) {
