--- a/src/jacinthdeck/routing/load_hint.h
+++ b/src/jacinthdeck/routing/load_hint.h
@@ -12,9 +12,9 @@
  * \brief Last reported load, weighted by its age.
  *
  * Load reports can be late or wrong. A report of no load must not attract all
- * requests to a stuck target, and a report of full load must not drain a
- * healthy one. The hint therefore counts as at most one request in flight, and
- * as nothing once it has expired.
+ * requests to a stuck target, and a report of full load must not divert all
+ * requests from a healthy one. The hint therefore counts as at most one request
+ * in flight, and as nothing once it has expired.
  */
 class LoadHint {
  public:
