--- a/src/jacinthdeck/core/fwd.h
+++ b/src/jacinthdeck/core/fwd.h
@@ -8,7 +8,7 @@
 class ManualClock;
 class Random;
 struct Error;
-struct TrafficBytes;
+struct LinkBytes;
 enum class ErrorCode;
 enum class Outcome;
 
--- a/src/jacinthdeck/core/traffic_bytes.h
+++ b/src/jacinthdeck/core/link_bytes.h
@@ -1,6 +1,6 @@
 // Byte counters of traffic within and across failure domains.
-#ifndef JACINTHDECK_CORE_TRAFFIC_BYTES_H_
-#define JACINTHDECK_CORE_TRAFFIC_BYTES_H_
+#ifndef JACINTHDECK_CORE_LINK_BYTES_H_
+#define JACINTHDECK_CORE_LINK_BYTES_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 /*! \brief Bytes exchanged within the host's failure domain and with other
  * domains; traffic between domains has a higher latency and is charged for by
  * platforms. */
-struct TrafficBytes {
+struct LinkBytes {
   std::uint64_t own_domain = 0;
   std::uint64_t other_domains = 0;
 
@@ -22,4 +22,4 @@
 
 }  // namespace jacinthdeck
 
-#endif  // JACINTHDECK_CORE_TRAFFIC_BYTES_H_
+#endif  // JACINTHDECK_CORE_LINK_BYTES_H_
--- a/src/jacinthdeck/entry/decision_log.h
+++ b/src/jacinthdeck/entry/decision_log.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "jacinthdeck/core/link_bytes.h"
 #include "jacinthdeck/core/time.h"
-#include "jacinthdeck/core/traffic_bytes.h"
 #include "jacinthdeck/discovery/knowledge.h"
 #include "jacinthdeck/discovery/store_session.h"
 #include "jacinthdeck/entry/event_log.h"
@@ -21,9 +21,9 @@
 struct HostTraffic {
   StoreCounters store;
   //! From the hosts that it learns from.
-  TrafficBytes feed;
+  LinkBytes feed;
   //! To and from targets.
-  TrafficBytes targets;
+  LinkBytes targets;
   ForwardCounters calls;
 };
 
--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "jacinthdeck/core/clock.h"
+#include "jacinthdeck/core/link_bytes.h"
 #include "jacinthdeck/core/result.h"
-#include "jacinthdeck/core/traffic_bytes.h"
 #include "jacinthdeck/discovery/host_record.h"
 #include "jacinthdeck/discovery/store_session.h"
 #include "jacinthdeck/peer/feed_choice.h"
@@ -66,7 +66,7 @@
   [[nodiscard]] Result<void> Listen(const Endpoint& endpoint);
 
   /*! \brief Bytes from feeders since the start. */
-  [[nodiscard]] const TrafficBytes& received() const noexcept {
+  [[nodiscard]] const LinkBytes& received() const noexcept {
     return m_received;
   }
 
@@ -108,7 +108,7 @@
   FeedLink m_link;
   FeedChoice m_choice;
   TimePoint m_beat_at;
-  TrafficBytes m_received;
+  LinkBytes m_received;
   //! What the feeder is to keep in the store for this host; empty: nothing.
   std::string m_record;
   //! What the present feeder was told of that.
--- a/src/jacinthdeck/http/target_pool.h
+++ b/src/jacinthdeck/http/target_pool.h
@@ -10,7 +10,7 @@
 
 #include "jacinthdeck/core/clock.h"
 #include "jacinthdeck/core/ids.h"
-#include "jacinthdeck/core/traffic_bytes.h"
+#include "jacinthdeck/core/link_bytes.h"
 #include "jacinthdeck/forward/attempt_end.h"
 #include "jacinthdeck/http/asio.h"
 #include "jacinthdeck/http/target_connection.h"
@@ -28,7 +28,7 @@
   //! Attempts that found no connection free and no room for one more.
   std::uint64_t no_room = 0;
   //! Requests and responses, without what the network adds.
-  TrafficBytes bytes;
+  LinkBytes bytes;
 };
 
 /**
--- a/src/jacinthdeck/routing/host_count_window.h
+++ b/src/jacinthdeck/routing/host_count_window.h
@@ -32,7 +32,7 @@
   /*! \brief Returns the highest count in the window that ends now. */
   [[nodiscard]] std::uint32_t Highest(TimePoint now) noexcept {
     // The latest count stays in effect regardless of its age.
-    while (m_counts.size() > 1 && m_counts.front().last_seen + m_window < now) {
+    while (m_counts.size() > 1 && m_counts.front().until + m_window < now) {
       m_counts.pop_front();
     }
     return m_counts.empty() ? m_expected
@@ -42,7 +42,7 @@
   /*! \brief Adds the current count. */
   void Add(std::uint32_t hosts, TimePoint now) {
     if (!m_counts.empty()) {
-      m_counts.back().last_seen = now;
+      m_counts.back().until = now;
     }
     while (!m_counts.empty() && m_counts.back().hosts <= hosts) {
       m_counts.pop_back();
@@ -54,7 +54,7 @@
   struct Count {
     std::uint32_t hosts = 0;
     //! Last time at which this was the count.
-    TimePoint last_seen;
+    TimePoint until;
   };
 
   Duration m_window;
