--- a/src/jacinthdeck/routing/host_count_window.h
+++ b/src/jacinthdeck/routing/host_count_window.h
@@ -22,14 +22,14 @@
 class HostCountWindow {
  public:
   /**
-   * \brief Creates a window without counts.
-   * \param window Time for which a higher count stays in effect.
+   * \brief Makes a window.
+   * \param window How long a higher count is remembered.
    * \param expected Minimum of the returned count; at least 1.
    */
   HostCountWindow(Duration window, std::uint32_t expected)
       : m_window(window), m_expected(std::max<std::uint32_t>(expected, 1)) {}
 
-  /*! \brief Returns the highest count in the window that ends now. */
+  /*! \brief Gives the highest count of the window that ends now. */
   [[nodiscard]] std::uint32_t Highest(TimePoint now) noexcept {
     // The latest count stays in effect regardless of its age.
     while (m_counts.size() > 1 && m_counts.front().until + m_window < now) {
