--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -95,7 +95,7 @@
   void OnFeedHeartbeat(const FeedHeartbeat& beat) override;
   void OnFeedLost(const std::string& problem) override;
   void OnFollowerHello(const FeedHello& hello) override;
-  void OnFollowerLeft(const NodeId& host) override;
+  void OnFollowerLeft(const HostId& host) override;
   void TellRecord();
   //! Counts what the link received since the last time.
   void CountReceived();
@@ -103,7 +103,7 @@
   const Clock& m_clock;
   StoreSession& m_store;
   FeedHubObserver& m_observer;
-  const NodeId m_name;
+  const HostId m_name;
   FeedServer m_server;
   FeedLink m_link;
   FeederSelector m_choice;
--- a/src/jacinthdeck/forward/cold_share.cc
+++ b/src/jacinthdeck/forward/cold_share.cc
@@ -18,12 +18,12 @@
 
 }  // namespace
 
-void ColdTargetLimiter::SetHosts(const NodeId& self,
-                                 std::span<const NodeId> hosts) {
+void ColdTargetLimiter::SetHosts(const HostId& self,
+                                 std::span<const HostId> hosts) {
   m_self = HashOf(self.raw(), 0);
   m_is_listed = false;
   m_others.clear();
-  for (const NodeId& host : hosts) {
+  for (const HostId& host : hosts) {
     if (host == self) {
       m_is_listed = true;
     } else {
--- a/src/jacinthdeck/forward/cold_share.h
+++ b/src/jacinthdeck/forward/cold_share.h
@@ -36,7 +36,7 @@
    * \param self This host; it has no share if it is not listed.
    * \param hosts All hosts that callers are sent to.
    */
-  void SetHosts(const NodeId& self, std::span<const NodeId> hosts);
+  void SetHosts(const HostId& self, std::span<const HostId> hosts);
 
   /**
    * \brief Returns the rate at which this host may send to a target while it is
--- a/src/jacinthdeck/forward/forward_options.h
+++ b/src/jacinthdeck/forward/forward_options.h
@@ -11,7 +11,7 @@
 /*! \brief Settings of a forwarder. */
 struct ForwardOptions {
   //! Id of this host.
-  NodeId host;
+  HostId host;
   FailureDomain domain;
   AttemptBudgetOptions budget;
   //! Time reserved for sending an answer to its caller.
--- a/src/jacinthdeck/forward/forwarder.h
+++ b/src/jacinthdeck/forward/forwarder.h
@@ -86,7 +86,7 @@
   void SetHosts(std::uint32_t hosts, bool self, TimePoint now);
 
   /*! \brief Sets the names of the hosts that callers are sent to. */
-  void SetHostNames(std::span<const NodeId> hosts) {
+  void SetHostNames(std::span<const HostId> hosts) {
     m_targets.SetHosts(m_options.host, hosts);
   }
 
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -96,7 +96,7 @@
                                            Duration other) const;
 
   /*! \brief Sets the hosts that share the request rate of cold targets. */
-  void SetHosts(const NodeId& self, std::span<const NodeId> hosts) {
+  void SetHosts(const HostId& self, std::span<const HostId> hosts) {
     m_cold_limiter.SetHosts(self, hosts);
   }
 
--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -113,7 +113,7 @@
 }
 
 void FeederSelector::OnHosts(std::span<const HostRecord> hosts, TimePoint now) {
-  const std::vector<NodeId> watchers = ChooseWatchers(hosts);
+  const std::vector<HostId> watchers = ChooseWatchers(hosts);
   if (watchers.empty()) {
     return;
   }
--- a/src/jacinthdeck/peer/feed_message.cc
+++ b/src/jacinthdeck/peer/feed_message.cc
@@ -173,7 +173,7 @@
 [[nodiscard]] Result<FeedMessage> DecodeBody(const wire::Message& message) {
   if (const auto* hello = message.body_as_Hello()) {
     return FeedMessage(
-        FeedHello{NodeId(StringOrEmpty(hello->host())), PositionOf(*hello),
+        FeedHello{HostId(StringOrEmpty(hello->host())), PositionOf(*hello),
                   StringOrEmpty(hello->record()), hello->reads_packed()});
   }
   if (const auto* changes = message.body_as_Changes()) {
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -18,7 +18,7 @@
 /*! \brief First message of a follower, sent again when its record changes. */
 struct FeedHello {
   //! Name of the follower.
-  NodeId host;
+  HostId host;
   //! Position up to which the follower knows all changes; revision 0 if it
   //! knows nothing.
   StorePosition position;
--- a/src/jacinthdeck/peer/feed_server.cc
+++ b/src/jacinthdeck/peer/feed_server.cc
@@ -55,7 +55,7 @@
   bool subscribed = false;
   FeedCompression compression = FeedCompression::kNone;
   //! Name from its hello; empty before that.
-  NodeId host;
+  HostId host;
   //! Whether it knows the whole content up to some revision, so that changes
   //! alone keep it complete.
   bool has_content = false;
--- a/src/jacinthdeck/peer/follower_observer.h
+++ b/src/jacinthdeck/peer/follower_observer.h
@@ -15,7 +15,7 @@
   virtual void OnFollowerHello(const FeedHello& hello) = 0;
 
   /*! \brief Called when the last link of a follower has ended. */
-  virtual void OnFollowerLeft(const NodeId& host) = 0;
+  virtual void OnFollowerLeft(const HostId& host) = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/query/engine_attempts.cc
+++ b/src/jacinthdeck/query/engine_attempts.cc
@@ -117,7 +117,7 @@
     // are left out, since no attempt ends there that would trigger the queue.
     std::vector<TargetId> untried = UntriedReplicas(state);
     std::erase_if(untried, [&](const TargetId& id) {
-      return !m_router.TakesWork(id, now);
+      return !m_router.IsAvailable(id, now);
     });
     state.waiting = m_waiting.Add(WaitingAttempt{
         open.call.id, shard, kind, open.service->id,
--- a/src/jacinthdeck/routing/fwd.h
+++ b/src/jacinthdeck/routing/fwd.h
@@ -1,13 +1,12 @@
-// Forward declarations of the routing module: replica choice, limits, hedging,
-// budgets.
+// Forward declarations of the routing module.
 #ifndef JACINTHDECK_ROUTING_FWD_H_
 #define JACINTHDECK_ROUTING_FWD_H_
 
 namespace jacinthdeck {
 
 class DecayingAverage;
-class EntryCountWindow;
 class HedgePolicy;
+class HostCountWindow;
 class InFlightWindow;
 class LatencyHistogram;
 class LoadHint;
@@ -27,11 +26,11 @@
 struct TargetSnapshot;
 enum class AttemptKind;
 enum class AttemptStatus;
+enum class HealthSample;
 enum class HealthState;
 enum class RouteRefusal;
 enum class TargetRank;
 enum class TargetState;
-enum class Verdict;
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/typed/typed_call_runner.cc
+++ b/src/jacinthdeck/typed/typed_call_runner.cc
@@ -29,7 +29,7 @@
 }
 
 void TypedCallRunner::SetHosts(std::uint32_t hosts, TimePoint now) {
-  m_router.SetEntryCount(hosts, now);
+  m_router.SetHostCount(hosts, now);
 }
 
 void TypedCallRunner::Submit(Call call, TimePoint now) {
--- a/test/jacinthdeck/forward/cold_share_test.cc
+++ b/test/jacinthdeck/forward/cold_share_test.cc
@@ -20,7 +20,7 @@
 //! milliseconds.
 struct HostSimulation {
   struct Host {
-    NodeId name;
+    HostId name;
     ColdTargetLimiter share;
     TimePoint last;
     bool alive = true;
@@ -47,12 +47,12 @@
   }
 
   void Add() {
-    hosts.push_back({NodeId("h" + std::to_string(hosts.size())), {}, {}, true});
+    hosts.push_back({HostId("h" + std::to_string(hosts.size())), {}, {}, true});
   }
 
   //! Gives a host the list of the hosts that are alive.
   void SendHostList(Host& host) const {
-    std::vector<NodeId> names;
+    std::vector<HostId> names;
     for (const Host& other : hosts) {
       if (other.alive) {
         names.push_back(other.name);
@@ -143,7 +143,7 @@
 
 BOOST_AUTO_TEST_CASE(ColdRate_HostIsNotListed_IsZero) {
   ColdTargetLimiter share;
-  share.SetHosts(NodeId("h1"), std::vector<NodeId>{NodeId("h2")});
+  share.SetHosts(HostId("h1"), std::vector<HostId>{HostId("h2")});
   BOOST_TEST(share.RateOf(TargetId("t"), 50) == 0);
   BOOST_TEST(!share.MaySend(TargetId("t"), 50, TimePoint{}, TimePoint::max()));
 }
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -269,7 +269,7 @@
     entry.cold_until = now + seconds(4);
   }
   set.Replace(entries, now);
-  set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h0")});
+  set.SetHosts(HostId("h0"), std::vector<HostId>{HostId("h0")});
   criteria.cold_rate = 5;
   criteria.share.connections = 1000;
   int sent = 0;
@@ -290,7 +290,7 @@
 BOOST_AUTO_TEST_CASE(Pick_HostIsNotListed_SkipsColdTargetWithRateBound) {
   entries[0].cold_until = now + seconds(4);
   set.Replace(entries, now);
-  set.SetHosts(NodeId("h0"), std::vector<NodeId>{NodeId("h1")});
+  set.SetHosts(HostId("h0"), std::vector<HostId>{HostId("h1")});
   criteria.cold_rate = 100;
   BOOST_TEST(Picks(50).count("t0") == 0U);
 }
--- a/test/jacinthdeck/peer/feed_message_test.cc
+++ b/test/jacinthdeck/peer/feed_message_test.cc
@@ -105,8 +105,8 @@
 
 BOOST_AUTO_TEST_CASE(HelloAndHeartbeat_AllFields_RoundTrip) {
   const auto hello = std::get<FeedHello>(
-      RoundTrip(FeedHello{NodeId("host-1"), At(5, 2), "record"}));
-  BOOST_TEST(hello.host == NodeId("host-1"));
+      RoundTrip(FeedHello{HostId("host-1"), At(5, 2), "record"}));
+  BOOST_TEST(hello.host == HostId("host-1"));
   BOOST_TEST(hello.position == At(5, 2));
   BOOST_TEST(hello.record == "record");
   const auto heartbeat = std::get<FeedHeartbeat>(RoundTrip(
@@ -138,8 +138,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(Frames_ArriveByteByByte_AreSplitCorrectly) {
-  const std::string two = EncodeFeedMessage(FeedHello{NodeId("a"), At(1), ""}) +
-                          EncodeFeedMessage(FeedHello{NodeId("b"), At(2), ""});
+  const std::string two = EncodeFeedMessage(FeedHello{HostId("a"), At(1), ""}) +
+                          EncodeFeedMessage(FeedHello{HostId("b"), At(2), ""});
   FeedFrameReader reader;
   int whole = 0;
   for (const char byte : two) {
--- a/test/jacinthdeck/peer/feed_server_test.cc
+++ b/test/jacinthdeck/peer/feed_server_test.cc
@@ -69,12 +69,12 @@
   //! Number of links that the other side ended or refused.
   int links_lost = 0;
   //! Records of the present followers, by name.
-  std::map<NodeId, std::string> followers;
+  std::map<HostId, std::string> followers;
 
   void OnFollowerHello(const FeedHello& hello) override {
     followers[hello.host] = hello.record;
   }
-  void OnFollowerLeft(const NodeId& host) override { followers.erase(host); }
+  void OnFollowerLeft(const HostId& host) override { followers.erase(host); }
   void OnFeedChanges(const FeedChanges& changes) override {
     ++change_messages;
     value = changes.changes.back().value.value_or("");
@@ -93,7 +93,7 @@
   void Follow(std::uint64_t known_revision) {
     BOOST_REQUIRE(static_cast<bool>(server.Listen("127.0.0.1", 0)));
     link.Open({"127.0.0.1", server.port()},
-              {NodeId("h1"), At(known_revision), "first", reads_packed});
+              {HostId("h1"), At(known_revision), "first", reads_packed});
     while (heartbeats == 0) {
       loop.run_one();
     }
@@ -158,9 +158,9 @@
 // again when it changes. The feeder must not send the content again for that.
 BOOST_AUTO_TEST_CASE(Follower_SendsNewRecord_ContentIsNotResent) {
   Follow(6);
-  BOOST_TEST(followers.at(NodeId("h1")) == "first");
-  link.SendHello({NodeId("h1"), At(7), "second"});
-  while (followers.at(NodeId("h1")) != "second") {
+  BOOST_TEST(followers.at(HostId("h1")) == "first");
+  link.SendHello({HostId("h1"), At(7), "second"});
+  while (followers.at(HostId("h1")) != "second") {
     loop.run_one();
   }
   BOOST_TEST(change_messages == 1);
@@ -171,7 +171,7 @@
 BOOST_AUTO_TEST_CASE(Follower_HasTwoLinks_LeavesWithTheLastLink) {
   Follow(6);
   FeedLink second(loop, *this);
-  second.Open({"127.0.0.1", server.port()}, {NodeId("h1"), At(7), "second"});
+  second.Open({"127.0.0.1", server.port()}, {HostId("h1"), At(7), "second"});
   while (server.followers() < 2 || heartbeats < 2) {
     loop.run_one();
   }
@@ -179,7 +179,7 @@
   while (server.followers() > 1) {
     loop.run_one();
   }
-  BOOST_TEST(followers.contains(NodeId("h1")));
+  BOOST_TEST(followers.contains(HostId("h1")));
   second.Close();
   while (server.followers() > 0) {
     loop.run_one();
@@ -200,7 +200,7 @@
   }
   BOOST_TEST(followers.empty());
   loop.restart();
-  link.Open(address, {NodeId("h1"), At(7), "first"});
+  link.Open(address, {HostId("h1"), At(7), "first"});
   while (links_lost == 1) {
     loop.run_one();
   }
--- a/test/jacinthdeck/routing/in_flight_window_test.cc
+++ b/test/jacinthdeck/routing/in_flight_window_test.cc
@@ -1,4 +1,4 @@
-// Tests of the adaptive window.
+// Tests of the adaptive in-flight window.
 #include "jacinthdeck/routing/in_flight_window.h"
 
 #include <boost/test/unit_test.hpp>
@@ -9,38 +9,38 @@
 
 BOOST_AUTO_TEST_SUITE(InFlightWindowTest)
 
-// A target sheds what this entry sends. Were the window kept, each shed request
-// would be sent again into a full queue; were it to fall to zero, nothing would
-// ever open it again.
+// A target sheds this host's requests. If the window did not shrink, each shed
+// request would be sent again into a full queue. If it fell to zero, no answer
+// could ever make it grow again.
 BOOST_AUTO_TEST_CASE(Size_AfterSheds_FallsToOneAndNoLower) {
   InFlightWindow window(6);
   TimePoint now{};
   for (int i = 0; i < 50; ++i) {
     now += milliseconds(100);
-    window.OnPressure(now);
+    window.OnOverload(now);
   }
   BOOST_TEST(window.Size(10) == 1U);
 }
 
-// One entry alone sends to a target with three slots. Were its window to fall
-// to one after sheds, two slots would stay idle while requests wait here.
-BOOST_AUTO_TEST_CASE(Size_AfterShedsWithOneEntry_KeepsTheSlotsBusy) {
+// A single host sends to a target with three slots. If its window fell to one
+// after sheds, two slots would stay idle while requests wait on the host.
+BOOST_AUTO_TEST_CASE(Size_ShedsWithOneHost_StaysAboveTheSlotCount) {
   InFlightWindow window(3);
   window.SetFloor(3, 1);
   TimePoint now{};
   for (int i = 0; i < 50; ++i) {
     now += milliseconds(100);
-    window.OnPressure(now);
+    window.OnOverload(now);
   }
   BOOST_TEST(window.Size(15) == 4U);
   window.SetFloor(3, 8);
   BOOST_TEST(window.floor() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Size_ShedsOfOneMoment_CountOnce) {
+BOOST_AUTO_TEST_CASE(Size_ShedsWithinOneInterval_DecreasesOnce) {
   InFlightWindow window(10);
   for (int i = 0; i < 5; ++i) {
-    window.OnPressure(TimePoint() + milliseconds(i));
+    window.OnOverload(TimePoint() + milliseconds(i));
   }
   BOOST_TEST(window.Size(10) == 7U);
 }
--- a/test/jacinthdeck/routing/router_fixture.h
+++ b/test/jacinthdeck/routing/router_fixture.h
@@ -1,4 +1,4 @@
-// A router over three replicas of one shard.
+// Fixture with a router over three replicas of one shard.
 #ifndef JACINTHDECK_TEST_ROUTING_ROUTER_FIXTURE_H_
 #define JACINTHDECK_TEST_ROUTING_ROUTER_FIXTURE_H_
 
@@ -50,22 +50,24 @@
     router.Finish(result, now);
   }
 
-  //! Sends requests one after the other; the ends depend on the target.
-  template <typename End>
-  [[nodiscard]] std::map<TargetId, int> Run(int requests, End end) {
+  //! Chooses targets for requests 5 ms apart and passes each to on_chosen,
+  //! which may finish it. Returns the number of requests per target.
+  template <typename OnChosen>
+  [[nodiscard]] std::map<TargetId, int> SendRequests(int requests,
+                                                     OnChosen on_chosen) {
     std::map<TargetId, int> picks;
     for (int i = 0; i < requests; ++i) {
       now += std::chrono::milliseconds(5);
       if (const auto target = Choose()) {
         ++picks[*target];
-        end(*target);
+        on_chosen(*target);
       }
     }
     return picks;
   }
 
-  void Warm() {
-    (void)Run(500, [this](const TargetId& target) { Finish(target); });
+  void WarmUp() {
+    (void)SendRequests(500, [this](const TargetId& target) { Finish(target); });
   }
 
   ServiceId service{"CounterDesk"};
--- a/test/jacinthdeck/routing/router_pick_test.cc
+++ b/test/jacinthdeck/routing/router_pick_test.cc
@@ -13,11 +13,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouterPickTest, RouterFixture)
 
-// The engine asks again after an end. If a refusal for the limit came while
-// nothing is in flight, no end would follow and the call would wait for its
-// deadline beside idle targets.
+// After kAtLimit, the engine asks again when an attempt ends. If kAtLimit were
+// returned while no attempt is in flight, the call would wait until its
+// deadline although targets are idle.
 BOOST_AUTO_TEST_CASE(Choose_AtLimit_AlwaysHasAnAttemptInFlight) {
-  router.SetEntryCount(8, now);
+  router.SetHostCount(8, now);
   std::vector<TargetId> running;
   Random random(3);
   for (int i = 0; i < 20000; ++i) {
@@ -38,8 +38,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Choose_EightEntries_KeepsWithinTheShareOfConnections) {
-  router.SetEntryCount(8, now);
+BOOST_AUTO_TEST_CASE(Choose_EightHosts_StaysWithinTheConnectionShare) {
+  router.SetHostCount(8, now);
   int chosen = 0;
   while (Choose()) {
     ++chosen;
@@ -48,24 +48,25 @@
   BOOST_TEST((refusal == RouteRefusal::kAtLimit));
 }
 
-// The targets shed almost everything. A hedge would only take the place of a
-// first attempt of another call, so none may be granted however many tokens are
-// left.
-BOOST_AUTO_TEST_CASE(Choose_HedgeWhileSaturated_IsRefused) {
-  Warm();
-  (void)Run(200, [this](const TargetId& target) {
+// The targets shed almost all requests. A hedge would only displace a first
+// attempt of another call, so it must be refused regardless of the tokens left.
+BOOST_AUTO_TEST_CASE(Choose_HedgeWhileServiceSaturated_IsRefused) {
+  WarmUp();
+  (void)SendRequests(200, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kShed);
   });
-  // The pauses after the sheds are over, so only their share speaks against it.
+  // The backoff after the sheds is over, so only the shed rate refuses the
+  // hedge.
   now += seconds(1);
-  BOOST_TEST(router.Saturated(service));
+  BOOST_TEST(router.IsSaturated(service));
   BOOST_TEST(!Choose(AttemptKind::kHedge, {replicas[0]}));
   BOOST_TEST((refusal == RouteRefusal::kNoBudget));
 }
 
-// Every target fails. Each call would retry on each replica and triple the load
-// on what is left; the retries must stay a tenth of the first attempts.
-BOOST_AUTO_TEST_CASE(Choose_RetriesInAnOutage_AreATenthOfTheFirsts) {
+// Every target fails. Without a budget each call would retry on each replica
+// and triple the load on the remaining targets. Retries must stay at a tenth of
+// the first attempts.
+BOOST_AUTO_TEST_CASE(Choose_RetriesDuringAnOutage_StayWithinTheRetryBudget) {
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(1);
     const auto first = Choose();
@@ -79,9 +80,9 @@
   BOOST_TEST(router.counters().retries >= 500U);
 }
 
-BOOST_AUTO_TEST_CASE(Choose_HedgesAskedForAll_AreAFewPercentOfTheFirsts) {
-  Warm();
-  const auto before = router.counters().firsts;
+BOOST_AUTO_TEST_CASE(Choose_HedgeForEveryRequest_StaysWithinTheHedgeBudget) {
+  WarmUp();
+  const auto before = router.counters().first_attempts;
   for (int i = 0; i < 5000; ++i) {
     now += milliseconds(5);
     const auto first = Choose();
@@ -92,15 +93,15 @@
     }
     Finish(*first);
   }
-  const auto firsts = router.counters().firsts - before;
-  BOOST_TEST(router.counters().hedges <= firsts * 35 / 1000 + 21);
+  const auto first_attempts = router.counters().first_attempts - before;
+  BOOST_TEST(router.counters().hedges <= first_attempts * 35 / 1000 + 21);
 }
 
-// A request sits at a target that went silent, and the hedge budget is spent.
-// Were the hedge refused, its caller would wait for the deadline. It replaces a
-// lost request, so the retry budget pays for it.
-BOOST_AUTO_TEST_CASE(Choose_HedgeAwayFromSilentTarget_NeedsNoHedgeBudget) {
-  Warm();
+// A request is in flight at an unresponsive target, and the hedge budget is
+// spent. If the hedge were refused, the caller would wait until the deadline.
+// It replaces a lost request, so it is charged to the retry budget.
+BOOST_AUTO_TEST_CASE(Choose_FailoverFromSilentTarget_NeedsNoHedgeBudget) {
+  WarmUp();
   std::optional<TargetId> first = Choose();
   BOOST_REQUIRE(first);
   while (const auto hedge = Choose(AttemptKind::kHedge, {*first})) {
@@ -113,10 +114,10 @@
   BOOST_TEST((*failover != *first));
 }
 
-// Two replicas shed and the third is ejected. A retry at once would meet the
-// same full queues, or go to the lost target and stay there. It must wait.
-BOOST_AUTO_TEST_CASE(Choose_RetryAfterShedsBesideEjected_WaitsThenTriesAgain) {
-  (void)Run(2000, [this](const TargetId& target) {
+// Two replicas shed and the third is ejected. An immediate retry would find the
+// same full queues, or go to the lost target and get no reply. It must wait.
+BOOST_AUTO_TEST_CASE(Choose_RetryAfterShedsAndEjection_WaitsForTheShedBackoff) {
+  (void)SendRequests(2000, [this](const TargetId& target) {
     Finish(target, target == replicas[0] ? AttemptStatus::kLost
                                          : AttemptStatus::kAnswered);
   });
@@ -136,7 +137,7 @@
   BOOST_TEST((*again != replicas[0]));
 }
 
-BOOST_AUTO_TEST_CASE(Choose_RetryWithNoOtherReplica_TakesATriedOneAgain) {
+BOOST_AUTO_TEST_CASE(Choose_RetryWithNoUntriedReplica_ReusesATriedOne) {
   const auto retry = Choose(AttemptKind::kRetry, replicas);
   BOOST_TEST(retry.has_value());
   BOOST_TEST(!Choose(AttemptKind::kHedge, replicas).has_value());
