--- a/src/daemons/ctl/evacuation_command.cc
+++ b/src/daemons/ctl/evacuation_command.cc
@@ -23,7 +23,7 @@
 };
 
 void Add(const Session& session, const StoreChange& item, Evacuated& to) {
-  const KeyName key = session.codec().ReadKey(item.key);
+  const ParsedKey key = session.codec().ReadKey(item.key);
   if (key.kind != KeyKind::kEvacuation) {
     return;
   }
--- a/src/daemons/ctl/session.cc
+++ b/src/daemons/ctl/session.cc
@@ -90,7 +90,7 @@
   const StoreWrite write{.conditions = {{key, position.revision}},
                          .puts = {{key, value, 0}},
                          .removals = {}};
-  return m_codec.ReadWrite(
+  return m_codec.ReadWriteReply(
       CallAndWait(m_arguments.store, m_codec.WriteCall(write),
                   m_arguments.timeout),
       position.era);
--- a/src/jacinthdeck/discovery/directory_choice.cc
+++ b/src/jacinthdeck/discovery/directory_choice.cc
@@ -36,26 +36,28 @@
 
 }  // namespace
 
-std::vector<std::string> ChooseHosts(const DirectoryQuestion& question,
-                                     std::span<const HostRecord> hosts) {
+std::vector<std::string> ChooseCallerAddresses(
+    const DirectoryRequest& request,
+    std::span<const HostRecord> hosts) {
   std::vector<const HostRecord*> chosen;
   for (const HostRecord& host : hosts) {
-    if (host.name != question.self.name) {
+    if (host.name != request.self.name) {
       chosen.push_back(&host);
     }
   }
-  if (question.self_serves) {
-    chosen.push_back(&question.self);
+  if (request.self_accepts_callers) {
+    chosen.push_back(&request.self);
   }
   const auto others = std::stable_partition(
-      chosen.begin(), chosen.end(),
-      [&](const HostRecord* host) { return host->domain == question.caller; });
-  KeepNear(chosen, others - chosen.begin(), question.caller);
+      chosen.begin(), chosen.end(), [&](const HostRecord* host) {
+        return host->domain == request.caller_domain;
+      });
+  KeepNear(chosen, others - chosen.begin(), request.caller_domain);
   std::vector<std::string> addresses;
   for (const HostRecord* host : chosen) {
     const bool known =
         std::ranges::find(addresses, host->callers) != addresses.end();
-    if (!known && addresses.size() < question.most) {
+    if (!known && addresses.size() < request.max_addresses) {
       addresses.push_back(host->callers);
     }
   }
--- a/src/jacinthdeck/discovery/directory_choice.h
+++ b/src/jacinthdeck/discovery/directory_choice.h
@@ -12,14 +12,14 @@
 namespace jacinthdeck {
 
 /*! \brief Who asks, and who answers. */
-struct DirectoryQuestion {
+struct DirectoryRequest {
   //! Failure domain of the caller; empty if it did not say.
-  FailureDomain caller;
+  FailureDomain caller_domain;
   //! This host; left out if it takes no callers.
   HostRecord self;
-  bool self_serves = false;
+  bool self_accepts_callers = false;
   //! Most addresses to return.
-  std::size_t most = 64;
+  std::size_t max_addresses = 64;
 };
 
 /**
@@ -28,8 +28,8 @@
  * \return Addresses without doubles; of the caller's failure domain alone where
  * it has enough hosts; empty if none is known.
  */
-[[nodiscard]] std::vector<std::string> ChooseHosts(
-    const DirectoryQuestion& question,
+[[nodiscard]] std::vector<std::string> ChooseCallerAddresses(
+    const DirectoryRequest& request,
     std::span<const HostRecord> hosts);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/fleet.cc
+++ b/src/jacinthdeck/discovery/fleet.cc
@@ -24,8 +24,8 @@
 using Ranked = std::map<FailureDomain, std::vector<const HostRecord*>>;
 
 [[nodiscard]] bool Stronger(const HostRecord* left, const HostRecord* right) {
-  if (left->strength != right->strength) {
-    return left->strength > right->strength;
+  if (left->cpu_millicores != right->cpu_millicores) {
+    return left->cpu_millicores > right->cpu_millicores;
   }
   return left->name < right->name;
 }
@@ -47,7 +47,8 @@
     std::uint32_t strongest) {
   const double least = kStrongPart * strongest;
   return static_cast<std::size_t>(std::ranges::count_if(
-      ranked, [&](const HostRecord* host) { return host->strength >= least; }));
+      ranked,
+      [&](const HostRecord* host) { return host->cpu_millicores >= least; }));
 }
 
 //! The first hosts of each domain.
@@ -91,13 +92,13 @@
 
 std::vector<HostRecord> ChooseFronts(std::span<const HostRecord> hosts,
                                      std::uint32_t target_connections) {
-  if (hosts.size() <= kSmallFleet) {
+  if (hosts.size() <= kSmallFleetSize) {
     return {hosts.begin(), hosts.end()};
   }
   const Ranked ranked = Rank(hosts);
   std::uint32_t strongest = 0;
   for (const HostRecord& host : hosts) {
-    strongest = std::max(strongest, host.strength);
+    strongest = std::max(strongest, host.cpu_millicores);
   }
   const std::size_t most = std::max<std::size_t>(
       target_connections / kConnectionsPerFront, kLeastFronts * ranked.size());
--- a/src/jacinthdeck/discovery/fleet.h
+++ b/src/jacinthdeck/discovery/fleet.h
@@ -14,7 +14,7 @@
 
 //! Fleets up to this size use all hosts alike: the loss of a few would leave
 //! too few, and what each of them costs the store is little.
-inline constexpr std::size_t kSmallFleet = 12;
+inline constexpr std::size_t kSmallFleetSize = 12;
 
 /**
  * \brief Chooses the hosts that watch the store; the others learn from them.
--- a/src/jacinthdeck/discovery/fwd.h
+++ b/src/jacinthdeck/discovery/fwd.h
@@ -5,24 +5,24 @@
 
 namespace jacinthdeck {
 
-class Knowledge;
-class KnowledgeObserver;
+class DiscoveryObserver;
+class DiscoveryState;
 class MemberRecords;
 class PlatformCodec;
 class RecordWriterChoice;
 class RemovalHold;
-class RestoreDoubt;
+class RestoreGuard;
 class StoreContent;
 class StoreSession;
 struct Evacuation;
-struct HeldRecord;
+struct FullRead;
 struct HostRecord;
 struct MemberWrite;
+struct ParsedTarget;
 struct StoreChange;
 struct StorePage;
-struct StoreReading;
 struct StoreWrite;
-struct TargetReading;
+struct StoredRecord;
 struct WatchBatch;
 enum class KeyKind;
 enum class RecordWriter;
--- a/src/jacinthdeck/discovery/host_record.h
+++ b/src/jacinthdeck/discovery/host_record.h
@@ -20,7 +20,7 @@
   //! `address:port` where other hosts learn from it; empty if they cannot.
   std::string peers;
   //! Processor that it has, in thousandths of a core.
-  std::uint32_t strength = 0;
+  std::uint32_t cpu_millicores = 0;
   //! Its processor is the bottleneck of its calls now.
   bool busy = false;
   //! Start of its process in Unix milliseconds: tells its lives apart.
--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::vector<TargetEntry> Knowledge::Targets() const {
+std::vector<TargetEntry> DiscoveryState::Targets() const {
   std::vector<TargetEntry> targets = m_targets.Entries();
   std::set<FailureDomain> evacuated;
   for (const Evacuation& evacuation : m_evacuations.Entries()) {
@@ -39,37 +39,37 @@
   return targets;
 }
 
-std::optional<TimePoint> Knowledge::NextTimer() const {
+std::optional<TimePoint> DiscoveryState::NextTimer() const {
   const auto entries = Earlier(m_targets.NextExpiry(), m_hosts.NextExpiry());
   return Earlier(Earlier(entries, m_evacuations.NextExpiry()), m_doubt.Next());
 }
 
-std::optional<StoreChange> Knowledge::CarriedConfig() const {
+std::optional<StoreChange> DiscoveryState::CarriedConfig() const {
   const bool is_carried =
       m_config != nullptr && m_era && m_config_entry.position.era < *m_era;
   return is_carried ? std::optional(m_config_entry) : std::nullopt;
 }
 
-KnowledgeChange Knowledge::OnChanges(std::span<const StoreChange> changes,
-                                     TimePoint now) {
+DiscoveryChange DiscoveryState::OnChanges(std::span<const StoreChange> changes,
+                                          TimePoint now) {
   OnWell(now);
-  KnowledgeChange changed;
+  DiscoveryChange changed;
   for (const StoreChange& change : changes) {
     Take(change, now, changed);
   }
   return changed;
 }
 
-KnowledgeChange Knowledge::OnReading(std::span<const StoreChange> items,
-                                     const StorePosition& position,
-                                     TimePoint now) {
+DiscoveryChange DiscoveryState::OnFullRead(std::span<const StoreChange> items,
+                                           const StorePosition& position,
+                                           TimePoint now) {
   // A store may name its era only once it has come back from a copy.
   const bool restored = m_era && position.era > *m_era;
   if (restored) {
     BeginEra(position, now);
   }
   m_era = std::max(m_era.value_or(position.era), position.era);
-  KnowledgeChange changed = OnChanges(items, now);
+  DiscoveryChange changed = OnChanges(items, now);
   std::set<std::string> named;
   for (const StoreChange& item : items) {
     named.insert(item.key);
@@ -84,8 +84,9 @@
   return changed;
 }
 
-KnowledgeChange Knowledge::OnCarried(std::span<const StoreChange> changes) {
-  KnowledgeChange changed;
+DiscoveryChange DiscoveryState::OnCarried(
+    std::span<const StoreChange> changes) {
+  DiscoveryChange changed;
   for (const StoreChange& change : changes) {
     if (m_codec.ReadKey(change.key).kind == KeyKind::kConfig) {
       TakeConfig(change, changed);
@@ -94,8 +95,8 @@
   return changed;
 }
 
-KnowledgeChange Knowledge::OnTimer(TimePoint now) {
-  KnowledgeChange changed;
+DiscoveryChange DiscoveryState::OnTimer(TimePoint now) {
+  DiscoveryChange changed;
   for (const StoreChange& entry : m_doubt.TakeDue(now)) {
     Take(entry, now, changed);
   }
@@ -103,16 +104,16 @@
   return changed;
 }
 
-void Knowledge::CountRemovals(TimePoint now, KnowledgeChange& changed) {
+void DiscoveryState::CountRemovals(TimePoint now, DiscoveryChange& changed) {
   changed.AddEvacuations(Expire(m_evacuations, kOperatorReturn, now));
   changed.targets |= Expire(m_targets, kCopyLife, now);
   changed.hosts |= Expire(m_hosts, kCopyLife, now);
 }
 
 template <typename Entry>
-bool Knowledge::Expire(HeldEntries<Entry>& entries,
-                       Duration doubt,
-                       TimePoint now) {
+bool DiscoveryState::Expire(HeldEntries<Entry>& entries,
+                            Duration doubt,
+                            TimePoint now) {
   const std::vector<std::string> expired = entries.Expire(now);
   for (const std::string& key : expired) {
     m_doubt.OnRemoved(key, doubt, now);
@@ -120,7 +121,7 @@
   return !expired.empty();
 }
 
-void Knowledge::BeginEra(const StorePosition& position, TimePoint now) {
+void DiscoveryState::BeginEra(const StorePosition& position, TimePoint now) {
   m_hold.OnRestored(now);
   m_targets.SetExpiry(*m_hold.CountsAt(now));
   m_hosts.SetExpiry(*m_hold.CountsAt(now));
@@ -139,7 +140,7 @@
   }
 }
 
-void Knowledge::OnWell(TimePoint now) {
+void DiscoveryState::OnWell(TimePoint now) {
   const bool was_away = m_hold.away();
   m_hold.OnWell(now);
   if (was_away) {
@@ -148,16 +149,16 @@
   }
 }
 
-void Knowledge::Take(const StoreChange& change,
-                     TimePoint now,
-                     KnowledgeChange& changed) {
+void DiscoveryState::Take(const StoreChange& change,
+                          TimePoint now,
+                          DiscoveryChange& changed) {
   if (m_doubt.PutsOff(change, now)) {
     return;
   }
   if (change.value) {
     m_doubt.OnWritten(change.key);
   }
-  const KeyName name = m_codec.ReadKey(change.key);
+  const ParsedKey name = m_codec.ReadKey(change.key);
   switch (name.kind) {
     case KeyKind::kConfig:
       TakeConfig(change, changed);
@@ -199,8 +200,8 @@
   }
 }
 
-void Knowledge::TakeConfig(const StoreChange& change,
-                           KnowledgeChange& changed) {
+void DiscoveryState::TakeConfig(const StoreChange& change,
+                                DiscoveryChange& changed) {
   if (!change.value) {
     return;
   }
@@ -224,10 +225,10 @@
   }
 }
 
-void Knowledge::TakeEvacuation(const std::string& id,
-                               const StoreChange& change,
-                               TimePoint now,
-                               KnowledgeChange& changed) {
+void DiscoveryState::TakeEvacuation(const std::string& id,
+                                    const StoreChange& change,
+                                    TimePoint now,
+                                    DiscoveryChange& changed) {
   if (!change.value) {
     m_evacuations.Remove(change.key, change.position, now);
     changed.AddEvacuations(Expire(m_evacuations, kOperatorReturn, now));
@@ -247,10 +248,10 @@
   changed.AddEvacuations(news);
 }
 
-void Knowledge::TakeTarget(const std::string& id,
-                           const StoreChange& change,
-                           TimePoint now,
-                           KnowledgeChange& changed) {
+void DiscoveryState::TakeTarget(const std::string& id,
+                                const StoreChange& change,
+                                TimePoint now,
+                                DiscoveryChange& changed) {
   if (!change.value) {
     const TargetEntry* entry = m_targets.Find(change.key);
     // One that said it was leaving has left.
@@ -287,9 +288,9 @@
       m_targets.Put(change.key, change.position, std::move(reading.entry));
 }
 
-void Knowledge::TakeHost(const StoreChange& change,
-                         TimePoint now,
-                         KnowledgeChange& changed) {
+void DiscoveryState::TakeHost(const StoreChange& change,
+                              TimePoint now,
+                              DiscoveryChange& changed) {
   if (!change.value) {
     m_hosts.Remove(change.key, change.position, m_hold.CountsAt(now));
     changed.hosts |= Expire(m_hosts, kCopyLife, now);
--- a/src/jacinthdeck/discovery/knowledge.h
+++ b/src/jacinthdeck/discovery/knowledge.h
@@ -27,7 +27,7 @@
 namespace jacinthdeck {
 
 /*! \brief What changed with one step. */
-struct KnowledgeChange {
+struct DiscoveryChange {
   bool config = false;
   bool targets = false;
   bool evacuations = false;
@@ -56,13 +56,13 @@
  * A store that comes back from a copy lacks the last seconds, and operators and
  * targets write again what they wrote in them. Until they had the time, this
  * host keeps to what it knew: entries that the copy lacks stay, those that were
- * removed before and are back in the copy are put off (RestoreDoubt), and a
+ * removed before and are back in the copy are put off (RestoreGuard), and a
  * target that was leaving still is.
  */
-class Knowledge {
+class DiscoveryState {
  public:
   /*! \brief Makes an empty one; the codec outlives it. */
-  explicit Knowledge(const PlatformCodec& codec) : m_codec(codec) {}
+  explicit DiscoveryState(const PlatformCodec& codec) : m_codec(codec) {}
 
   [[nodiscard]] const std::shared_ptr<const RoutingConfig>& config()
       const noexcept {
@@ -110,7 +110,7 @@
 
   /*! \brief Takes changes, in the order of their revisions, after a call that
    * went well. */
-  KnowledgeChange OnChanges(std::span<const StoreChange> changes,
+  DiscoveryChange OnChanges(std::span<const StoreChange> changes,
                             TimePoint now);
 
   /**
@@ -118,35 +118,35 @@
    * \param items Every key of the store.
    * \param position The store's position when the reading began.
    */
-  KnowledgeChange OnReading(std::span<const StoreChange> items,
-                            const StorePosition& position,
-                            TimePoint now);
+  DiscoveryChange OnFullRead(std::span<const StoreChange> items,
+                             const StorePosition& position,
+                             TimePoint now);
 
   /*! \brief Takes what another host carries over from an era before; only a
    * configuration counts, by its version. */
-  KnowledgeChange OnCarried(std::span<const StoreChange> changes);
+  DiscoveryChange OnCarried(std::span<const StoreChange> changes);
 
   /*! \brief Lets removals count that are due, and entries that were put off. */
-  KnowledgeChange OnTimer(TimePoint now);
+  DiscoveryChange OnTimer(TimePoint now);
 
  private:
-  void Take(const StoreChange& change, TimePoint now, KnowledgeChange& changed);
-  void TakeConfig(const StoreChange& change, KnowledgeChange& changed);
+  void Take(const StoreChange& change, TimePoint now, DiscoveryChange& changed);
+  void TakeConfig(const StoreChange& change, DiscoveryChange& changed);
   void TakeEvacuation(const std::string& id,
                       const StoreChange& change,
                       TimePoint now,
-                      KnowledgeChange& changed);
+                      DiscoveryChange& changed);
   void TakeTarget(const std::string& id,
                   const StoreChange& change,
                   TimePoint now,
-                  KnowledgeChange& changed);
+                  DiscoveryChange& changed);
   void TakeHost(const StoreChange& change,
                 TimePoint now,
-                KnowledgeChange& changed);
+                DiscoveryChange& changed);
   void OnWell(TimePoint now);
   void BeginEra(const StorePosition& position, TimePoint now);
   //! Lets removals count that are due.
-  void CountRemovals(TimePoint now, KnowledgeChange& changed);
+  void CountRemovals(TimePoint now, DiscoveryChange& changed);
   /**
    * \brief Lets removals of one kind of entries count that are due.
    * \param doubt How long a copy's entry of a removed key is put off.
@@ -160,7 +160,7 @@
   RemovalHold m_hold;
   //! Of the last reading; nothing before the first.
   std::optional<StoreEra> m_era;
-  RestoreDoubt m_doubt;
+  RestoreGuard m_doubt;
   std::shared_ptr<const RoutingConfig> m_config;
   //! What m_config was read from.
   StoreChange m_config_entry;
--- a/src/jacinthdeck/discovery/knowledge_observer.h
+++ b/src/jacinthdeck/discovery/knowledge_observer.h
@@ -10,13 +10,13 @@
 namespace jacinthdeck {
 
 /*! \brief Told of changes; called from the event loop. */
-class KnowledgeObserver {
+class DiscoveryObserver {
  public:
-  virtual ~KnowledgeObserver() = default;
+  virtual ~DiscoveryObserver() = default;
 
   /*! \brief Something in the tables changed. */
-  virtual void OnKnowledge(const KnowledgeChange& change,
-                           const StorePosition& position) = 0;
+  virtual void OnDiscoveryChange(const DiscoveryChange& change,
+                                 const StorePosition& position) = 0;
 
   /*! \brief The store's content changed, as far as it is news here. */
   virtual void OnContent(const std::vector<StoreChange>& changes,
@@ -32,7 +32,7 @@
                                const StorePosition& known) = 0;
 
   /*! \brief All keys were read from the store. */
-  virtual void OnStoreRead(const StoreReading& reading) = 0;
+  virtual void OnStoreRead(const FullRead& reading) = 0;
 
   /*! \brief A call to the store failed after one that went well. */
   virtual void OnStoreLost(StoreStatus status, const std::string& problem) = 0;
--- a/src/jacinthdeck/discovery/member_records.cc
+++ b/src/jacinthdeck/discovery/member_records.cc
@@ -14,7 +14,7 @@
 //! time; its record is left alone so long.
 constexpr Duration kLinger = std::chrono::milliseconds(3000);
 //! Each removal is an entry of a write, and so is its condition.
-constexpr std::size_t kMostRemovals = StoreWrite::kMostEntries / 2;
+constexpr std::size_t kMaxRemovals = StoreWrite::kMaxEntries / 2;
 
 }  // namespace
 
@@ -38,12 +38,12 @@
   }
 }
 
-void MemberRecords::OnHosts(std::span<const HeldRecord> held,
+void MemberRecords::OnHosts(std::span<const StoredRecord> held,
                             const StorePosition& position,
                             TimePoint now) {
   std::set<NodeId> named;
   std::map<NodeId, Stray> strays;
-  for (const HeldRecord& host : held) {
+  for (const StoredRecord& host : held) {
     const NodeId& name = host.record.name;
     named.insert(name);
     const bool own = host.record.writer == m_self && name != m_self;
@@ -67,7 +67,7 @@
 MemberWrite MemberRecords::NextWrite(TimePoint now) const {
   MemberWrite write;
   for (const auto& [name, member] : m_members) {
-    if (member.dirty && write.puts.size() < StoreWrite::kMostEntries) {
+    if (member.dirty && write.puts.size() < StoreWrite::kMaxEntries) {
       write.puts.push_back(member.record);
     }
   }
@@ -81,7 +81,7 @@
     if (stray.alone) {
       return {.puts = {}, .removals = {stray.held}};
     }
-    if (write.removals.size() < kMostRemovals) {
+    if (write.removals.size() < kMaxRemovals) {
       write.removals.push_back(stray.held);
     }
   }
@@ -89,7 +89,7 @@
 }
 
 void MemberRecords::OnWritten(const MemberWrite& write,
-                              MemberWriteEnd end,
+                              MemberWriteResult end,
                               const StorePosition& position) {
   for (const HostRecord& put : write.puts) {
     const auto found = m_members.find(put.name);
@@ -98,12 +98,12 @@
       found->second.dirty = found->second.record != put;
     }
   }
-  for (const HeldRecord& removal : write.removals) {
+  for (const StoredRecord& removal : write.removals) {
     const auto found = m_strays.find(removal.record.name);
     if (found == m_strays.end()) {
       continue;
     }
-    if (end == MemberWriteEnd::kConflict && write.removals.size() > 1) {
+    if (end == MemberWriteResult::kConflict && write.removals.size() > 1) {
       found->second.alone = true;
     } else {
       m_strays.erase(found);
--- a/src/jacinthdeck/discovery/member_records.h
+++ b/src/jacinthdeck/discovery/member_records.h
@@ -16,7 +16,7 @@
 namespace jacinthdeck {
 
 /*! \brief A host's record as the store holds it. */
-struct HeldRecord {
+struct StoredRecord {
   HostRecord record;
   //! Of its last write.
   StorePosition position;
@@ -26,7 +26,7 @@
 struct MemberWrite {
   std::vector<HostRecord> puts;
   //! To be removed if nobody wrote them since.
-  std::vector<HeldRecord> removals;
+  std::vector<StoredRecord> removals;
 
   [[nodiscard]] bool empty() const noexcept {
     return puts.empty() && removals.empty();
@@ -34,7 +34,7 @@
 };
 
 /*! \brief How a write for members ended. */
-enum class MemberWriteEnd {
+enum class MemberWriteResult {
   kDone,
   //! A record that was to be removed was written by another host.
   kConflict,
@@ -79,7 +79,7 @@
    * \param held Records of all hosts.
    * \param position Position up to which they are known.
    */
-  void OnHosts(std::span<const HeldRecord> held,
+  void OnHosts(std::span<const StoredRecord> held,
                const StorePosition& position,
                TimePoint now);
 
@@ -92,7 +92,7 @@
    * \param position The store's after it, where it was done.
    */
   void OnWritten(const MemberWrite& write,
-                 MemberWriteEnd end,
+                 MemberWriteResult end,
                  const StorePosition& position);
 
  private:
@@ -104,7 +104,7 @@
     StorePosition position;
   };
   struct Stray {
-    HeldRecord held;
+    StoredRecord held;
     TimePoint since;
     //! Its removal goes alone, as one beside it met a conflict.
     bool alone = false;
--- a/src/jacinthdeck/discovery/platform_codec.h
+++ b/src/jacinthdeck/discovery/platform_codec.h
@@ -38,14 +38,14 @@
      "other"}};
 
 /*! \brief A key taken apart. */
-struct KeyName {
+struct ParsedKey {
   KeyKind kind = KeyKind::kOther;
   //! What follows the kind's prefix.
   std::string id;
 };
 
 /*! \brief A target's entry as it was read. */
-struct TargetReading {
+struct ParsedTarget {
   TargetEntry entry;
   //! Time for which the target was cold when it wrote the entry.
   Duration cold_for{};
@@ -62,7 +62,7 @@
  public:
   virtual ~PlatformCodec() = default;
 
-  [[nodiscard]] virtual KeyName ReadKey(std::string_view key) const = 0;
+  [[nodiscard]] virtual ParsedKey ReadKey(std::string_view key) const = 0;
   [[nodiscard]] virtual std::string HostKey(const NodeId& host) const = 0;
   [[nodiscard]] virtual std::string ConvictionKey(
       Fingerprint fingerprint) const = 0;
@@ -80,7 +80,7 @@
    */
   [[nodiscard]] virtual Result<FailureDomain> ReadEvacuation(
       const std::string& id) const = 0;
-  [[nodiscard]] virtual Result<TargetReading> ReadTarget(
+  [[nodiscard]] virtual Result<ParsedTarget> ReadTarget(
       const std::string& id,
       const std::string& value) const = 0;
   [[nodiscard]] virtual Result<HostRecord> ReadHost(
@@ -92,8 +92,8 @@
       const std::string& after) const = 0;
   /**
    * \brief Reads a page.
-   * \param current Era of a reply that names none; ReadBatch() and ReadWrite()
-   * take it too.
+   * \param current Era of a reply that names none; ReadWatchReply() and
+   * ReadWriteReply() take it too.
    */
   [[nodiscard]] virtual StorePage ReadPage(const ClientReply& reply,
                                            StoreEra current) const = 0;
@@ -101,16 +101,16 @@
   /*! \brief Waits for changes after a revision. */
   [[nodiscard]] virtual ClientRequest WatchCall(std::uint64_t after,
                                                 Duration wait) const = 0;
-  [[nodiscard]] virtual WatchBatch ReadBatch(const ClientReply& reply,
-                                             StoreEra current) const = 0;
+  [[nodiscard]] virtual WatchBatch ReadWatchReply(const ClientReply& reply,
+                                                  StoreEra current) const = 0;
 
   [[nodiscard]] virtual ClientRequest GrantCall(Duration lifetime) const = 0;
   [[nodiscard]] virtual ClientRequest RenewCall(std::uint64_t lease) const = 0;
   [[nodiscard]] virtual ClientRequest EndCall(std::uint64_t lease) const = 0;
   [[nodiscard]] virtual ClientRequest WriteCall(
       const StoreWrite& write) const = 0;
-  [[nodiscard]] virtual StoreAck ReadWrite(const ClientReply& reply,
-                                           StoreEra current) const = 0;
+  [[nodiscard]] virtual StoreAck ReadWriteReply(const ClientReply& reply,
+                                                StoreEra current) const = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/record_writer.cc
+++ b/src/jacinthdeck/discovery/record_writer.cc
@@ -21,24 +21,24 @@
 RecordWriterChoice::RecordWriterChoice(bool fleet_starts, TimePoint now)
     : m_settled_at(now + (fleet_starts ? kFleetStart : Duration::zero())) {}
 
-bool RecordWriterChoice::Update(const FleetPart& part, TimePoint now) {
+bool RecordWriterChoice::Update(const FleetRole& part, TimePoint now) {
   const RecordWriter before = m_writer;
   m_writer = Choose(part, now);
   return m_writer != before;
 }
 
-RecordWriter RecordWriterChoice::Choose(const FleetPart& part, TimePoint now) {
-  if (part.is_linked) {
+RecordWriter RecordWriterChoice::Choose(const FleetRole& part, TimePoint now) {
+  if (part.has_feeder) {
     m_unlinked_since.reset();
   } else if (!m_unlinked_since) {
     m_unlinked_since = now;
   }
   const bool knows = part.knows_hosts && now >= m_settled_at;
-  const bool small = part.hosts <= kSmallFleet;
+  const bool small = part.hosts <= kSmallFleetSize;
   if (part.feeds_others || (knows && (small || part.is_front))) {
     return RecordWriter::kSelf;
   }
-  if (part.is_linked) {
+  if (part.has_feeder) {
     return RecordWriter::kFeeder;
   }
   return now - *m_unlinked_since >= kLinkPatience ? RecordWriter::kSelf
--- a/src/jacinthdeck/discovery/record_writer.h
+++ b/src/jacinthdeck/discovery/record_writer.h
@@ -25,7 +25,7 @@
     {"nobody", "self", "feeder"}};
 
 /*! \brief What a host knows of its part in the fleet. */
-struct FleetPart {
+struct FleetRole {
   //! Something was read of the store, here or by another host.
   bool knows_hosts = false;
   //! Hosts that are known.
@@ -35,7 +35,7 @@
   //! Others learn from it, or will.
   bool feeds_others = false;
   //! A feeder is heard.
-  bool is_linked = false;
+  bool has_feeder = false;
 };
 
 /**
@@ -57,10 +57,10 @@
 
   /*! \brief Chooses anew; called some times a second.
    * \return True if the choice is another one than before. */
-  bool Update(const FleetPart& part, TimePoint now);
+  bool Update(const FleetRole& part, TimePoint now);
 
  private:
-  [[nodiscard]] RecordWriter Choose(const FleetPart& part, TimePoint now);
+  [[nodiscard]] RecordWriter Choose(const FleetRole& part, TimePoint now);
 
   //! From when on the known hosts are the fleet.
   const TimePoint m_settled_at;
--- a/src/jacinthdeck/discovery/removal_hold.h
+++ b/src/jacinthdeck/discovery/removal_hold.h
@@ -20,7 +20,8 @@
 class RemovalHold {
  public:
   //! Holders that live are back within about two seconds of the store.
-  static constexpr Duration kReturnTime = std::chrono::milliseconds(2300);
+  static constexpr Duration kReregistrationTime =
+      std::chrono::milliseconds(2300);
 
   /*! \brief Takes a failed call. */
   void OnAway() noexcept { m_away = true; }
@@ -47,8 +48,8 @@
     if (m_away) {
       return std::nullopt;
     }
-    if (m_back && now < *m_back + kReturnTime) {
-      return *m_back + kReturnTime;
+    if (m_back && now < *m_back + kReregistrationTime) {
+      return *m_back + kReregistrationTime;
     }
     return now;
   }
--- a/src/jacinthdeck/discovery/restore_doubt.cc
+++ b/src/jacinthdeck/discovery/restore_doubt.cc
@@ -6,7 +6,7 @@
 
 namespace jacinthdeck {
 
-void RestoreDoubt::OnRemoved(const std::string& key,
+void RestoreGuard::OnRemoved(const std::string& key,
                              Duration patience,
                              TimePoint now) {
   std::erase_if(m_removed, [&](const auto& removed) {
@@ -15,11 +15,11 @@
   m_removed[key] = Removal{now, patience};
 }
 
-void RestoreDoubt::Add(const std::string& key, TimePoint until) {
+void RestoreGuard::Add(const std::string& key, TimePoint until) {
   m_doubts[key] = Doubt{until, {}};
 }
 
-void RestoreDoubt::OnRestored(const StorePosition& position, TimePoint now) {
+void RestoreGuard::OnRestored(const StorePosition& position, TimePoint now) {
   m_copy = position;
   m_doubts.clear();
   for (const auto& [key, removed] : m_removed) {
@@ -29,7 +29,7 @@
   }
 }
 
-bool RestoreDoubt::PutsOff(const StoreChange& change, TimePoint now) {
+bool RestoreGuard::PutsOff(const StoreChange& change, TimePoint now) {
   const auto found = m_doubts.find(change.key);
   if (found == m_doubts.end()) {
     return false;
@@ -43,20 +43,20 @@
   return true;
 }
 
-void RestoreDoubt::KeepOnly(const std::set<std::string>& named) {
+void RestoreGuard::KeepOnly(const std::set<std::string>& named) {
   std::erase_if(m_doubts, [&](const auto& doubt) {
     return !named.contains(doubt.first);
   });
 }
 
-std::optional<TimePoint> RestoreDoubt::Next() const {
+std::optional<TimePoint> RestoreGuard::Next() const {
   const auto first = std::ranges::min_element(
       m_doubts, {}, [](const auto& doubt) { return doubt.second.until; });
   return first == m_doubts.end() ? std::nullopt
                                  : std::optional(first->second.until);
 }
 
-std::vector<StoreChange> RestoreDoubt::TakeDue(TimePoint now) {
+std::vector<StoreChange> RestoreGuard::TakeDue(TimePoint now) {
   std::vector<StoreChange> due;
   for (auto at = m_doubts.begin(); at != m_doubts.end();) {
     if (at->second.until > now) {
--- a/src/jacinthdeck/discovery/restore_doubt.h
+++ b/src/jacinthdeck/discovery/restore_doubt.h
@@ -21,7 +21,7 @@
  * entry counts once it is written again, or if it is still there after the time
  * in which the store drops entries that nobody renews.
  */
-class RestoreDoubt {
+class RestoreGuard {
  public:
   //! Removals before that were in the copy already.
   static constexpr Duration kLongestLoss = std::chrono::seconds(60);
--- a/src/jacinthdeck/discovery/store_content.cc
+++ b/src/jacinthdeck/discovery/store_content.cc
@@ -116,7 +116,7 @@
 void StoreContent::Remember(const std::string& key,
                             const StorePosition& position) {
   m_removed[key] = position;
-  if (m_removed.size() <= kMostRemovals) {
+  if (m_removed.size() <= kMaxRemovals) {
     return;
   }
   const auto oldest = std::ranges::min_element(
--- a/src/jacinthdeck/discovery/store_content.h
+++ b/src/jacinthdeck/discovery/store_content.h
@@ -25,7 +25,7 @@
 class StoreContent {
  public:
   //! Removals that are remembered; others than the newest cannot come late.
-  static constexpr std::size_t kMostRemovals = 4096;
+  static constexpr std::size_t kMaxRemovals = 4096;
 
   /*! \brief All keys that are there. */
   [[nodiscard]] std::vector<StoreChange> Items() const;
--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -40,7 +40,7 @@
 StoreSession::StoreSession(asio::io_context& loop,
                            const Clock& clock,
                            const PlatformCodec& codec,
-                           KnowledgeObserver& observer,
+                           DiscoveryObserver& observer,
                            NodeId name,
                            const Endpoint& store,
                            std::uint64_t seed)
@@ -48,7 +48,7 @@
       m_codec(codec),
       m_observer(observer),
       m_random(seed),
-      m_knowledge(codec),
+      m_discovery_state(codec),
       m_reads(loop, store.address, store.port),
       m_read_timer(loop),
       m_read_backoff(kFirstPause, kLongestPause),
@@ -70,9 +70,9 @@
   }
 }
 
-void StoreSession::TakeContent(const std::vector<StoreChange>& changes,
-                               const StorePosition& position,
-                               bool whole) {
+void StoreSession::ApplyPeerContent(const std::vector<StoreChange>& changes,
+                                    const StorePosition& position,
+                                    bool whole) {
   // Changes alone are of no use to a host that knows nothing of their era, and
   // a feeder that lags tells of one that has ended.
   const bool applies = m_loaded && position.era == m_position.era;
@@ -99,25 +99,25 @@
 }
 
 void StoreSession::TakeCarried(const std::vector<StoreChange>& changes) {
-  const KnowledgeChange change = m_knowledge.OnCarried(changes);
+  const DiscoveryChange change = m_discovery_state.OnCarried(changes);
   if (change.config) {
     m_observer.OnContent(changes, m_position, false);
   }
   Tell(change);
 }
 
-StoreHandover StoreSession::HandoverSince(const StorePosition& position) const {
-  StoreHandover handover{m_position, true, {}};
+ContentUpdate StoreSession::UpdateSince(const StorePosition& position) const {
+  ContentUpdate handover{m_position, true, {}};
   auto since = position.revision > 0 ? m_content.Since(position) : std::nullopt;
   handover.whole = !since.has_value();
   handover.changes = since ? std::move(*since) : m_content.Items();
-  if (auto config = m_knowledge.CarriedConfig()) {
+  if (auto config = m_discovery_state.CarriedConfig()) {
     handover.changes.push_back(std::move(*config));
   }
   return handover;
 }
 
-bool StoreSession::IsLeftBehind() const {
+bool StoreSession::IsNewEraOverdue() const {
   return m_behind_since && m_clock.Now() - *m_behind_since >= kEraPatience;
 }
 
@@ -149,7 +149,7 @@
   Resume();
 }
 
-void StoreSession::TakeAge(std::optional<Duration> age, bool store_away) {
+void StoreSession::ApplyPeerAge(std::optional<Duration> age, bool store_away) {
   const TimePoint now = m_clock.Now();
   if (age) {
     const TimePoint heard = now - *age;
@@ -158,9 +158,9 @@
   }
   const bool heard_by_self = m_watching && m_loaded && !m_lost;
   if (store_away && !heard_by_self) {
-    m_knowledge.OnStoreAway();
-  } else if (!store_away && m_knowledge.store_away()) {
-    Tell(m_knowledge.OnChanges({}, now));
+    m_discovery_state.OnStoreAway();
+  } else if (!store_away && m_discovery_state.store_away()) {
+    Tell(m_discovery_state.OnChanges({}, now));
   }
 }
 
@@ -188,15 +188,15 @@
   } else if (!m_behind_since) {
     m_behind_since = now;
   }
-  const KnowledgeChange change =
-      whole ? m_knowledge.OnReading(news, position, now)
-            : m_knowledge.OnChanges(news, now);
+  const DiscoveryChange change =
+      whole ? m_discovery_state.OnFullRead(news, position, now)
+            : m_discovery_state.OnChanges(news, now);
   if (m_content.changes() == changes_before) {
     // Hosts that follow each other would hand one reading on for ever.
   } else if (whole) {
     // A reading may be older than what this host knows. Handed on as it came,
     // under the newer position, it made followers drop live targets for good.
-    m_observer.OnContent(HandoverSince({}).changes, m_position, true);
+    m_observer.OnContent(UpdateSince({}).changes, m_position, true);
   } else {
     m_observer.OnContent(news, m_position, false);
   }
@@ -205,9 +205,9 @@
 
 void StoreSession::CheckTimes() {
   const TimePoint now = m_clock.Now();
-  const auto due = m_knowledge.NextTimer();
+  const auto due = m_discovery_state.NextTimer();
   if (due && *due <= now) {
-    Tell(m_knowledge.OnTimer(now));
+    Tell(m_discovery_state.OnTimer(now));
   }
   CheckMembers();
 }
@@ -275,7 +275,7 @@
   ++m_counters.watches;
   m_reads.Call(m_codec.WatchCall(m_position.revision, kWatchWait),
                kWatchWait + kWatchSlack, [this](const ClientReply& reply) {
-                 OnBatch(m_codec.ReadBatch(reply, m_era));
+                 OnBatch(m_codec.ReadWatchReply(reply, m_era));
                });
 }
 
@@ -339,7 +339,7 @@
   // Taken for away, a store that refuses this host alone would delay removals
   // that others tell of: targets that have left would get requests.
   if (!heard_by_others) {
-    m_knowledge.OnStoreAway();
+    m_discovery_state.OnStoreAway();
   }
   if (!m_lost) {
     m_lost = true;
@@ -353,7 +353,7 @@
   });
 }
 
-void StoreSession::Tell(const KnowledgeChange& change) {
+void StoreSession::Tell(const DiscoveryChange& change) {
   if (change.hosts) {
     CheckOwnRecord();
     CompareMembers();
@@ -362,7 +362,7 @@
                     change.targets || change.hosts ||
                     !change.convictions.empty() || !change.unreadable.empty();
   if (news) {
-    m_observer.OnKnowledge(change, m_position);
+    m_observer.OnDiscoveryChange(change, m_position);
   }
 }
 
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -47,15 +47,15 @@
   StoreSession(asio::io_context& loop,
                const Clock& clock,
                const PlatformCodec& codec,
-               KnowledgeObserver& observer,
+               DiscoveryObserver& observer,
                NodeId name,
                const Endpoint& store,
                std::uint64_t seed);
   StoreSession(const StoreSession&) = delete;
   StoreSession& operator=(const StoreSession&) = delete;
 
-  [[nodiscard]] const Knowledge& knowledge() const noexcept {
-    return m_knowledge;
+  [[nodiscard]] const DiscoveryState& discovery_state() const noexcept {
+    return m_discovery_state;
   }
   [[nodiscard]] const StoreCounters& counters() const noexcept {
     return m_counters;
@@ -72,12 +72,12 @@
   [[nodiscard]] StoreEra era() const noexcept { return m_era; }
   /*! \brief Tells whether the content has been of an ended era for longer than
    * another host takes to hand on that of the present one. */
-  [[nodiscard]] bool IsLeftBehind() const;
+  [[nodiscard]] bool IsNewEraOverdue() const;
   /*! \brief Tells whether the whole content was taken once. */
   [[nodiscard]] bool loaded() const noexcept { return m_loaded; }
   /*! \brief Moment of the last call that went well; nothing before the first.
    */
-  [[nodiscard]] std::optional<TimePoint> last_well() const noexcept {
+  [[nodiscard]] std::optional<TimePoint> last_contact() const noexcept {
     return m_last_well;
   }
 
@@ -85,30 +85,29 @@
   void SetWatching(bool watching);
 
   /*! \brief Takes content that another host handed on. */
-  void TakeContent(const std::vector<StoreChange>& changes,
-                   const StorePosition& position,
-                   bool whole);
+  void ApplyPeerContent(const std::vector<StoreChange>& changes,
+                        const StorePosition& position,
+                        bool whole);
 
   /**
    * \brief Gives what another host lacks.
    * \param position Up to which it knows all; revision 0 if it knows nothing.
    */
-  [[nodiscard]] StoreHandover HandoverSince(
-      const StorePosition& position) const;
+  [[nodiscard]] ContentUpdate UpdateSince(const StorePosition& position) const;
 
   /*! \brief Takes another host's word on how old that content is; nothing: it
    * never heard the store. */
-  void TakeAge(std::optional<Duration> age, bool store_away);
+  void ApplyPeerAge(std::optional<Duration> age, bool store_away);
 
   /*! \brief Says how long this host's record may outlive it. */
-  void SetLeaseLife(Duration life) noexcept { m_lease_life = life; }
+  void SetLeaseDuration(Duration life) noexcept { m_lease_life = life; }
 
   /*! \brief Keeps this host's record in the store from now on. */
   void Register(const HostRecord& record);
 
   /*! \brief Another host writes this one's record from now on: the own lease
    * is left to end by itself, which costs no call. */
-  void LeaveRecord();
+  void DelegateRecord();
 
   /*! \brief Takes this host's record out of the store, whoever wrote it. */
   void Unregister();
@@ -116,10 +115,10 @@
   /*! \brief Writes another host's record from now on, with this host's lease.
    * \param value As the store holds records; what cannot be read is told and
    * left out. */
-  void TakeMember(const std::string& value);
+  void AddMember(const std::string& value);
 
   /*! \brief Ends that. */
-  void DropMember(const NodeId& name);
+  void RemoveMember(const NodeId& name);
 
   /*! \brief A record as the store holds it. */
   [[nodiscard]] std::string ValueOf(const HostRecord& record) const {
@@ -159,7 +158,7 @@
             bool whole);
   //! Takes what another host carries over from an era before.
   void TakeCarried(const std::vector<StoreChange>& changes);
-  void Tell(const KnowledgeChange& change);
+  void Tell(const DiscoveryChange& change);
 
   // Writing, in store_session_writes.cc.
   void Step();
@@ -184,9 +183,9 @@
 
   const Clock& m_clock;
   const PlatformCodec& m_codec;
-  KnowledgeObserver& m_observer;
+  DiscoveryObserver& m_observer;
   Random m_random;
-  Knowledge m_knowledge;
+  DiscoveryState m_discovery_state;
   StoreContent m_content;
   StoreCounters m_counters;
 
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -30,7 +30,7 @@
   StepAfter(Duration::zero());
 }
 
-void StoreSession::LeaveRecord() {
+void StoreSession::DelegateRecord() {
   m_record.reset();
   m_lease = 0;
   m_written = false;
@@ -43,10 +43,10 @@
   StepAfter(Duration::zero());
 }
 
-void StoreSession::TakeMember(const std::string& value) {
+void StoreSession::AddMember(const std::string& value) {
   auto read = Capture([&] { return m_codec.ReadHost(value); });
   if (auto* error = std::get_if<Error>(&read)) {
-    KnowledgeChange change;
+    DiscoveryChange change;
     change.unreadable.push_back(std::move(*error));
     Tell(change);
     return;
@@ -54,7 +54,7 @@
   m_members.OnMember(std::get<0>(std::move(read)));
 }
 
-void StoreSession::DropMember(const NodeId& name) {
+void StoreSession::RemoveMember(const NodeId& name) {
   m_members.OnMemberLeft(name);
 }
 
@@ -106,7 +106,7 @@
   m_writes.Call(
       request, kWriteTimeout,
       [this, accepted, done = std::move(done)](const ClientReply& reply) {
-        const StoreAck ack = m_codec.ReadWrite(reply, m_era);
+        const StoreAck ack = m_codec.ReadWriteReply(reply, m_era);
         const EraOrder order = TakeEra(ack.position.era);
         if (order == EraOrder::kNew) {
           // The next step begins with a lease of this era.
@@ -193,7 +193,7 @@
     write.puts.push_back(
         {m_codec.HostKey(put.name), m_codec.WriteHost(put), m_lease});
   }
-  for (const HeldRecord& removal : due.removals) {
+  for (const StoredRecord& removal : due.removals) {
     const std::string key = m_codec.HostKey(removal.record.name);
     write.conditions.push_back({key, removal.position.revision});
     write.removals.push_back(key);
@@ -203,8 +203,8 @@
        [this, due](const StoreAck& ack) {
          m_members.OnWritten(due,
                              ack.status == StoreStatus::kOk
-                                 ? MemberWriteEnd::kDone
-                                 : MemberWriteEnd::kConflict,
+                                 ? MemberWriteResult::kDone
+                                 : MemberWriteResult::kConflict,
                              ack.position);
          m_write_backoff.OnSuccess();
          Step();
@@ -252,7 +252,7 @@
   if (!m_record || !m_written || m_position < m_written_position) {
     return;
   }
-  const HostRecord* held = m_knowledge.FindHost(m_name);
+  const HostRecord* held = m_discovery_state.FindHost(m_name);
   if (held != nullptr && held->writer == m_name) {
     return;
   }
@@ -274,8 +274,8 @@
   if (!m_record) {
     return;
   }
-  std::vector<HeldRecord> held;
-  for (HostRecord& host : m_knowledge.Hosts()) {
+  std::vector<StoredRecord> held;
+  for (HostRecord& host : m_discovery_state.Hosts()) {
     const StorePosition position =
         m_content.PositionOf(m_codec.HostKey(host.name));
     held.push_back({std::move(host), position});
--- a/src/jacinthdeck/discovery/store_types.h
+++ b/src/jacinthdeck/discovery/store_types.h
@@ -85,7 +85,7 @@
 };
 
 /*! \brief Content that one host hands on to another. */
-struct StoreHandover {
+struct ContentUpdate {
   StorePosition position;
   //! What is not named is gone.
   bool whole = false;
@@ -94,7 +94,7 @@
 };
 
 /*! \brief A whole reading, as the store gave it. */
-struct StoreReading {
+struct FullRead {
   //! The store's when the reading began.
   StorePosition position;
   //! Up to which this host knew the content before.
@@ -141,7 +141,7 @@
 /*! \brief A write that is done whole or not at all. */
 struct StoreWrite {
   //! Conditions, puts and removals that one write may hold together.
-  static constexpr std::size_t kMostEntries = 32;
+  static constexpr std::size_t kMaxEntries = 32;
 
   std::vector<StoreCondition> conditions;
   std::vector<StorePut> puts;
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -129,15 +129,15 @@
   m_log.Add(std::move(line));
 }
 
-void DecisionLog::OnKnowledge(const KnowledgeChange& change,
-                              const Knowledge& knowledge,
-                              const StorePosition& position,
-                              Duration since_start,
-                              TimePoint now) {
+void DecisionLog::OnDiscoveryChange(const DiscoveryChange& change,
+                                    const DiscoveryState& discovery_state,
+                                    const StorePosition& position,
+                                    Duration since_start,
+                                    TimePoint now) {
   if (change.config) {
     LogLine line = m_log.Begin(LogEvent::kConfigApplied);
-    line.Count("config_version", knowledge.config()->version())
-        .Count("routes", knowledge.config()->routes().size())
+    line.Count("config_version", discovery_state.config()->version())
+        .Count("routes", discovery_state.config()->routes().size())
         .Count("store_era", EraNumber(position.era))
         .Count("store_revision", position.revision)
         .Milliseconds("since_start_ms", since_start);
@@ -145,26 +145,26 @@
   }
   if (change.targets) {
     LogLine line = m_log.Begin(LogEvent::kTargetsChanged);
-    line.Count("targets", knowledge.target_count())
+    line.Count("targets", discovery_state.target_count())
         .Count("store_era", EraNumber(position.era))
         .Count("store_revision", position.revision)
-        .Flag("store_away", knowledge.store_away());
+        .Flag("store_away", discovery_state.store_away());
     m_log.Add(std::move(line));
   }
   if (change.evacuations) {
     LogLine line = m_log.Begin(LogEvent::kEvacuationsChanged);
-    line.Raw("evacuated", EvacuationsText(knowledge.Evacuations(), now))
+    line.Raw("evacuated", EvacuationsText(discovery_state.Evacuations(), now))
         .Count("store_era", EraNumber(position.era))
         .Count("store_revision", position.revision)
-        .Flag("store_away", knowledge.store_away());
+        .Flag("store_away", discovery_state.store_away());
     m_log.Add(std::move(line));
   }
   if (change.hosts) {
     LogLine line = m_log.Begin(LogEvent::kHostsChanged);
-    line.Count("hosts", knowledge.Hosts().size())
+    line.Count("hosts", discovery_state.Hosts().size())
         .Count("store_era", EraNumber(position.era))
         .Count("store_revision", position.revision)
-        .Flag("store_away", knowledge.store_away());
+        .Flag("store_away", discovery_state.store_away());
     m_log.Add(std::move(line));
   }
   for (std::size_t i = 0; i < change.unreadable.size() && i < kMostUnreadable;
--- a/src/jacinthdeck/entry/decision_log.h
+++ b/src/jacinthdeck/entry/decision_log.h
@@ -57,11 +57,11 @@
   void OnAbandoned(const std::string& request_id, Duration after);
 
   /*! \brief Writes what the store taught. */
-  void OnKnowledge(const KnowledgeChange& change,
-                   const Knowledge& knowledge,
-                   const StorePosition& position,
-                   Duration since_start,
-                   TimePoint now);
+  void OnDiscoveryChange(const DiscoveryChange& change,
+                         const DiscoveryState& discovery_state,
+                         const StorePosition& position,
+                         Duration since_start,
+                         TimePoint now);
 
   /*! \brief Writes what was sent and received since the start. */
   void OnTraffic(const HostTraffic& traffic);
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -103,7 +103,7 @@
           m_clock,
           m_pool,
           m_metrics,
-          [this] { return m_store.knowledge().Hosts(); },
+          [this] { return m_store.discovery_state().Hosts(); },
           std::random_device{}()),
       m_queries(m_loop, m_clock, m_typed),
       m_front_count(kHostWindow, kLeastHosts),
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -42,7 +42,7 @@
 class EntryNode final : private CallerSink,
                         private ForwardPort,
                         private TargetPoolSink,
-                        private KnowledgeObserver,
+                        private DiscoveryObserver,
                         private FeedHubObserver {
  public:
   EntryNode(EntrySettings settings, EntryProtocol protocol);
@@ -72,8 +72,8 @@
                const CallStory& story) override;
   void ShareConviction(Fingerprint fingerprint) override;
   void OnAttemptEnd(AttemptEnd& end) override;
-  void OnKnowledge(const KnowledgeChange& change,
-                   const StorePosition& position) override;
+  void OnDiscoveryChange(const DiscoveryChange& change,
+                         const StorePosition& position) override;
   void OnContent(const std::vector<StoreChange>& changes,
                  const StorePosition& position,
                  bool whole) override;
@@ -82,7 +82,7 @@
                        const StorePosition& known) override;
   void OnFeedOpened(const Endpoint& feeder) override;
   void OnFeedEnded(const std::string& problem) override;
-  void OnStoreRead(const StoreReading& reading) override;
+  void OnStoreRead(const FullRead& reading) override;
   void OnStoreLost(StoreStatus status, const std::string& problem) override;
   void OnStoreRegained() override;
   void OnRegistration(StoreStatus status) override;
@@ -91,7 +91,7 @@
   //! Chooses who keeps this host's record, and has it kept.
   void KeepRecord(TimePoint now);
   void TellRecord();
-  void TakeTyped(const KnowledgeChange& change, TimePoint now);
+  void TakeTyped(const DiscoveryChange& change, TimePoint now);
 
   // In entry_node_answers.cc.
   [[nodiscard]] EdgeResponse AnswerReady(const EdgeRequest& request) const;
--- a/src/jacinthdeck/entry/entry_node_answers.cc
+++ b/src/jacinthdeck/entry/entry_node_answers.cc
@@ -36,13 +36,14 @@
   if (path != m_protocol.directory_path) {
     return Plain(http_status::kNotFound);
   }
-  DirectoryQuestion question;
-  question.caller = m_protocol.read_directory_call(request.target);
+  DirectoryRequest question;
+  question.caller_domain = m_protocol.read_directory_call(request.target);
   question.self = OwnRecord();
   // A host that knows no front yet names itself rather than nobody.
-  question.self_serves = IsReady() && (m_is_front || m_fronts.empty());
-  question.most = kMostAddresses;
-  const std::vector<std::string> addresses = ChooseHosts(question, m_fronts);
+  question.self_accepts_callers = IsReady() && (m_is_front || m_fronts.empty());
+  question.max_addresses = kMostAddresses;
+  const std::vector<std::string> addresses =
+      ChooseCallerAddresses(question, m_fronts);
   if (addresses.empty()) {
     return Plain(http_status::kUnavailable);
   }
@@ -64,24 +65,26 @@
 }
 
 std::string EntryNode::AnswerStatus() const {
-  const Knowledge& knowledge = m_store.knowledge();
+  const DiscoveryState& discovery_state = m_store.discovery_state();
   LogLine status;
   status.Text("host", m_settings.name.raw())
       .Text("failure_domain", m_settings.domain.raw())
       .Flag("ready", IsReady())
       .Flag("stopping", m_stopping)
-      .Flag("store_away", knowledge.store_away())
+      .Flag("store_away", discovery_state.store_away())
       .Milliseconds("knowledge_age_ms", KnowledgeAge())
       .Count("store_era", EraNumber(m_store.position().era))
       .Milliseconds("store_era_for_ms",
                     m_clock.Now() - m_store.era_since().value_or(m_clock.Now()))
       .Count("newest_era", EraNumber(m_store.era()))
       .Count("store_revision", m_store.position().revision)
-      .Count("config_version",
-             knowledge.config() == nullptr ? 0 : knowledge.config()->version())
-      .Count("targets", knowledge.target_count())
-      .Raw("evacuated", EvacuationsText(knowledge.Evacuations(), m_clock.Now()))
-      .Count("hosts", knowledge.Hosts().size())
+      .Count("config_version", discovery_state.config() == nullptr
+                                   ? 0
+                                   : discovery_state.config()->version())
+      .Count("targets", discovery_state.target_count())
+      .Raw("evacuated",
+           EvacuationsText(discovery_state.Evacuations(), m_clock.Now()))
+      .Count("hosts", discovery_state.Hosts().size())
       .Count("open_calls", m_forwarder.open_calls())
       .Count("caller_connections", m_callers.connections())
       .Count("target_connections", m_pool.connections());
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -22,32 +22,34 @@
 //! Tells whether typed calls keep away from a target. They do not count what it
 //! gets from all hosts, so that one with a bound gets none while it is cold.
 [[nodiscard]] bool IsAvoided(const TargetEntry& entry,
-                             const Knowledge& knowledge,
+                             const DiscoveryState& discovery_state,
                              TimePoint now) {
-  const bool bounded = knowledge.config() != nullptr &&
-                       knowledge.config()->ColdRate(entry.service) > 0;
+  const bool bounded = discovery_state.config() != nullptr &&
+                       discovery_state.config()->ColdRate(entry.service) > 0;
   return !entry.TakesWork() || (bounded && entry.IsCold(now));
 }
 
 //! The registry's targets in the terms of typed calls.
-[[nodiscard]] std::vector<TargetInfo> TargetInfosOf(const Knowledge& knowledge,
-                                                    TimePoint now) {
+[[nodiscard]] std::vector<TargetInfo> TargetInfosOf(
+    const DiscoveryState& discovery_state,
+    TimePoint now) {
   std::vector<TargetInfo> infos;
-  for (const TargetEntry& entry : knowledge.Targets()) {
+  for (const TargetEntry& entry : discovery_state.Targets()) {
     TargetInfo info;
     info.id = entry.id;
     info.service = entry.service;
     info.domain = entry.domain;
     info.address = entry.address;
     info.port = entry.port;
-    info.state = IsAvoided(entry, knowledge, now) ? TargetState::kLeaving
-                                                  : TargetState::kLive;
+    info.state = IsAvoided(entry, discovery_state, now) ? TargetState::kLeaving
+                                                        : TargetState::kLive;
     info.slots = entry.slots;
     info.connections =
-        knowledge.config() == nullptr
+        discovery_state.config() == nullptr
             ? entry.slots
-            : std::max(knowledge.config()->TargetConnections(entry.service),
-                       entry.slots);
+            : std::max(
+                  discovery_state.config()->TargetConnections(entry.service),
+                  entry.slots);
     infos.push_back(info);
   }
   return infos;
@@ -60,15 +62,15 @@
 
 }  // namespace
 
-void EntryNode::OnKnowledge(const KnowledgeChange& change,
-                            const StorePosition& position) {
+void EntryNode::OnDiscoveryChange(const DiscoveryChange& change,
+                                  const StorePosition& position) {
   const TimePoint now = m_clock.Now();
-  const Knowledge& knowledge = m_store.knowledge();
-  if (change.config && m_forwarder.SetConfig(knowledge.config())) {
-    m_callers.SetLimits(EdgeLimitsOf(knowledge.config()->limits()));
+  const DiscoveryState& discovery_state = m_store.discovery_state();
+  if (change.config && m_forwarder.SetConfig(discovery_state.config())) {
+    m_callers.SetLimits(EdgeLimitsOf(discovery_state.config()->limits()));
   }
   if (change.targets) {
-    const std::vector<TargetEntry> targets = knowledge.Targets();
+    const std::vector<TargetEntry> targets = discovery_state.Targets();
     m_forwarder.SetTargets(targets, now);
     m_pool.Retain(targets);
   }
@@ -80,7 +82,8 @@
   }
   KeepRecord(now);
   TakeTyped(change, now);
-  m_decisions.OnKnowledge(change, knowledge, position, now - m_started, now);
+  m_decisions.OnDiscoveryChange(change, discovery_state, position,
+                                now - m_started, now);
   TellReadiness();
   ArmDecisions();
 }
@@ -116,10 +119,10 @@
 }
 
 void EntryNode::TakeHosts(TimePoint now) {
-  const std::vector<HostRecord> hosts = m_store.knowledge().Hosts();
+  const std::vector<HostRecord> hosts = m_store.discovery_state().Hosts();
   m_feed.OnHosts(hosts);
   const std::shared_ptr<const RoutingConfig>& config =
-      m_store.knowledge().config();
+      m_store.discovery_state().config();
   std::vector<HostRecord> fronts = ChooseFronts(
       hosts, config == nullptr ? 0 : config->FewestTargetConnections());
   const bool same = std::ranges::equal(fronts, m_fronts, {}, &HostRecord::name,
@@ -138,8 +141,8 @@
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
   // A front that dies must not be named for long; of the others only the
   // budget of calls to the store matters.
-  const bool small = hosts.size() <= kSmallFleet;
-  m_store.SetLeaseLife(m_is_front || small ? kFrontLease : kStandbyLease);
+  const bool small = hosts.size() <= kSmallFleetSize;
+  m_store.SetLeaseDuration(m_is_front || small ? kFrontLease : kStandbyLease);
   m_feed.SetServesCallers(m_is_front || small);
 }
 
@@ -147,12 +150,12 @@
   if (m_stopping) {
     return;
   }
-  const FleetPart part{
+  const FleetRole part{
       .knows_hosts = m_store.position().revision > 0,
-      .hosts = m_store.knowledge().host_count(),
+      .hosts = m_store.discovery_state().host_count(),
       .is_front = m_is_front,
       .feeds_others = m_feed.is_watcher() || m_feed.followers() > 0,
-      .is_linked = m_feed.IsLinked()};
+      .has_feeder = m_feed.IsLinked()};
   if (m_record_writer.Update(part, now)) {
     LogLine line = m_log.Begin(LogEvent::kRecordWriter);
     line.Text("writer", kRecordWriterNames.Name(m_record_writer.writer()))
@@ -172,18 +175,18 @@
       m_store.Register(record);
       break;
     case RecordWriter::kFeeder:
-      m_store.LeaveRecord();
+      m_store.DelegateRecord();
       m_feed.SetRecord(m_store.ValueOf(record));
       break;
   }
 }
 
-void EntryNode::TakeTyped(const KnowledgeChange& change, TimePoint now) {
+void EntryNode::TakeTyped(const DiscoveryChange& change, TimePoint now) {
   if (m_settings.queries.address.empty()) {
     return;
   }
   TypedCalls& calls = m_typed.calls();
-  const Knowledge& knowledge = m_store.knowledge();
+  const DiscoveryState& discovery_state = m_store.discovery_state();
   const auto tell = [&](const std::string& subject, const auto& taken) {
     const auto* error = std::get_if<Error>(&taken);
     LogLine line = m_log.Begin(error == nullptr ? LogEvent::kSchemaApplied
@@ -196,26 +199,26 @@
   };
   if (change.schema) {
     tell("schema", Capture([&]() -> Result<bool> {
-           BOOST_LEAF_CHECK(calls.SetSchema(knowledge.schema()));
+           BOOST_LEAF_CHECK(calls.SetSchema(discovery_state.schema()));
            return true;
          }));
   }
   for (const ServiceId& service : change.indexes) {
-    tell(
-        service.raw(), Capture([&]() -> Result<bool> {
-          BOOST_LEAF_CHECK(calls.SetIndex(service, knowledge.IndexOf(service)));
-          return true;
-        }));
+    tell(service.raw(), Capture([&]() -> Result<bool> {
+           BOOST_LEAF_CHECK(
+               calls.SetIndex(service, discovery_state.IndexOf(service)));
+           return true;
+         }));
   }
   if (change.targets || change.config) {
-    calls.SetTargets(TargetInfosOf(knowledge, now), now);
+    calls.SetTargets(TargetInfosOf(discovery_state, now), now);
   }
   if (change.hosts) {
     calls.SetHosts(m_front_count.Highest(now), now);
   }
 }
 
-void EntryNode::OnStoreRead(const StoreReading& reading) {
+void EntryNode::OnStoreRead(const FullRead& reading) {
   LogLine line = m_log.Begin(LogEvent::kStoreRead);
   line.Count("store_era", EraNumber(reading.position.era))
       .Count("store_revision", reading.position.revision)
@@ -269,14 +272,14 @@
   if (!m_settings.peers.address.empty()) {
     record.peers = m_settings.peers.ToString();
   }
-  record.strength = static_cast<std::uint32_t>(
+  record.cpu_millicores = static_cast<std::uint32_t>(
       kThousandths * m_settings.cpu_share * m_settings.cores);
   record.started_ms = m_started_ms;
   return record;
 }
 
 Duration EntryNode::KnowledgeAge() const {
-  const auto heard = m_store.last_well();
+  const auto heard = m_store.last_contact();
   return m_clock.Now() - heard.value_or(m_started);
 }
 
--- a/src/jacinthdeck/entry/feed_hub.cc
+++ b/src/jacinthdeck/entry/feed_hub.cc
@@ -70,7 +70,7 @@
   const bool knows_nothing =
       !m_store.loaded() && m_choice.IsLinkSteady(m_clock.Now());
   m_store.SetWatching(step.watch_store || knows_nothing ||
-                      m_store.IsLeftBehind());
+                      m_store.IsNewEraOverdue());
 }
 
 void FeedHub::SetRecord(std::string value) {
@@ -90,25 +90,25 @@
 
 void FeedHub::OnFollower(const FeedHello& hello) {
   if (hello.record.empty()) {
-    m_store.DropMember(hello.host);
+    m_store.RemoveMember(hello.host);
   } else {
-    m_store.TakeMember(hello.record);
+    m_store.AddMember(hello.record);
   }
 }
 
 void FeedHub::OnFollowerLeft(const NodeId& host) {
-  m_store.DropMember(host);
+  m_store.RemoveMember(host);
 }
 
 FeedChanges FeedHub::ContentSince(const StorePosition& position) const {
-  return m_store.HandoverSince(position);
+  return m_store.UpdateSince(position);
 }
 
 FeedBeat FeedHub::Beat() const {
-  const auto heard = m_store.last_well();
+  const auto heard = m_store.last_contact();
   FeedBeat beat;
   beat.position = m_store.position();
-  beat.store_away = m_store.knowledge().store_away();
+  beat.store_away = m_store.discovery_state().store_away();
   if (heard) {
     beat.age = m_clock.Now() - *heard;
   }
@@ -117,7 +117,7 @@
 
 void FeedHub::OnFeedChanges(const FeedChanges& changes) {
   m_choice.OnChanges(m_clock.Now());
-  m_store.TakeContent(changes.changes, changes.position, changes.whole);
+  m_store.ApplyPeerContent(changes.changes, changes.position, changes.whole);
 }
 
 void FeedHub::OnFeedBeat(const FeedBeat& beat) {
@@ -127,7 +127,7 @@
     taken.age.reset();
   }
   m_choice.OnBeat(taken, m_clock.Now());
-  m_store.TakeAge(taken.age, taken.store_away);
+  m_store.ApplyPeerAge(taken.age, taken.store_away);
   Tick();
 }
 
--- a/src/jacinthdeck/entry/node_metrics.cc
+++ b/src/jacinthdeck/entry/node_metrics.cc
@@ -91,20 +91,20 @@
   Line(out, "store_renewals_total", static_cast<double>(store.renewals));
   Line(out, "store_writes_total", static_cast<double>(store.writes));
   Line(out, "store_failures_total", static_cast<double>(store.failures));
-  const Knowledge& knowledge = source.store.knowledge();
-  Line(out, "store_away", knowledge.store_away() ? 1 : 0);
+  const DiscoveryState& discovery_state = source.store.discovery_state();
+  Line(out, "store_away", discovery_state.store_away() ? 1 : 0);
   const StorePosition& position = source.store.position();
   Line(out, "store_era", static_cast<double>(EraNumber(position.era)));
   Line(out, "store_revision", static_cast<double>(position.revision));
   Line(out, "knowledge_age_ms", ToMilliseconds(source.knowledge_age));
   Line(out, "config_version",
-       knowledge.config() == nullptr
+       discovery_state.config() == nullptr
            ? 0
-           : static_cast<double>(knowledge.config()->version()));
-  Line(out, "targets", static_cast<double>(knowledge.target_count()));
+           : static_cast<double>(discovery_state.config()->version()));
+  Line(out, "targets", static_cast<double>(discovery_state.target_count()));
   Line(out, "domains_evacuated",
-       static_cast<double>(knowledge.Evacuations().size()));
-  Line(out, "hosts", static_cast<double>(knowledge.Hosts().size()));
+       static_cast<double>(discovery_state.Evacuations().size()));
+  Line(out, "hosts", static_cast<double>(discovery_state.Hosts().size()));
   Line(out, "ready", source.ready ? 1 : 0);
   Line(out, "log_lines_dropped_total",
        static_cast<double>(source.log.dropped()));
--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -81,7 +81,7 @@
   if (!m_feeders.empty()) {
     m_next = m_random.Below(m_feeders.size());
   }
-  m_serves_callers = m_self.strength >= kWeakHost;
+  m_serves_callers = m_self.cpu_millicores >= kWeakHost;
   const bool waits = fleet_starts || (!m_serves_callers && !m_is_watcher);
   ScheduleWatch(kStartSpread,
                 now + (waits ? kStartPatience : Duration::zero()));
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -28,7 +28,7 @@
 };
 
 /*! \brief Changes of the store's content. */
-using FeedChanges = StoreHandover;
+using FeedChanges = ContentUpdate;
 
 /*! \brief A sign of life. */
 struct FeedBeat {
--- a/test/jacinthdeck/discovery/directory_choice_test.cc
+++ b/test/jacinthdeck/discovery/directory_choice_test.cc
@@ -23,13 +23,14 @@
                                 MakeHost(3, "a"), MakeHost(4, "b"),
                                 MakeHost(5, "c"), MakeHost(6, "c")};
 
-  [[nodiscard]] std::vector<std::string> Ask(const std::string& domain,
-                                             bool self_serves = true) const {
-    DirectoryQuestion question;
-    question.caller = FailureDomain(domain);
-    question.self = hosts[3];
-    question.self_serves = self_serves;
-    return ChooseHosts(question, hosts);
+  [[nodiscard]] std::vector<std::string> Ask(
+      const std::string& domain,
+      bool self_accepts_callers = true) const {
+    DirectoryRequest request;
+    request.caller_domain = FailureDomain(domain);
+    request.self = hosts[3];
+    request.self_accepts_callers = self_accepts_callers;
+    return ChooseCallerAddresses(request, hosts);
   }
 };
 
--- a/test/jacinthdeck/discovery/fleet_test.cc
+++ b/test/jacinthdeck/discovery/fleet_test.cc
@@ -13,11 +13,11 @@
 
 namespace {
 
-[[nodiscard]] HostRecord MakeHost(int number, int domain, int strength) {
+[[nodiscard]] HostRecord MakeHost(int number, int domain, int cpu_millicores) {
   HostRecord host;
   host.name = NodeId("h" + std::to_string(number));
   host.domain = FailureDomain("d" + std::to_string(domain));
-  host.strength = static_cast<std::uint32_t>(strength);
+  host.cpu_millicores = static_cast<std::uint32_t>(cpu_millicores);
   return host;
 }
 
@@ -65,8 +65,9 @@
   const auto fronts = ChooseFronts(MakeFleet(3, 2, 26), 75);
   BOOST_TEST(fronts.size() == 6U);
   BOOST_TEST(CountDomains(fronts) == 3U);
-  BOOST_TEST(std::ranges::all_of(
-      fronts, [](const HostRecord& host) { return host.strength == 500; }));
+  BOOST_TEST(std::ranges::all_of(fronts, [](const HostRecord& host) {
+    return host.cpu_millicores == 500;
+  }));
 }
 
 // The strong hosts are lost. Those that stood by take over, two in each domain.
@@ -82,7 +83,7 @@
 BOOST_AUTO_TEST_CASE(Fronts_AreBusy_MoreHostsTakeCallers) {
   std::vector<HostRecord> hosts = MakeFleet(3, 2, 26);
   for (HostRecord& host : hosts) {
-    host.busy = host.strength == 500;
+    host.busy = host.cpu_millicores == 500;
   }
   const auto more = ChooseFronts(hosts, 75);
   BOOST_TEST(more.size() > 6U);
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -17,9 +17,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct KnowledgeFixture {
+struct DiscoveryStateFixture {
   platform::StoreCodec codec;
-  Knowledge knowledge{codec};
+  DiscoveryState discovery_state{codec};
   TimePoint now{seconds(100)};
   std::uint64_t revision = 10;
 
@@ -35,15 +35,15 @@
            R"(,"routes":[],"services":[]})";
   }
 
-  KnowledgeChange Change(const std::string& key,
+  DiscoveryChange Change(const std::string& key,
                          std::optional<std::string> value) {
     const StoreChange change{key, At(++revision), std::move(value)};
-    return knowledge.OnChanges({&change, 1}, now);
+    return discovery_state.OnChanges({&change, 1}, now);
   }
 
-  KnowledgeChange Read(const std::vector<StoreChange>& items,
+  DiscoveryChange Read(const std::vector<StoreChange>& items,
                        const StorePosition& position) {
-    return knowledge.OnReading(items, position, now);
+    return discovery_state.OnFullRead(items, position, now);
   }
 
   //! Takes a reading of an era without evacuations, and an evacuation.
@@ -54,17 +54,19 @@
 
   //! Number of targets that may get work.
   [[nodiscard]] std::size_t InUse() const {
-    const std::vector<TargetEntry> all = knowledge.Targets();
+    const std::vector<TargetEntry> all = discovery_state.Targets();
     return static_cast<std::size_t>(
         std::ranges::count_if(all, &TargetEntry::TakesWork));
   }
 
-  [[nodiscard]] std::size_t targets() const { return knowledge.target_count(); }
+  [[nodiscard]] std::size_t targets() const {
+    return discovery_state.target_count();
+  }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(KnowledgeTest, KnowledgeFixture)
+BOOST_FIXTURE_TEST_SUITE(DiscoveryStateTest, DiscoveryStateFixture)
 
 BOOST_AUTO_TEST_CASE(Target_IsRemovedWhileTheStoreIsWell_IsGoneAtOnce) {
   (void)Change("servers/a", Server("ready"));
@@ -79,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(Target_LapsedDuringAnOutage_StaysUntilItHadTimeToReturn) {
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   now += seconds(5);
   (void)Change("servers/a", std::nullopt);
   (void)Change("servers/b", std::nullopt);
@@ -87,14 +89,14 @@
   now += milliseconds(1500);
   (void)Change("servers/a", Server("ready"));
   now += milliseconds(1500);
-  BOOST_TEST(knowledge.OnTimer(now).targets);
+  BOOST_TEST(discovery_state.OnTimer(now).targets);
   BOOST_TEST(targets() == 1U);
 }
 
 // A target that said it was leaving has left, whatever the store went through.
 BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenItLapsed_IsGoneAtOnce) {
   (void)Change("servers/a", Server("draining"));
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   now += seconds(5);
   (void)Change("servers/a", std::nullopt);
   BOOST_TEST(targets() == 0U);
@@ -114,7 +116,7 @@
 
 BOOST_AUTO_TEST_CASE(Target_BornStandsInTheEntry_TellsLivesApart) {
   (void)Change("servers/a", Server("ready", R"(,"born":1700000000000)"));
-  BOOST_TEST(knowledge.Targets().front().started_ms == 1700000000000U);
+  BOOST_TEST(discovery_state.Targets().front().started_ms == 1700000000000U);
 }
 
 // History is lost, and everything is read again. What the reading does not name
@@ -123,29 +125,29 @@
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
   const std::vector<StoreChange> items{{"servers/b", At(12), Server("ready")}};
-  BOOST_TEST(knowledge.OnReading(items, At(40), now).targets);
+  BOOST_TEST(discovery_state.OnFullRead(items, At(40), now).targets);
   BOOST_REQUIRE_EQUAL(targets(), 1U);
-  BOOST_TEST(knowledge.Targets().front().id == TargetId("b"));
+  BOOST_TEST(discovery_state.Targets().front().id == TargetId("b"));
 }
 
 // A reading may be older than a change that a watch brought before.
 BOOST_AUTO_TEST_CASE(Reading_IsOlderThanAKnownChange_ChangeStays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
-  (void)knowledge.OnReading({}, At(40), now);
+  (void)discovery_state.OnFullRead({}, At(40), now);
   BOOST_TEST(targets() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(Config_OlderVersionArrives_IsNotTaken) {
   BOOST_TEST(Change("op/config", Config(7)).config);
   BOOST_TEST(!Change("op/config", Config(5)).config);
-  BOOST_TEST(knowledge.config()->version() == 7U);
+  BOOST_TEST(discovery_state.config()->version() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(Config_IsUnreadable_FormerOneStays) {
   (void)Change("op/config", Config(7));
   BOOST_TEST(Change("op/config", "{").unreadable.size() == 1U);
-  BOOST_TEST(knowledge.config()->version() == 7U);
+  BOOST_TEST(discovery_state.config()->version() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(Host_RegistersAndLeaves_IsKnownAndForgotten) {
@@ -155,15 +157,15 @@
                         true,          5,
                         NodeId("h2")};
   (void)Change(codec.HostKey(host.name), codec.WriteHost(host));
-  BOOST_REQUIRE(knowledge.FindHost(NodeId("h1")) != nullptr);
-  BOOST_TEST((*knowledge.FindHost(NodeId("h1")) == host));
+  BOOST_REQUIRE(discovery_state.FindHost(NodeId("h1")) != nullptr);
+  BOOST_TEST((*discovery_state.FindHost(NodeId("h1")) == host));
   (void)Change(codec.HostKey(host.name), std::nullopt);
-  BOOST_TEST((knowledge.FindHost(NodeId("h1")) == nullptr));
+  BOOST_TEST((discovery_state.FindHost(NodeId("h1")) == nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsTold) {
   const Fingerprint fingerprint(0xabcdef0123456789U);
-  const KnowledgeChange change =
+  const DiscoveryChange change =
       Change(codec.ConvictionKey(fingerprint), std::string("1"));
   BOOST_REQUIRE_EQUAL(change.convictions.size(), 1U);
   BOOST_TEST(change.convictions.front() == fingerprint);
@@ -174,7 +176,7 @@
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(Change("op/evacuate/elsewhere", "{}").unreadable.empty());
   BOOST_TEST(InUse() == 1U);
-  const KnowledgeChange change = Change("op/evacuate/z", "{}");
+  const DiscoveryChange change = Change("op/evacuate/z", "{}");
   BOOST_TEST(change.evacuations);
   BOOST_TEST(change.targets);
   BOOST_TEST(InUse() == 0U);
@@ -183,16 +185,16 @@
   BOOST_TEST(InUse() == 0U);
   BOOST_TEST(Change("op/evacuate/z", std::nullopt).targets);
   BOOST_TEST(InUse() == 2U);
-  BOOST_TEST(knowledge.Evacuations().size() == 1U);
+  BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
 // Guards against an order that is held back like a lapsed lease.
 BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_BothOrdersCountAtOnce) {
   (void)Change("servers/a", Server("ready"));
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", "{}");
   BOOST_TEST(InUse() == 0U);
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", std::nullopt);
   BOOST_TEST(InUse() == 1U);
 }
@@ -202,10 +204,10 @@
   revision = 50;
   (void)Change("servers/a", Server("ready"));
   (void)Change("op/evacuate/z", "{}");
-  (void)knowledge.OnReading({}, At(40), now);
+  (void)discovery_state.OnFullRead({}, At(40), now);
   BOOST_TEST(InUse() == 0U);
   const std::vector<StoreChange> items{{"servers/a", At(51), Server("ready")}};
-  BOOST_TEST(knowledge.OnReading(items, At(60), now).evacuations);
+  BOOST_TEST(discovery_state.OnFullRead(items, At(60), now).evacuations);
   BOOST_TEST(InUse() == 1U);
 }
 
@@ -218,7 +220,7 @@
        {std::string("op/evacuate/"), "op/evacuate/" + std::string(180, 'z')}) {
     BOOST_TEST(Change(key, "{}").unreadable.size() == 1U);
   }
-  BOOST_TEST(knowledge.Evacuations().size() == 1U);
+  BOOST_TEST(discovery_state.Evacuations().size() == 1U);
   BOOST_TEST(InUse() == 0U);
 }
 
@@ -227,12 +229,12 @@
   const TimePoint first = now;
   now += seconds(3);
   BOOST_TEST(!Change("op/evacuate/z", "{}").evacuations);
-  BOOST_TEST((knowledge.Evacuations().front().since == first));
+  BOOST_TEST((discovery_state.Evacuations().front().since == first));
 }
 
 BOOST_AUTO_TEST_CASE(Target_TellsItsColdTime_IsColdForThatLong) {
   (void)Change("servers/a", Server("ready", R"(,"coldRemainingMs":1500)"));
-  const TargetEntry entry = knowledge.Targets().front();
+  const TargetEntry entry = discovery_state.Targets().front();
   BOOST_TEST(entry.IsCold(now + milliseconds(1499)));
   BOOST_TEST(!entry.IsCold(now + milliseconds(1500)));
 }
@@ -244,14 +246,14 @@
   const std::vector<StoreChange> items{{"servers/a", At(revision), cold}};
   const TimePoint warm = now + milliseconds(1500);
   now += milliseconds(1000);
-  (void)knowledge.OnReading(items, At(revision), now);
-  BOOST_TEST((knowledge.Targets().front().cold_until == warm));
+  (void)discovery_state.OnFullRead(items, At(revision), now);
+  BOOST_TEST((discovery_state.Targets().front().cold_until == warm));
 }
 
 // Guards against a crash by an entry with the revision of no write.
 BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsTaken) {
   const StoreChange change{"servers/a", At(0), Server("ready")};
-  (void)knowledge.OnChanges({&change, 1}, now);
+  (void)discovery_state.OnChanges({&change, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
@@ -259,12 +261,12 @@
 // that makes no sense.
 BOOST_AUTO_TEST_CASE(Target_ColdTimeMakesNoSense_IsToldAndUsedAsWarm) {
   for (const std::string value : {"-5", "\"soon\"", "86400000", "1e400"}) {
-    const KnowledgeChange change =
+    const DiscoveryChange change =
         Change("servers/a", Server("ready", ",\"coldRemainingMs\":" + value));
     BOOST_TEST(change.unreadable.size() == 1U);
     if (value != "1e400") {
       BOOST_REQUIRE_EQUAL(targets(), 1U);
-      BOOST_TEST(!knowledge.Targets().front().IsCold(now));
+      BOOST_TEST(!discovery_state.Targets().front().IsCold(now));
     }
   }
 }
@@ -275,19 +277,19 @@
   (void)Read({{"op/config", At(5), Config(4)}}, At(10));
   (void)Change("op/config", Config(7));
   BOOST_TEST(!Read({{"op/config", At(5, 2), Config(4)}}, At(8, 2)).config);
-  BOOST_TEST(knowledge.config()->version() == 7U);
-  const auto carried = knowledge.CarriedConfig();
+  BOOST_TEST(discovery_state.config()->version() == 7U);
+  const auto carried = discovery_state.CarriedConfig();
   BOOST_REQUIRE(carried.has_value());
-  Knowledge starting(codec);
-  (void)starting.OnReading(
+  DiscoveryState starting(codec);
+  (void)starting.OnFullRead(
       std::vector<StoreChange>{{"op/config", At(5, 2), Config(4)}}, At(8, 2),
       now);
   BOOST_TEST(starting.OnCarried({&*carried, 1}).config);
   BOOST_TEST(starting.config()->version() == 7U);
   BOOST_TEST(starting.CarriedConfig().has_value());
   const StoreChange again{"op/config", At(9, 2), Config(7)};
-  (void)knowledge.OnChanges({&again, 1}, now);
-  BOOST_TEST(!knowledge.CarriedConfig().has_value());
+  (void)discovery_state.OnChanges({&again, 1}, now);
+  BOOST_TEST(!discovery_state.CarriedConfig().has_value());
 }
 
 // Guards against refusals for want of targets that live: they registered after
@@ -297,8 +299,8 @@
   (void)Change("servers/b", Server("ready"));
   (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 2U);
-  now += RemovalHold::kReturnTime;
-  (void)knowledge.OnTimer(now);
+  now += RemovalHold::kReregistrationTime;
+  (void)discovery_state.OnTimer(now);
   BOOST_TEST(targets() == 1U);
 }
 
@@ -312,9 +314,9 @@
   BOOST_TEST(targets() == 0U);
   now += seconds(2);
   const StoreChange gone{"servers/a", At(9, 2), std::nullopt};
-  (void)knowledge.OnChanges({&gone, 1}, now);
+  (void)discovery_state.OnChanges({&gone, 1}, now);
   now += seconds(60);
-  (void)knowledge.OnTimer(now);
+  (void)discovery_state.OnTimer(now);
   BOOST_TEST(targets() == 0U);
 }
 
@@ -324,8 +326,8 @@
   (void)Change("servers/a", std::nullopt);
   (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   now += seconds(5);
-  BOOST_TEST((knowledge.NextTimer() <= now));
-  BOOST_TEST(knowledge.OnTimer(now).targets);
+  BOOST_TEST((discovery_state.NextTimer() <= now));
+  BOOST_TEST(discovery_state.OnTimer(now).targets);
   BOOST_TEST(targets() == 1U);
 }
 
@@ -334,7 +336,7 @@
   (void)Change("servers/a", std::nullopt);
   (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   const StoreChange back{"servers/a", At(9, 2), Server("ready")};
-  (void)knowledge.OnChanges({&back, 1}, now);
+  (void)discovery_state.OnChanges({&back, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
@@ -355,10 +357,10 @@
   (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   BOOST_TEST(InUse() == 0U);
   now += seconds(5);
-  (void)knowledge.OnTimer(now);
+  (void)discovery_state.OnTimer(now);
   BOOST_TEST(InUse() == 0U);
   now += seconds(5);
-  BOOST_TEST(knowledge.OnTimer(now).evacuations);
+  BOOST_TEST(discovery_state.OnTimer(now).evacuations);
   BOOST_TEST(InUse() == 1U);
 }
 
@@ -366,9 +368,9 @@
   EvacuateAfterTheCopy();
   (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   const StoreChange again{"op/evacuate/z", At(9, 2), "{}"};
-  (void)knowledge.OnChanges({&again, 1}, now);
+  (void)discovery_state.OnChanges({&again, 1}, now);
   now += seconds(20);
-  (void)knowledge.OnTimer(now);
+  (void)discovery_state.OnTimer(now);
   BOOST_TEST(InUse() == 0U);
 }
 
@@ -389,22 +391,22 @@
   (void)Read({{"jacinthdeck/schema", At(5), "old"}}, At(10));
   (void)Change("jacinthdeck/schema", "new");
   (void)Read({{"jacinthdeck/schema", At(5, 2), "old"}}, At(8, 2));
-  BOOST_TEST(knowledge.schema() == "new");
+  BOOST_TEST(discovery_state.schema() == "new");
   now += seconds(9);
-  (void)knowledge.OnTimer(now);
-  BOOST_TEST(knowledge.schema() == "old");
+  (void)discovery_state.OnTimer(now);
+  BOOST_TEST(discovery_state.schema() == "old");
 }
 
 // Guards against a store that names its era only from its first restore on.
 BOOST_AUTO_TEST_CASE(Restore_EraBeforeWasNotNamed_IsARestoreAllTheSame) {
   (void)Read({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
   const StoreChange gone{"servers/a", At(11, 0), std::nullopt};
-  (void)knowledge.OnChanges({&gone, 1}, now);
+  (void)discovery_state.OnChanges({&gone, 1}, now);
   const StoreChange order{"op/evacuate/z", At(12, 0), "{}"};
-  (void)knowledge.OnChanges({&order, 1}, now);
+  (void)discovery_state.OnChanges({&order, 1}, now);
   (void)Read({{"servers/a", At(5), Server("ready")}}, At(8));
   BOOST_TEST(targets() == 0U);
-  BOOST_TEST(knowledge.Evacuations().size() == 1U);
+  BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
 // Guards against what the first copy left in doubt after a second restore.
--- a/test/jacinthdeck/discovery/member_records_test.cc
+++ b/test/jacinthdeck/discovery/member_records_test.cc
@@ -23,10 +23,10 @@
   return host;
 }
 
-[[nodiscard]] HeldRecord Held(const std::string& name,
-                              const std::string& writer,
-                              std::uint64_t revision) {
-  HeldRecord held{MakeHost(name), At(revision)};
+[[nodiscard]] StoredRecord Held(const std::string& name,
+                                const std::string& writer,
+                                std::uint64_t revision) {
+  StoredRecord held{MakeHost(name), At(revision)};
   held.record.writer = NodeId(writer);
   return held;
 }
@@ -38,7 +38,7 @@
   //! Writes all that is due.
   void Write(std::uint64_t revision) {
     const MemberWrite write = members.NextWrite(now);
-    members.OnWritten(write, MemberWriteEnd::kDone, At(revision));
+    members.OnWritten(write, MemberWriteResult::kDone, At(revision));
   }
 
   [[nodiscard]] std::vector<std::string> DuePuts() const {
@@ -65,7 +65,7 @@
   }
   int writes = 0;
   while (!members.NextWrite(now).empty()) {
-    BOOST_TEST(members.NextWrite(now).puts.size() <= StoreWrite::kMostEntries);
+    BOOST_TEST(members.NextWrite(now).puts.size() <= StoreWrite::kMaxEntries);
     Write(10);
     ++writes;
   }
@@ -86,7 +86,7 @@
   HostRecord changed = MakeHost("a");
   changed.busy = true;
   members.OnMember(changed);
-  members.OnWritten(write, MemberWriteEnd::kDone, At(10));
+  members.OnWritten(write, MemberWriteResult::kDone, At(10));
   BOOST_TEST(DuePuts().size() == 1U);
 }
 
@@ -117,7 +117,7 @@
   members.OnMember(MakeHost("a"));
   Write(10);
   members.OnMemberLeft(NodeId("a"));
-  const std::vector<HeldRecord> held{Held("a", "feeder", 10)};
+  const std::vector<StoredRecord> held{Held("a", "feeder", 10)};
   members.OnHosts(held, At(10), now);
   BOOST_TEST(DueRemovals() == 0U);
   now += seconds(4);
@@ -157,12 +157,12 @@
   now += seconds(4);
   const MemberWrite both = members.NextWrite(now);
   BOOST_TEST(both.removals.size() == 2U);
-  members.OnWritten(both, MemberWriteEnd::kConflict, At(0));
+  members.OnWritten(both, MemberWriteResult::kConflict, At(0));
   const MemberWrite first = members.NextWrite(now);
   BOOST_TEST(first.removals.size() == 1U);
-  members.OnWritten(first, MemberWriteEnd::kConflict, At(0));
+  members.OnWritten(first, MemberWriteResult::kConflict, At(0));
   BOOST_TEST(DueRemovals() == 1U);
-  members.OnWritten(members.NextWrite(now), MemberWriteEnd::kDone, At(9));
+  members.OnWritten(members.NextWrite(now), MemberWriteResult::kDone, At(9));
   BOOST_TEST(members.empty());
 }
 
--- a/test/jacinthdeck/discovery/record_writer_test.cc
+++ b/test/jacinthdeck/discovery/record_writer_test.cc
@@ -15,7 +15,7 @@
 
 struct WriterFixture {
   TimePoint now{seconds(100)};
-  FleetPart part{.knows_hosts = true, .hosts = 295, .is_linked = true};
+  FleetRole part{.knows_hosts = true, .hosts = 295, .has_feeder = true};
   RecordWriterChoice choice;
 
   explicit WriterFixture(bool fleet_starts = false)
@@ -76,7 +76,7 @@
 // feeder's lease, so that the host writes it itself in time.
 BOOST_AUTO_TEST_CASE(Feeder_IsLostForGood_HostWritesItself) {
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
-  part.is_linked = false;
+  part.has_feeder = false;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
   BOOST_TEST((After(seconds(2)) == RecordWriter::kFeeder));
   BOOST_TEST((After(seconds(1)) == RecordWriter::kSelf));
@@ -84,12 +84,12 @@
 
 BOOST_AUTO_TEST_CASE(Feeder_IsLostForAMoment_FeederWrites) {
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
-  part.is_linked = false;
+  part.has_feeder = false;
   (void)After(milliseconds(0));
   (void)After(seconds(2));
-  part.is_linked = true;
+  part.has_feeder = true;
   (void)After(milliseconds(100));
-  part.is_linked = false;
+  part.has_feeder = false;
   BOOST_TEST((After(seconds(2)) == RecordWriter::kFeeder));
 }
 
--- a/test/jacinthdeck/discovery/store_content_test.cc
+++ b/test/jacinthdeck/discovery/store_content_test.cc
@@ -89,7 +89,7 @@
   StoreContent content;
   (void)content.Replace({}, At(1));
   std::uint64_t revision = 1;
-  for (std::size_t i = 0; i <= StoreContent::kMostRemovals; ++i) {
+  for (std::size_t i = 0; i <= StoreContent::kMaxRemovals; ++i) {
     const std::string key = "k" + std::to_string(i);
     (void)content.Apply(std::vector<StoreChange>{{key, At(++revision), "0"}});
     (void)content.Apply(
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -41,7 +41,7 @@
   return host;
 }
 
-struct SessionFixture : KnowledgeObserver {
+struct SessionFixture : DiscoveryObserver {
   SteadyClock clock;
   standins::StoreServer store{0, clock, {}, 1};
   platform::StoreCodec codec;
@@ -52,10 +52,10 @@
   int regained = 0;
   int restored = 0;
   std::vector<HandedOn> handed_on;
-  std::vector<StoreReading> readings;
+  std::vector<FullRead> readings;
 
-  void OnKnowledge(const KnowledgeChange& /*change*/,
-                   const StorePosition& /*position*/) override {}
+  void OnDiscoveryChange(const DiscoveryChange& /*change*/,
+                         const StorePosition& /*position*/) override {}
   void OnContent(const std::vector<StoreChange>& changes,
                  const StorePosition& position,
                  bool whole) override {
@@ -66,7 +66,7 @@
                        const StorePosition& /*known*/) override {
     ++restored;
   }
-  void OnStoreRead(const StoreReading& reading) override {
+  void OnStoreRead(const FullRead& reading) override {
     readings.push_back(reading);
   }
   void OnStoreLost(StoreStatus /*status*/,
@@ -106,7 +106,7 @@
   }
 
   [[nodiscard]] std::uint64_t ConfigVersion() const {
-    const auto& config = session.knowledge().config();
+    const auto& config = session.discovery_state().config();
     return config == nullptr ? 0 : config->version();
   }
 
@@ -128,7 +128,7 @@
   }
 
   [[nodiscard]] std::size_t targets() const {
-    return session.knowledge().target_count();
+    return session.discovery_state().target_count();
   }
 };
 
@@ -141,9 +141,9 @@
 // on under its own newer revision; whoever learned from it took the targets in
 // between for removed, and later words on them for old.
 BOOST_AUTO_TEST_CASE(Content_OfAnOlderReading_IsHandedOnWithAllThatIsKnown) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
-  session.TakeContent({Target("b", 6)}, At(6), false);
-  session.TakeContent({Target("a", 5), Target("c", 3)}, At(5), true);
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("b", 6)}, At(6), false);
+  session.ApplyPeerContent({Target("a", 5), Target("c", 3)}, At(5), true);
   const HandedOn& last = handed_on.back();
   BOOST_TEST(last.whole);
   BOOST_TEST(last.position == At(6));
@@ -167,17 +167,17 @@
   Until([&] { return session.counters().reads > reads; });
   session.SetWatching(false);
   const std::size_t before = targets();
-  session.TakeContent({Target("z", 1000)}, At(1000), false);
+  session.ApplyPeerContent({Target("z", 1000)}, At(1000), false);
   BOOST_TEST(targets() == before + 1);
 }
 
 // Two hosts follow each other. A reading that tells nothing new must end at the
 // one that has it: handed on, it would go to and fro for ever.
 BOOST_AUTO_TEST_CASE(Content_ReadingWithoutNews_IsNotHandedOn) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   BOOST_TEST(handed_on.size() == 1U);
-  session.TakeContent({Target("a", 5)}, At(5), true);
-  session.TakeContent({Target("a", 5)}, At(6), false);
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("a", 5)}, At(6), false);
   BOOST_TEST(handed_on.size() == 1U);
 }
 
@@ -194,7 +194,7 @@
 // was.
 BOOST_AUTO_TEST_CASE(Watch_StoreFallsSilent_IsNoticedAndCatchesUp) {
   session.SetWatching(true);
-  Until([&] { return session.last_well().has_value(); });
+  Until([&] { return session.last_contact().has_value(); });
   SetOutage(standins::Outage::kSilent);
   Until([&] { return lost == 1; });
   PutTarget("a");
@@ -210,12 +210,13 @@
   Until([&] { return targets() == 1; });
   SetOutage(standins::Outage::kBusy);
   Until([&] {
-    session.TakeAge(Duration::zero(), false);
+    session.ApplyPeerAge(Duration::zero(), false);
     return lost == 1;
   });
-  session.TakeAge(Duration::zero(), false);
-  BOOST_TEST(!session.knowledge().store_away());
-  session.TakeContent({{"servers/a", At(1000), std::nullopt}}, At(1000), false);
+  session.ApplyPeerAge(Duration::zero(), false);
+  BOOST_TEST(!session.discovery_state().store_away());
+  session.ApplyPeerContent({{"servers/a", At(1000), std::nullopt}}, At(1000),
+                           false);
   BOOST_TEST(targets() == 0U);
 }
 
@@ -279,14 +280,14 @@
 // Guards against a feeder whose store has not come back yet, for this host, and
 // that hands on words of the era before.
 BOOST_AUTO_TEST_CASE(Content_OfAnEndedEra_IsDropped) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 3);
   newer.position = At(3, 2);
-  session.TakeContent({newer}, At(3, 2), true);
+  session.ApplyPeerContent({newer}, At(3, 2), true);
   BOOST_TEST(handed_on.back().position == At(3, 2));
   const std::size_t before = handed_on.size();
-  session.TakeContent({Target("c", 90)}, At(90), true);
-  session.TakeContent({Target("d", 91)}, At(91), false);
+  session.ApplyPeerContent({Target("c", 90)}, At(90), true);
+  session.ApplyPeerContent({Target("d", 91)}, At(91), false);
   BOOST_TEST(handed_on.size() == before);
   BOOST_TEST(session.position() == At(3, 2));
 }
@@ -294,13 +295,13 @@
 // Guards against a host that takes single changes of an era whose content it
 // does not know.
 BOOST_AUTO_TEST_CASE(Content_ChangesOfANewEraWithoutItsContent_AreNotTaken) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 7);
   newer.position = At(7, 2);
-  session.TakeContent({newer}, At(7, 2), false);
+  session.ApplyPeerContent({newer}, At(7, 2), false);
   BOOST_TEST(targets() == 1U);
-  BOOST_TEST(!session.IsLeftBehind());
-  Until([&] { return session.IsLeftBehind(); });
+  BOOST_TEST(!session.IsNewEraOverdue());
+  Until([&] { return session.IsNewEraOverdue(); });
 }
 
 // Guards against a host that starts now and serves an older configuration than
@@ -315,10 +316,10 @@
   BOOST_TEST(store.content().Restore());
   Until([&] { return session.position().era == StoreEra(2); });
   BOOST_TEST(ConfigVersion() == 2U);
-  handed_on.push_back({session.HandoverSince({}).changes, {}, true});
+  handed_on.push_back({session.UpdateSince({}).changes, {}, true});
   BOOST_TEST(HandedOnConfig(2));
   // Also to a host that has read the copy itself.
-  const StoreHandover rest = session.HandoverSince(session.position());
+  const ContentUpdate rest = session.UpdateSince(session.position());
   BOOST_TEST(!rest.whole);
   BOOST_REQUIRE_EQUAL(rest.changes.size(), 1U);
   BOOST_TEST(rest.changes[0].key == "op/config");
@@ -334,12 +335,12 @@
                        R"({"version":)" + std::to_string(version) +
                            R"(,"routes":[],"services":[]})"};
   };
-  session.TakeContent({config(4, At(5, 2))}, At(8, 2), true);
-  session.TakeContent({config(7, At(83))}, At(8, 2), false);
+  session.ApplyPeerContent({config(4, At(5, 2))}, At(8, 2), true);
+  session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
   BOOST_TEST(ConfigVersion() == 7U);
   BOOST_TEST(HandedOnConfig(7));
   const std::size_t before = handed_on.size();
-  session.TakeContent({config(7, At(83))}, At(8, 2), false);
+  session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
   BOOST_TEST(handed_on.size() == before);
 }
 
@@ -366,7 +367,7 @@
   PutTarget("new");
   Until([&] { return ConfigVersion() == 2; });
   Until([&] {
-    const std::vector<TargetEntry> known = session.knowledge().Targets();
+    const std::vector<TargetEntry> known = session.discovery_state().Targets();
     return known.size() == 1 && known[0].id == TargetId("new");
   });
   Until([&] {
@@ -397,7 +398,7 @@
   session.SetWatching(true);
   session.Register(host);
   const auto is_known = [&] {
-    return session.knowledge().FindHost(host.name) != nullptr;
+    return session.discovery_state().FindHost(host.name) != nullptr;
   };
   Until(is_known);
   const std::uint64_t first =
@@ -421,12 +422,12 @@
   };
   Until([&] { return has("h"); });
   for (const char* name : {"a", "b", "c"}) {
-    session.TakeMember(codec.WriteHost(MakeRecord(name)));
+    session.AddMember(codec.WriteHost(MakeRecord(name)));
   }
   const std::uint64_t writes = session.counters().writes;
   Until([&] { return has("a") && has("b") && has("c"); });
   BOOST_TEST(session.counters().writes == writes + 1);
-  session.DropMember(NodeId("b"));
+  session.RemoveMember(NodeId("b"));
   Until([&] { return !has("b"); });
   BOOST_TEST(has("a"));
 }
@@ -436,11 +437,13 @@
 BOOST_AUTO_TEST_CASE(Members_LeaseIsEndedByTheStore_AreWrittenAgain) {
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  session.TakeMember(codec.WriteHost(MakeRecord("a")));
+  session.AddMember(codec.WriteHost(MakeRecord("a")));
   const std::string key = codec.HostKey(NodeId("a"));
   Until([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
-  Until([&] { return session.knowledge().FindHost(NodeId("a")) != nullptr; });
+  Until([&] {
+    return session.discovery_state().FindHost(NodeId("a")) != nullptr;
+  });
   BOOST_TEST(store.content().End(first));
   Until([&] {
     const auto item = store.content().Get(key);
@@ -455,7 +458,7 @@
   store.content().KeepCopy();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  session.TakeMember(codec.WriteHost(MakeRecord("a")));
+  session.AddMember(codec.WriteHost(MakeRecord("a")));
   Until([&] { return store.content().Get(key).has_value(); });
   BOOST_TEST(store.content().Restore());
   BOOST_TEST(!store.content().Get(key).has_value());
@@ -480,9 +483,13 @@
   store.content().KeepCopy();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  Until([&] { return session.knowledge().FindHost(NodeId("h")) != nullptr; });
+  Until([&] {
+    return session.discovery_state().FindHost(NodeId("h")) != nullptr;
+  });
   put("h");
-  Until([&] { return session.knowledge().FindHost(NodeId("a")) != nullptr; });
+  Until([&] {
+    return session.discovery_state().FindHost(NodeId("a")) != nullptr;
+  });
   session.SetWatching(false);
   const std::uint64_t revision = store.content().Get(key)->revision;
   BOOST_TEST(store.content().Restore());
@@ -511,7 +518,7 @@
   store.Apply(control);
   session.SetWatching(true);
   Until([&] {
-    const HostRecord* held = session.knowledge().FindHost(NodeId("h"));
+    const HostRecord* held = session.discovery_state().FindHost(NodeId("h"));
     return held != nullptr && held->writer == NodeId("h");
   });
 }
@@ -523,7 +530,7 @@
   standins::StoreControl control;
   control.puts.push_back({key, codec.WriteHost(MakeRecord("h")), {}});
   store.Apply(control);
-  session.LeaveRecord();
+  session.DelegateRecord();
   session.Unregister();
   Until([&] { return !store.content().Get(key).has_value(); });
 }
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -33,7 +33,7 @@
   }
 };
 
-struct HubFixture : KnowledgeObserver, FeedHubObserver, FollowerObserver {
+struct HubFixture : DiscoveryObserver, FeedHubObserver, FollowerObserver {
   ManualClock clock;
   SteadyClock store_clock;
   standins::StoreServer store{0, store_clock, {}, 1};
@@ -45,15 +45,15 @@
       loop, clock, codec, *this, NodeId("h"), {"127.0.0.1", store.port()}, 1};
   std::unique_ptr<FeedHub> hub;
 
-  void OnKnowledge(const KnowledgeChange& /*change*/,
-                   const StorePosition& /*position*/) override {}
+  void OnDiscoveryChange(const DiscoveryChange& /*change*/,
+                         const StorePosition& /*position*/) override {}
   void OnContent(const std::vector<StoreChange>& /*changes*/,
                  const StorePosition& /*position*/,
                  bool /*whole*/) override {}
   void OnStoreRestored(StoreEra /*before*/,
                        StoreEra /*era*/,
                        const StorePosition& /*known*/) override {}
-  void OnStoreRead(const StoreReading& /*reading*/) override {}
+  void OnStoreRead(const FullRead& /*reading*/) override {}
   void OnStoreLost(StoreStatus /*status*/,
                    const std::string& /*problem*/) override {}
   void OnStoreRegained() override {}
@@ -120,7 +120,7 @@
 // restored store, and learns nothing of the new era.
 BOOST_AUTO_TEST_CASE(Beat_IsOfAnEraBefore_StoreIsAsked) {
   Begin();
-  session.TakeContent({}, At(1, 2), true);
+  session.ApplyPeerContent({}, At(1, 2), true);
   store.content().KeepCopy();
   BOOST_REQUIRE(store.content().Restore());
   BOOST_TEST(CallsWhenSettled() > 0U);
--- a/test/jacinthdeck/peer/feed_choice_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -17,12 +17,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-[[nodiscard]] HostRecord MakeHost(int number, int domain, int strength = 250) {
+[[nodiscard]] HostRecord MakeHost(int number,
+                                  int domain,
+                                  int cpu_millicores = 250) {
   HostRecord host;
   host.name = NodeId("h" + std::to_string(number));
   host.domain = FailureDomain("d" + std::to_string(domain));
   host.peers = "10.0.0." + std::to_string(number) + ":1";
-  host.strength = static_cast<std::uint32_t>(strength);
+  host.cpu_millicores = static_cast<std::uint32_t>(cpu_millicores);
   return host;
 }
 
@@ -118,7 +120,7 @@
 // The store turns away one watcher alone, silently, while targets leave. It
 // hears of them from another watcher at once, and its own watch goes on.
 BOOST_AUTO_TEST_CASE(Hosts_ThisOneIsTheStrongest_WatchesAndFollowsAnother) {
-  hosts[3].strength = 900;
+  hosts[3].cpu_millicores = 900;
   choice.OnHosts(hosts, now);
   BOOST_TEST(choice.is_watcher());
   const FeedStep step = choice.Step(now);
--- a/test/platform/codecs_test.cc
+++ b/test/platform/codecs_test.cc
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_CASE(Watch_ItemsAndRemovals_AreToldApart) {
   const StoreCodec codec;
-  const WatchBatch batch = codec.ReadBatch(
+  const WatchBatch batch = codec.ReadWatchReply(
       {200,
        R"({"events":[{"key":"a","value":"eA==","revision":4,"created":4,)"
        R"("leaseId":0},{"key":"b","revision":5,"deleted":true}],"readRev":5})",
@@ -130,14 +130,14 @@
 BOOST_AUTO_TEST_CASE(Statuses_OfTheStore_AreToldApart) {
   const StoreCodec codec;
   const auto status = [&](int code) {
-    return codec.ReadBatch({code, "", "", false}, StoreEra{}).status;
+    return codec.ReadWatchReply({code, "", "", false}, StoreEra{}).status;
   };
   BOOST_TEST((status(0) == StoreStatus::kNoReply));
   BOOST_TEST((status(410) == StoreStatus::kCompacted));
   BOOST_TEST((status(429) == StoreStatus::kBusy));
   BOOST_TEST((status(503) == StoreStatus::kBusy));
   BOOST_TEST((status(500) == StoreStatus::kCorrupt));
-  BOOST_TEST((codec.ReadBatch({200, "{", "", false}, StoreEra{}).status ==
+  BOOST_TEST((codec.ReadWatchReply({200, "{", "", false}, StoreEra{}).status ==
               StoreStatus::kCorrupt));
 }
 
@@ -151,18 +151,19 @@
     return made;
   };
   const auto era = [&](int status, const std::string& text) {
-    return codec.ReadBatch(reply(status, text), StoreEra(2)).position.era;
+    return codec.ReadWatchReply(reply(status, text), StoreEra(2)).position.era;
   };
   for (const int status : {200, 404, 410, 412, 429, 503}) {
     BOOST_TEST((era(status, "7") == StoreEra(7)));
   }
   for (const char* text : {"", "x", "7x", "-1", "0", "99999999999999999999"}) {
-    const WatchBatch batch = codec.ReadBatch(reply(200, text), StoreEra(2));
+    const WatchBatch batch =
+        codec.ReadWatchReply(reply(200, text), StoreEra(2));
     BOOST_TEST((batch.status == StoreStatus::kCorrupt));
     BOOST_TEST((batch.position.era == StoreEra(2)));
   }
   const ClientReply unnamed{200, R"({"events":[],"readRev":5})", "", false};
-  BOOST_TEST((codec.ReadBatch(unnamed, StoreEra(2)).position ==
+  BOOST_TEST((codec.ReadWatchReply(unnamed, StoreEra(2)).position ==
               StorePosition{StoreEra(2), 5}));
 }
 
@@ -180,7 +181,7 @@
     }
     ClientReply reply{200, R"({"events":[],"readRev":5})", "", false};
     reply.headers.push_back({"Store-Era", text});
-    const WatchBatch batch = codec.ReadBatch(reply, StoreEra(2));
+    const WatchBatch batch = codec.ReadWatchReply(reply, StoreEra(2));
     const bool read = batch.status == StoreStatus::kOk;
     const bool digits = !text.empty() && text.find_first_not_of("0123456789") ==
                                              std::string::npos;
--- a/test/scenario/world.cc
+++ b/test/scenario/world.cc
@@ -42,7 +42,7 @@
 }
 
 void World::StoreBack() {
-  Act(m_knowledge.OnChanges({}, m_clock.Now()));
+  Act(m_discovery_state.OnChanges({}, m_clock.Now()));
 }
 
 void World::Behave(const std::string& id, const Behaviour& behaviour) {
@@ -85,7 +85,7 @@
       next = std::min(next, m_due.begin()->first);
     }
     next = std::min(next, m_forwarder.NextTimer().value_or(next));
-    next = std::min(next, m_knowledge.NextTimer().value_or(next));
+    next = std::min(next, m_discovery_state.NextTimer().value_or(next));
     // At least a step, so that what is due now is not looked at for ever.
     m_clock.Advance(std::max(next - m_clock.Now(), Duration(1)));
     while (!m_due.empty() && m_due.begin()->first <= m_clock.Now()) {
@@ -96,7 +96,7 @@
       }
     }
     m_forwarder.OnTimer(m_clock.Now());
-    Act(m_knowledge.OnTimer(m_clock.Now()));
+    Act(m_discovery_state.OnTimer(m_clock.Now()));
   }
 }
 
@@ -162,19 +162,19 @@
 }
 
 void World::Take(const StoreChange& change) {
-  Act(m_knowledge.OnChanges({&change, 1}, m_clock.Now()));
+  Act(m_discovery_state.OnChanges({&change, 1}, m_clock.Now()));
 }
 
-void World::Act(const KnowledgeChange& change) {
+void World::Act(const DiscoveryChange& change) {
   if (change.config) {
-    if (m_knowledge.config()->version() < m_version) {
+    if (m_discovery_state.config()->version() < m_version) {
       AddFault("the configuration went back");
     }
-    m_version = m_knowledge.config()->version();
-    (void)m_forwarder.SetConfig(m_knowledge.config());
+    m_version = m_discovery_state.config()->version();
+    (void)m_forwarder.SetConfig(m_discovery_state.config());
   }
   if (change.targets) {
-    m_forwarder.SetTargets(m_knowledge.Targets(), m_clock.Now());
+    m_forwarder.SetTargets(m_discovery_state.Targets(), m_clock.Now());
   }
 }
 
--- a/test/scenario/world.h
+++ b/test/scenario/world.h
@@ -62,7 +62,7 @@
   void PutConfig(const std::string& json);
   void PutTarget(const std::string& id, const std::string& json);
   void RemoveTarget(const std::string& id);
-  void StoreAway() { m_knowledge.OnStoreAway(); }
+  void StoreAway() { m_discovery_state.OnStoreAway(); }
   void StoreBack();
   void Behave(const std::string& id, const Behaviour& behaviour);
   [[nodiscard]] Behaviour BehaviourOf(const std::string& id) const;
@@ -98,14 +98,14 @@
   void ShareConviction(Fingerprint /*fingerprint*/) override {}
 
   void Take(const StoreChange& change);
-  void Act(const KnowledgeChange& change);
+  void Act(const DiscoveryChange& change);
   void Run(const OutgoingAttempt& attempt);
   void CheckParts(const ForwardAnswer& answer, const CallStory& story);
 
   ManualClock m_clock;
   const TimePoint m_start = m_clock.Now();
   platform::StoreCodec m_codec;
-  Knowledge m_knowledge{m_codec};
+  DiscoveryState m_discovery_state{m_codec};
   Random m_random;
   Forwarder m_forwarder;
   std::uint64_t m_revision = 0;
