--- a/src/jacinthdeck/discovery/directory_choice.cc
+++ b/src/jacinthdeck/discovery/directory_choice.cc
@@ -11,26 +11,27 @@
 
 //! Hosts that a caller is told of at least, where there are so many: with fewer
 //! it has nowhere to go while the directory still names those that just died.
-constexpr std::size_t kLeastNamed = 3;
+constexpr std::size_t kMinAddresses = 3;
 //! Own hosts from which callers keep to their failure domain.
-constexpr std::ptrdiff_t kEnoughOwn = 2;
+constexpr std::ptrdiff_t kMinOwnDomainHosts = 2;
 
 //! Leaves hosts of other domains out, but for those that make up the number.
 //! They differ from domain to domain, so that no host gets them all.
-void KeepNear(std::vector<const HostRecord*>& chosen,
-              std::ptrdiff_t own,
-              const FailureDomain& domain) {
-  if (own < kEnoughOwn) {
+void PreferOwnDomain(std::vector<const HostRecord*>& chosen,
+                     std::ptrdiff_t own_count,
+                     const FailureDomain& domain) {
+  if (own_count < kMinOwnDomainHosts) {
     return;
   }
-  const auto others = chosen.begin() + own;
+  const auto others = chosen.begin() + own_count;
   const auto count = chosen.end() - others;
   if (count > 0) {
     const auto first = static_cast<std::ptrdiff_t>(
         std::hash<FailureDomain>{}(domain) % static_cast<std::size_t>(count));
     std::rotate(others, others + first, chosen.end());
   }
-  const std::size_t kept = std::max(static_cast<std::size_t>(own), kLeastNamed);
+  const std::size_t kept =
+      std::max(static_cast<std::size_t>(own_count), kMinAddresses);
   chosen.resize(std::min(chosen.size(), kept));
 }
 
@@ -52,7 +53,7 @@
       chosen.begin(), chosen.end(), [&](const HostRecord* host) {
         return host->domain == request.caller_domain;
       });
-  KeepNear(chosen, others - chosen.begin(), request.caller_domain);
+  PreferOwnDomain(chosen, others - chosen.begin(), request.caller_domain);
   std::vector<std::string> addresses;
   for (const HostRecord* host : chosen) {
     const bool known =
--- a/src/jacinthdeck/discovery/fleet.cc
+++ b/src/jacinthdeck/discovery/fleet.cc
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr std::size_t kLeastWatchers = 3;
+constexpr std::size_t kMinWatchers = 3;
 //! Hosts of a failure domain that take callers at least: one may be lost.
-constexpr std::size_t kLeastFronts = 2;
+constexpr std::size_t kMinFrontsPerDomain = 2;
 //! Connections of a target that one host needs to use its slots.
 constexpr std::uint32_t kConnectionsPerFront = 3;
 //! A host takes callers with the strongest if it has this part of their
 //! strength.
-constexpr double kStrongPart = 0.5;
+constexpr double kMinStrengthShare = 0.5;
 //! More hosts take callers while more than this share of the fronts is busy:
 //! twice as many hosts, of which the former half is busy, are enough.
-constexpr double kBusyShare = 0.5;
+constexpr double kMaxBusyShare = 0.5;
 
 using Ranked = std::map<FailureDomain, std::vector<const HostRecord*>>;
 
@@ -30,7 +30,7 @@
   return left->name < right->name;
 }
 
-[[nodiscard]] Ranked Rank(std::span<const HostRecord> hosts) {
+[[nodiscard]] Ranked RankByDomain(std::span<const HostRecord> hosts) {
   Ranked ranked;
   for (const HostRecord& host : hosts) {
     ranked[host.domain].push_back(&host);
@@ -45,43 +45,44 @@
 [[nodiscard]] std::size_t CountStrong(
     const std::vector<const HostRecord*>& ranked,
     std::uint32_t strongest) {
-  const double least = kStrongPart * strongest;
-  return static_cast<std::size_t>(std::ranges::count_if(
-      ranked,
-      [&](const HostRecord* host) { return host->cpu_millicores >= least; }));
+  const double min_strength = kMinStrengthShare * strongest;
+  return static_cast<std::size_t>(
+      std::ranges::count_if(ranked, [&](const HostRecord* host) {
+        return host->cpu_millicores >= min_strength;
+      }));
 }
 
 //! The first hosts of each domain.
-[[nodiscard]] std::vector<HostRecord> Take(
+[[nodiscard]] std::vector<HostRecord> TakeStrongest(
     const Ranked& ranked,
     const std::map<FailureDomain, std::size_t>& counts) {
-  std::vector<HostRecord> taken;
+  std::vector<HostRecord> strongest_hosts;
   for (const auto& [domain, of_domain] : ranked) {
     const std::size_t count = std::min(counts.at(domain), of_domain.size());
     for (std::size_t i = 0; i < count; ++i) {
-      taken.push_back(*of_domain[i]);
+      strongest_hosts.push_back(*of_domain[i]);
     }
   }
-  return taken;
+  return strongest_hosts;
 }
 
 [[nodiscard]] bool IsBusy(const std::vector<HostRecord>& fronts) {
   const auto busy = std::ranges::count_if(
       fronts, [](const HostRecord& host) { return host.busy; });
   return static_cast<double>(busy) >
-         kBusyShare * static_cast<double>(fronts.size());
+         kMaxBusyShare * static_cast<double>(fronts.size());
 }
 
 }  // namespace
 
 std::vector<NodeId> ChooseWatchers(std::span<const HostRecord> hosts) {
-  const Ranked ranked = Rank(hosts);
+  const Ranked ranked = RankByDomain(hosts);
   std::vector<NodeId> watchers;
   if (ranked.empty()) {
     return watchers;
   }
   const std::size_t per_domain =
-      (kLeastWatchers + ranked.size() - 1) / ranked.size();
+      (kMinWatchers + ranked.size() - 1) / ranked.size();
   for (const auto& [domain, of_domain] : ranked) {
     for (std::size_t i = 0; i < std::min(per_domain, of_domain.size()); ++i) {
       watchers.push_back(of_domain[i]->name);
@@ -95,27 +96,28 @@
   if (hosts.size() <= kSmallFleetSize) {
     return {hosts.begin(), hosts.end()};
   }
-  const Ranked ranked = Rank(hosts);
+  const Ranked ranked = RankByDomain(hosts);
   std::uint32_t strongest = 0;
   for (const HostRecord& host : hosts) {
     strongest = std::max(strongest, host.cpu_millicores);
   }
-  const std::size_t most = std::max<std::size_t>(
-      target_connections / kConnectionsPerFront, kLeastFronts * ranked.size());
-  const std::size_t most_of_domain =
-      std::max<std::size_t>(most / ranked.size(), kLeastFronts);
+  const std::size_t max_fronts =
+      std::max<std::size_t>(target_connections / kConnectionsPerFront,
+                            kMinFrontsPerDomain * ranked.size());
+  const std::size_t max_per_domain =
+      std::max<std::size_t>(max_fronts / ranked.size(), kMinFrontsPerDomain);
   std::map<FailureDomain, std::size_t> counts;
   for (const auto& [domain, of_domain] : ranked) {
     const std::size_t strong = CountStrong(of_domain, strongest);
-    counts[domain] = std::clamp(strong, kLeastFronts, most_of_domain);
+    counts[domain] = std::clamp(strong, kMinFrontsPerDomain, max_per_domain);
   }
-  std::vector<HostRecord> fronts = Take(ranked, counts);
-  while (IsBusy(fronts) && fronts.size() < most) {
+  std::vector<HostRecord> fronts = TakeStrongest(ranked, counts);
+  while (IsBusy(fronts) && fronts.size() < max_fronts) {
     for (auto& [domain, count] : counts) {
-      count = std::min(2 * count, most_of_domain);
+      count = std::min(2 * count, max_per_domain);
     }
     const std::size_t before = fronts.size();
-    fronts = Take(ranked, counts);
+    fronts = TakeStrongest(ranked, counts);
     if (fronts.size() == before) {
       break;
     }
--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -12,9 +12,9 @@
 using std::chrono::milliseconds;
 
 //! Entries of the copy that nobody renews are dropped by then.
-constexpr Duration kCopyLife = milliseconds(4600);
+constexpr Duration kUnrenewedEntryLifetime = milliseconds(4600);
 //! Operators have repeated by then what they wrote in the lost seconds.
-constexpr Duration kOperatorReturn = milliseconds(8000);
+constexpr Duration kOperatorRewriteTime = milliseconds(8000);
 
 //! The earlier of two moments that may be missing.
 [[nodiscard]] std::optional<TimePoint> Earlier(std::optional<TimePoint> left,
@@ -41,10 +41,11 @@
 
 std::optional<TimePoint> DiscoveryState::NextTimer() const {
   const auto entries = Earlier(m_targets.NextExpiry(), m_hosts.NextExpiry());
-  return Earlier(Earlier(entries, m_evacuations.NextExpiry()), m_doubt.Next());
+  return Earlier(Earlier(entries, m_evacuations.NextExpiry()),
+                 m_restore_guard.NextRelease());
 }
 
-std::optional<StoreChange> DiscoveryState::CarriedConfig() const {
+std::optional<StoreChange> DiscoveryState::CarriedOverConfig() const {
   const bool is_carried =
       m_config != nullptr && m_era && m_config_entry.position.era < *m_era;
   return is_carried ? std::optional(m_config_entry) : std::nullopt;
@@ -52,10 +53,10 @@
 
 DiscoveryChange DiscoveryState::OnChanges(std::span<const StoreChange> changes,
                                           TimePoint now) {
-  OnWell(now);
+  OnCallSucceeded(now);
   DiscoveryChange changed;
   for (const StoreChange& change : changes) {
-    Take(change, now, changed);
+    Apply(change, now, changed);
   }
   return changed;
 }
@@ -70,26 +71,26 @@
   }
   m_era = std::max(m_era.value_or(position.era), position.era);
   DiscoveryChange changed = OnChanges(items, now);
-  std::set<std::string> named;
+  std::set<std::string> listed;
   for (const StoreChange& item : items) {
-    named.insert(item.key);
+    listed.insert(item.key);
   }
-  m_doubt.KeepOnly(named);
-  const auto counts_at = m_hold.CountsAt(now);
-  m_targets.RemoveOthers(named, position, counts_at);
-  m_hosts.RemoveOthers(named, position, counts_at);
-  m_evacuations.RemoveOthers(named, position,
-                             restored ? now + kOperatorReturn : now);
-  CountRemovals(now, changed);
+  m_restore_guard.KeepOnly(listed);
+  const auto effective_at = m_removal_hold.EffectiveAt(now);
+  m_targets.RemoveUnlisted(listed, position, effective_at);
+  m_hosts.RemoveUnlisted(listed, position, effective_at);
+  m_evacuations.RemoveUnlisted(listed, position,
+                               restored ? now + kOperatorRewriteTime : now);
+  ApplyDueRemovals(now, changed);
   return changed;
 }
 
-DiscoveryChange DiscoveryState::OnCarried(
+DiscoveryChange DiscoveryState::OnCarriedOver(
     std::span<const StoreChange> changes) {
   DiscoveryChange changed;
   for (const StoreChange& change : changes) {
     if (m_codec.ReadKey(change.key).kind == KeyKind::kConfig) {
-      TakeConfig(change, changed);
+      ApplyConfig(change, changed);
     }
   }
   return changed;
@@ -97,80 +98,81 @@
 
 DiscoveryChange DiscoveryState::OnTimer(TimePoint now) {
   DiscoveryChange changed;
-  for (const StoreChange& entry : m_doubt.TakeDue(now)) {
-    Take(entry, now, changed);
+  for (const StoreChange& entry : m_restore_guard.TakeReleased(now)) {
+    Apply(entry, now, changed);
   }
-  CountRemovals(now, changed);
+  ApplyDueRemovals(now, changed);
   return changed;
 }
 
-void DiscoveryState::CountRemovals(TimePoint now, DiscoveryChange& changed) {
-  changed.AddEvacuations(Expire(m_evacuations, kOperatorReturn, now));
-  changed.targets |= Expire(m_targets, kCopyLife, now);
-  changed.hosts |= Expire(m_hosts, kCopyLife, now);
+void DiscoveryState::ApplyDueRemovals(TimePoint now, DiscoveryChange& changed) {
+  changed.MarkEvacuations(Expire(m_evacuations, kOperatorRewriteTime, now));
+  changed.targets |= Expire(m_targets, kUnrenewedEntryLifetime, now);
+  changed.hosts |= Expire(m_hosts, kUnrenewedEntryLifetime, now);
 }
 
 template <typename Entry>
 bool DiscoveryState::Expire(HeldEntries<Entry>& entries,
-                            Duration doubt,
+                            Duration hold_time,
                             TimePoint now) {
   const std::vector<std::string> expired = entries.Expire(now);
   for (const std::string& key : expired) {
-    m_doubt.OnRemoved(key, doubt, now);
+    m_restore_guard.OnRemoved(key, hold_time, now);
   }
   return !expired.empty();
 }
 
 void DiscoveryState::BeginEra(const StorePosition& position, TimePoint now) {
-  m_hold.OnRestored(now);
-  m_targets.SetExpiry(*m_hold.CountsAt(now));
-  m_hosts.SetExpiry(*m_hold.CountsAt(now));
-  m_doubt.OnRestored(position, now);
-  for (const std::string& key : m_targets.RemovedKeys()) {
-    m_doubt.Add(key, now + kCopyLife);
+  m_removal_hold.OnRestored(now);
+  m_targets.SetExpiry(*m_removal_hold.EffectiveAt(now));
+  m_hosts.SetExpiry(*m_removal_hold.EffectiveAt(now));
+  m_restore_guard.OnRestored(position, now);
+  for (const std::string& key : m_targets.PendingRemovalKeys()) {
+    m_restore_guard.HoldUntil(key, now + kUnrenewedEntryLifetime);
   }
-  for (const std::string& key : m_hosts.RemovedKeys()) {
-    m_doubt.Add(key, now + kCopyLife);
+  for (const std::string& key : m_hosts.PendingRemovalKeys()) {
+    m_restore_guard.HoldUntil(key, now + kUnrenewedEntryLifetime);
   }
   if (!m_schema.empty()) {
-    m_doubt.Add(m_codec.SchemaKey(), now + kOperatorReturn);
+    m_restore_guard.HoldUntil(m_codec.SchemaKey(), now + kOperatorRewriteTime);
   }
   for (const auto& [service, text] : m_indexes) {
-    m_doubt.Add(m_codec.IndexKey(service.raw()), now + kOperatorReturn);
+    m_restore_guard.HoldUntil(m_codec.IndexKey(service.raw()),
+                              now + kOperatorRewriteTime);
   }
 }
 
-void DiscoveryState::OnWell(TimePoint now) {
-  const bool was_away = m_hold.away();
-  m_hold.OnWell(now);
+void DiscoveryState::OnCallSucceeded(TimePoint now) {
+  const bool was_away = m_removal_hold.away();
+  m_removal_hold.OnCallSucceeded(now);
   if (was_away) {
-    m_targets.SetExpiry(*m_hold.CountsAt(now));
-    m_hosts.SetExpiry(*m_hold.CountsAt(now));
+    m_targets.SetExpiry(*m_removal_hold.EffectiveAt(now));
+    m_hosts.SetExpiry(*m_removal_hold.EffectiveAt(now));
   }
 }
 
-void DiscoveryState::Take(const StoreChange& change,
-                          TimePoint now,
-                          DiscoveryChange& changed) {
-  if (m_doubt.PutsOff(change, now)) {
+void DiscoveryState::Apply(const StoreChange& change,
+                           TimePoint now,
+                           DiscoveryChange& changed) {
+  if (m_restore_guard.HoldBack(change, now)) {
     return;
   }
   if (change.value) {
-    m_doubt.OnWritten(change.key);
+    m_restore_guard.OnWritten(change.key);
   }
   const ParsedKey name = m_codec.ReadKey(change.key);
   switch (name.kind) {
     case KeyKind::kConfig:
-      TakeConfig(change, changed);
+      ApplyConfig(change, changed);
       break;
     case KeyKind::kEvacuation:
-      TakeEvacuation(name.id, change, now, changed);
+      ApplyEvacuation(name.id, change, now, changed);
       break;
     case KeyKind::kTarget:
-      TakeTarget(name.id, change, now, changed);
+      ApplyTarget(name.id, change, now, changed);
       break;
     case KeyKind::kHost:
-      TakeHost(change, now, changed);
+      ApplyHost(change, now, changed);
       break;
     case KeyKind::kConviction: {
       std::uint64_t raw = 0;
@@ -200,17 +202,17 @@
   }
 }
 
-void DiscoveryState::TakeConfig(const StoreChange& change,
-                                DiscoveryChange& changed) {
+void DiscoveryState::ApplyConfig(const StoreChange& change,
+                                 DiscoveryChange& changed) {
   if (!change.value) {
     return;
   }
-  auto read = Capture([&] { return m_codec.ReadConfig(*change.value); });
-  if (auto* error = std::get_if<Error>(&read)) {
+  auto parsed = Capture([&] { return m_codec.ReadConfig(*change.value); });
+  if (auto* error = std::get_if<Error>(&parsed)) {
     changed.unreadable.push_back(std::move(*error));
     return;
   }
-  auto& config = std::get<0>(read);
+  auto& config = std::get<0>(parsed);
   const bool is_newer =
       m_config == nullptr || config->version() > m_config->version();
   const bool is_repeated = !is_newer &&
@@ -225,17 +227,17 @@
   }
 }
 
-void DiscoveryState::TakeEvacuation(const std::string& id,
-                                    const StoreChange& change,
-                                    TimePoint now,
-                                    DiscoveryChange& changed) {
+void DiscoveryState::ApplyEvacuation(const std::string& id,
+                                     const StoreChange& change,
+                                     TimePoint now,
+                                     DiscoveryChange& changed) {
   if (!change.value) {
     m_evacuations.Remove(change.key, change.position, now);
-    changed.AddEvacuations(Expire(m_evacuations, kOperatorReturn, now));
+    changed.MarkEvacuations(Expire(m_evacuations, kOperatorRewriteTime, now));
     return;
   }
-  auto read = Capture([&] { return m_codec.ReadEvacuation(id); });
-  if (auto* error = std::get_if<Error>(&read)) {
+  auto parsed = Capture([&] { return m_codec.ReadEvacuation(id); });
+  if (auto* error = std::get_if<Error>(&parsed)) {
     changed.unreadable.push_back(std::move(*error));
     return;
   }
@@ -244,65 +246,66 @@
   const TimePoint since = news ? now : known->since;
   (void)m_evacuations.Put(
       change.key, change.position,
-      {std::get<0>(std::move(read)), change.position, since});
-  changed.AddEvacuations(news);
+      {std::get<0>(std::move(parsed)), change.position, since});
+  changed.MarkEvacuations(news);
 }
 
-void DiscoveryState::TakeTarget(const std::string& id,
-                                const StoreChange& change,
-                                TimePoint now,
-                                DiscoveryChange& changed) {
+void DiscoveryState::ApplyTarget(const std::string& id,
+                                 const StoreChange& change,
+                                 TimePoint now,
+                                 DiscoveryChange& changed) {
   if (!change.value) {
     const TargetEntry* entry = m_targets.Find(change.key);
     // One that said it was leaving has left.
     const bool draining = entry != nullptr && entry->draining;
     m_targets.Remove(change.key, change.position,
-                     draining ? now : m_hold.CountsAt(now));
-    changed.targets |= Expire(m_targets, kCopyLife, now);
+                     draining ? now : m_removal_hold.EffectiveAt(now));
+    changed.targets |= Expire(m_targets, kUnrenewedEntryLifetime, now);
     return;
   }
-  auto read = Capture([&] { return m_codec.ReadTarget(id, *change.value); });
-  if (auto* error = std::get_if<Error>(&read)) {
+  auto parsed = Capture([&] { return m_codec.ReadTarget(id, *change.value); });
+  if (auto* error = std::get_if<Error>(&parsed)) {
     // An entry that cannot be read names no target, and hides no other.
-    m_targets.Drop(change.key);
+    m_targets.Erase(change.key);
     changed.targets = true;
     changed.unreadable.push_back(std::move(*error));
     return;
   }
-  auto& reading = std::get<0>(read);
-  if (reading.problem) {
-    changed.unreadable.push_back(std::move(*reading.problem));
+  auto& parsed_target = std::get<0>(parsed);
+  if (parsed_target.problem) {
+    changed.unreadable.push_back(std::move(*parsed_target.problem));
   }
-  reading.entry.cold_until = now + reading.cold_for;
+  parsed_target.entry.cold_until = now + parsed_target.cold_for;
   // Read again in a whole content, the same entry would start its cold time
   // anew. The copy's entry may be from before the target began to leave.
   const TargetEntry* known = m_targets.FindAt(change.key, change.position);
   if (known == nullptr) {
-    known = m_targets.FindBefore(change.key, change.position.era);
+    known = m_targets.FindFromEarlierEra(change.key, change.position.era);
   }
   if (known != nullptr) {
-    reading.entry.cold_until = known->cold_until;
-    reading.entry.draining |= known->draining;
+    parsed_target.entry.cold_until = known->cold_until;
+    parsed_target.entry.draining |= known->draining;
   }
-  changed.targets |=
-      m_targets.Put(change.key, change.position, std::move(reading.entry));
+  changed.targets |= m_targets.Put(change.key, change.position,
+                                   std::move(parsed_target.entry));
 }
 
-void DiscoveryState::TakeHost(const StoreChange& change,
-                              TimePoint now,
-                              DiscoveryChange& changed) {
+void DiscoveryState::ApplyHost(const StoreChange& change,
+                               TimePoint now,
+                               DiscoveryChange& changed) {
   if (!change.value) {
-    m_hosts.Remove(change.key, change.position, m_hold.CountsAt(now));
-    changed.hosts |= Expire(m_hosts, kCopyLife, now);
+    m_hosts.Remove(change.key, change.position,
+                   m_removal_hold.EffectiveAt(now));
+    changed.hosts |= Expire(m_hosts, kUnrenewedEntryLifetime, now);
     return;
   }
-  auto read = Capture([&] { return m_codec.ReadHost(*change.value); });
-  if (auto* error = std::get_if<Error>(&read)) {
+  auto parsed = Capture([&] { return m_codec.ReadHost(*change.value); });
+  if (auto* error = std::get_if<Error>(&parsed)) {
     changed.unreadable.push_back(std::move(*error));
     return;
   }
   changed.hosts |=
-      m_hosts.Put(change.key, change.position, std::get<0>(std::move(read)));
+      m_hosts.Put(change.key, change.position, std::get<0>(std::move(parsed)));
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/knowledge.h
+++ b/src/jacinthdeck/discovery/knowledge.h
@@ -41,7 +41,7 @@
   std::vector<Error> unreadable;
 
   //! Targets change with the evacuations of their domains.
-  void AddEvacuations(bool changed) noexcept {
+  void MarkEvacuations(bool changed) noexcept {
     evacuations |= changed;
     targets |= changed;
   }
@@ -92,7 +92,9 @@
   [[nodiscard]] std::size_t host_count() const noexcept {
     return m_hosts.size();
   }
-  [[nodiscard]] bool store_away() const noexcept { return m_hold.away(); }
+  [[nodiscard]] bool store_away() const noexcept {
+    return m_removal_hold.away();
+  }
   /**
    * \brief The configuration in force, if an era before wrote it and this one
    * has none that is as new.
@@ -100,13 +102,13 @@
    * Handed on beside the content of this era: a host that starts now would
    * serve an older one than the others.
    */
-  [[nodiscard]] std::optional<StoreChange> CarriedConfig() const;
+  [[nodiscard]] std::optional<StoreChange> CarriedOverConfig() const;
 
   /*! \brief Moment at which OnTimer() is due. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /*! \brief Takes a failed call to the store. */
-  void OnStoreAway() noexcept { m_hold.OnAway(); }
+  void OnStoreAway() noexcept { m_removal_hold.OnCallFailed(); }
 
   /*! \brief Takes changes, in the order of their revisions, after a call that
    * went well. */
@@ -124,43 +126,45 @@
 
   /*! \brief Takes what another host carries over from an era before; only a
    * configuration counts, by its version. */
-  DiscoveryChange OnCarried(std::span<const StoreChange> changes);
+  DiscoveryChange OnCarriedOver(std::span<const StoreChange> changes);
 
   /*! \brief Lets removals count that are due, and entries that were put off. */
   DiscoveryChange OnTimer(TimePoint now);
 
  private:
-  void Take(const StoreChange& change, TimePoint now, DiscoveryChange& changed);
-  void TakeConfig(const StoreChange& change, DiscoveryChange& changed);
-  void TakeEvacuation(const std::string& id,
-                      const StoreChange& change,
-                      TimePoint now,
-                      DiscoveryChange& changed);
-  void TakeTarget(const std::string& id,
-                  const StoreChange& change,
-                  TimePoint now,
-                  DiscoveryChange& changed);
-  void TakeHost(const StoreChange& change,
-                TimePoint now,
-                DiscoveryChange& changed);
-  void OnWell(TimePoint now);
+  void Apply(const StoreChange& change,
+             TimePoint now,
+             DiscoveryChange& changed);
+  void ApplyConfig(const StoreChange& change, DiscoveryChange& changed);
+  void ApplyEvacuation(const std::string& id,
+                       const StoreChange& change,
+                       TimePoint now,
+                       DiscoveryChange& changed);
+  void ApplyTarget(const std::string& id,
+                   const StoreChange& change,
+                   TimePoint now,
+                   DiscoveryChange& changed);
+  void ApplyHost(const StoreChange& change,
+                 TimePoint now,
+                 DiscoveryChange& changed);
+  void OnCallSucceeded(TimePoint now);
   void BeginEra(const StorePosition& position, TimePoint now);
   //! Lets removals count that are due.
-  void CountRemovals(TimePoint now, DiscoveryChange& changed);
+  void ApplyDueRemovals(TimePoint now, DiscoveryChange& changed);
   /**
    * \brief Lets removals of one kind of entries count that are due.
-   * \param doubt How long a copy's entry of a removed key is put off.
+   * \param hold_time How long a copy's entry of a removed key is put off.
    */
   template <typename Entry>
   [[nodiscard]] bool Expire(HeldEntries<Entry>& entries,
-                            Duration doubt,
+                            Duration hold_time,
                             TimePoint now);
 
   const PlatformCodec& m_codec;
-  RemovalHold m_hold;
+  RemovalHold m_removal_hold;
   //! Of the last reading; nothing before the first.
   std::optional<StoreEra> m_era;
-  RestoreGuard m_doubt;
+  RestoreGuard m_restore_guard;
   std::shared_ptr<const RoutingConfig> m_config;
   //! What m_config was read from.
   StoreChange m_config_entry;
--- a/src/jacinthdeck/discovery/member_records.cc
+++ b/src/jacinthdeck/discovery/member_records.cc
@@ -12,7 +12,7 @@
 
 //! A host whose link ended may come back, or be written elsewhere, within this
 //! time; its record is left alone so long.
-constexpr Duration kLinger = std::chrono::milliseconds(3000);
+constexpr Duration kOrphanGrace = std::chrono::milliseconds(3000);
 //! Each removal is an entry of a write, and so is its condition.
 constexpr std::size_t kMaxRemovals = StoreWrite::kMaxEntries / 2;
 
@@ -20,7 +20,7 @@
 
 void MemberRecords::OnMember(HostRecord record) {
   record.writer = m_self;
-  m_strays.erase(record.name);
+  m_orphans.erase(record.name);
   Member& member = m_members[record.name];
   member.dirty = member.dirty || member.record != record;
   member.record = std::move(record);
@@ -31,36 +31,36 @@
 }
 
 void MemberRecords::OnLeaseLost() {
-  m_strays.clear();
+  m_orphans.clear();
   for (auto& [name, member] : m_members) {
     member.dirty = true;
     member.position = {};
   }
 }
 
-void MemberRecords::OnHosts(std::span<const StoredRecord> held,
+void MemberRecords::OnHosts(std::span<const StoredRecord> stored,
                             const StorePosition& position,
                             TimePoint now) {
-  std::set<NodeId> named;
-  std::map<NodeId, Stray> strays;
-  for (const StoredRecord& host : held) {
+  std::set<NodeId> listed;
+  std::map<NodeId, Orphan> orphans;
+  for (const StoredRecord& host : stored) {
     const NodeId& name = host.record.name;
-    named.insert(name);
+    listed.insert(name);
     const bool own = host.record.writer == m_self && name != m_self;
     if (!own || m_members.contains(name)) {
       continue;
     }
-    const auto known = m_strays.find(name);
-    const bool same =
-        known != m_strays.end() && known->second.held.position == host.position;
-    strays[name] = same ? known->second : Stray{host, now};
+    const auto known = m_orphans.find(name);
+    const bool same = known != m_orphans.end() &&
+                      known->second.stored.position == host.position;
+    orphans[name] = same ? known->second : Orphan{host, now};
   }
-  m_strays = std::move(strays);
+  m_orphans = std::move(orphans);
   for (auto& [name, member] : m_members) {
     // The store may drop a key while its lease seems to hold.
     const bool known =
         member.position.revision != 0 && position >= member.position;
-    member.dirty = member.dirty || (known && !named.contains(name));
+    member.dirty = member.dirty || (known && !listed.contains(name));
   }
 }
 
@@ -74,22 +74,22 @@
   if (!write.puts.empty()) {
     return write;
   }
-  for (const auto& [name, stray] : m_strays) {
-    if (now < stray.since + kLinger) {
+  for (const auto& [name, orphan] : m_orphans) {
+    if (now < orphan.since + kOrphanGrace) {
       continue;
     }
-    if (stray.alone) {
-      return {.puts = {}, .removals = {stray.held}};
+    if (orphan.remove_alone) {
+      return {.puts = {}, .removals = {orphan.stored}};
     }
     if (write.removals.size() < kMaxRemovals) {
-      write.removals.push_back(stray.held);
+      write.removals.push_back(orphan.stored);
     }
   }
   return write;
 }
 
 void MemberRecords::OnWritten(const MemberWrite& write,
-                              MemberWriteResult end,
+                              MemberWriteResult result,
                               const StorePosition& position) {
   for (const HostRecord& put : write.puts) {
     const auto found = m_members.find(put.name);
@@ -99,14 +99,14 @@
     }
   }
   for (const StoredRecord& removal : write.removals) {
-    const auto found = m_strays.find(removal.record.name);
-    if (found == m_strays.end()) {
+    const auto found = m_orphans.find(removal.record.name);
+    if (found == m_orphans.end()) {
       continue;
     }
-    if (end == MemberWriteResult::kConflict && write.removals.size() > 1) {
-      found->second.alone = true;
+    if (result == MemberWriteResult::kConflict && write.removals.size() > 1) {
+      found->second.remove_alone = true;
     } else {
-      m_strays.erase(found);
+      m_orphans.erase(found);
     }
   }
 }
--- a/src/jacinthdeck/discovery/member_records.h
+++ b/src/jacinthdeck/discovery/member_records.h
@@ -61,7 +61,7 @@
 
   /*! \brief Tells whether nothing is written for anybody. */
   [[nodiscard]] bool empty() const noexcept {
-    return m_members.empty() && m_strays.empty();
+    return m_members.empty() && m_orphans.empty();
   }
 
   /*! \brief Takes a member, or its changed record. */
@@ -76,10 +76,10 @@
 
   /**
    * \brief Compares what was written with what the store holds.
-   * \param held Records of all hosts.
+   * \param stored Records of all hosts.
    * \param position Position up to which they are known.
    */
-  void OnHosts(std::span<const StoredRecord> held,
+  void OnHosts(std::span<const StoredRecord> stored,
                const StorePosition& position,
                TimePoint now);
 
@@ -92,7 +92,7 @@
    * \param position The store's after it, where it was done.
    */
   void OnWritten(const MemberWrite& write,
-                 MemberWriteResult end,
+                 MemberWriteResult result,
                  const StorePosition& position);
 
  private:
@@ -103,17 +103,17 @@
     //! Of the last write.
     StorePosition position;
   };
-  struct Stray {
-    StoredRecord held;
+  struct Orphan {
+    StoredRecord stored;
     TimePoint since;
     //! Its removal goes alone, as one beside it met a conflict.
-    bool alone = false;
+    bool remove_alone = false;
   };
 
   const NodeId m_self;
   std::map<NodeId, Member> m_members;
   //! Records of this writer whose hosts are no members.
-  std::map<NodeId, Stray> m_strays;
+  std::map<NodeId, Orphan> m_orphans;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/record_writer.cc
+++ b/src/jacinthdeck/discovery/record_writer.cc
@@ -12,37 +12,38 @@
 using std::chrono::milliseconds;
 
 //! When all hosts start: time in which most of them are heard of.
-constexpr Duration kFleetStart = milliseconds(2500);
+constexpr Duration kFleetStartTime = milliseconds(2500);
 //! Time in which a lost feeder is mostly replaced, below the life of its lease.
-constexpr Duration kLinkPatience = milliseconds(3000);
+constexpr Duration kFeederLossTimeout = milliseconds(3000);
 
 }  // namespace
 
 RecordWriterChoice::RecordWriterChoice(bool fleet_starts, TimePoint now)
-    : m_settled_at(now + (fleet_starts ? kFleetStart : Duration::zero())) {}
+    : m_fleet_known_at(now +
+                       (fleet_starts ? kFleetStartTime : Duration::zero())) {}
 
-bool RecordWriterChoice::Update(const FleetRole& part, TimePoint now) {
+bool RecordWriterChoice::Update(const FleetRole& role, TimePoint now) {
   const RecordWriter before = m_writer;
-  m_writer = Choose(part, now);
+  m_writer = Choose(role, now);
   return m_writer != before;
 }
 
-RecordWriter RecordWriterChoice::Choose(const FleetRole& part, TimePoint now) {
-  if (part.has_feeder) {
-    m_unlinked_since.reset();
-  } else if (!m_unlinked_since) {
-    m_unlinked_since = now;
+RecordWriter RecordWriterChoice::Choose(const FleetRole& role, TimePoint now) {
+  if (role.has_feeder) {
+    m_no_feeder_since.reset();
+  } else if (!m_no_feeder_since) {
+    m_no_feeder_since = now;
   }
-  const bool knows = part.knows_hosts && now >= m_settled_at;
-  const bool small = part.hosts <= kSmallFleetSize;
-  if (part.feeds_others || (knows && (small || part.is_front))) {
+  const bool knows_fleet = role.knows_hosts && now >= m_fleet_known_at;
+  const bool small = role.hosts <= kSmallFleetSize;
+  if (role.feeds_others || (knows_fleet && (small || role.is_front))) {
     return RecordWriter::kSelf;
   }
-  if (part.has_feeder) {
+  if (role.has_feeder) {
     return RecordWriter::kFeeder;
   }
-  return now - *m_unlinked_since >= kLinkPatience ? RecordWriter::kSelf
-                                                  : m_writer;
+  return now - *m_no_feeder_since >= kFeederLossTimeout ? RecordWriter::kSelf
+                                                        : m_writer;
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/record_writer.h
+++ b/src/jacinthdeck/discovery/record_writer.h
@@ -57,16 +57,16 @@
 
   /*! \brief Chooses anew; called some times a second.
    * \return True if the choice is another one than before. */
-  bool Update(const FleetRole& part, TimePoint now);
+  bool Update(const FleetRole& role, TimePoint now);
 
  private:
-  [[nodiscard]] RecordWriter Choose(const FleetRole& part, TimePoint now);
+  [[nodiscard]] RecordWriter Choose(const FleetRole& role, TimePoint now);
 
   //! From when on the known hosts are the fleet.
-  const TimePoint m_settled_at;
+  const TimePoint m_fleet_known_at;
   RecordWriter m_writer = RecordWriter::kNobody;
   //! Since when no feeder is heard; nothing while one is.
-  std::optional<TimePoint> m_unlinked_since;
+  std::optional<TimePoint> m_no_feeder_since;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/removal_hold.h
+++ b/src/jacinthdeck/discovery/removal_hold.h
@@ -24,13 +24,13 @@
       std::chrono::milliseconds(2300);
 
   /*! \brief Takes a failed call. */
-  void OnAway() noexcept { m_away = true; }
+  void OnCallFailed() noexcept { m_away = true; }
 
   /*! \brief Takes a call that went well. */
-  void OnWell(TimePoint now) noexcept {
+  void OnCallSucceeded(TimePoint now) noexcept {
     if (m_away) {
       m_away = false;
-      m_back = now;
+      m_available_since = now;
     }
   }
 
@@ -38,18 +38,18 @@
    * that live. */
   void OnRestored(TimePoint now) noexcept {
     m_away = false;
-    m_back = now;
+    m_available_since = now;
   }
 
   /*! \brief Tells when a removal seen now counts; nothing while the store is
    * away. */
-  [[nodiscard]] std::optional<TimePoint> CountsAt(
+  [[nodiscard]] std::optional<TimePoint> EffectiveAt(
       TimePoint now) const noexcept {
     if (m_away) {
       return std::nullopt;
     }
-    if (m_back && now < *m_back + kReregistrationTime) {
-      return *m_back + kReregistrationTime;
+    if (m_available_since && now < *m_available_since + kReregistrationTime) {
+      return *m_available_since + kReregistrationTime;
     }
     return now;
   }
@@ -59,7 +59,7 @@
  private:
   bool m_away = false;
   //! End of the last outage, or moment of the last restore.
-  std::optional<TimePoint> m_back;
+  std::optional<TimePoint> m_available_since;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/restore_doubt.cc
+++ b/src/jacinthdeck/discovery/restore_doubt.cc
@@ -7,58 +7,59 @@
 namespace jacinthdeck {
 
 void RestoreGuard::OnRemoved(const std::string& key,
-                             Duration patience,
+                             Duration hold_time,
                              TimePoint now) {
   std::erase_if(m_removed, [&](const auto& removed) {
-    return now - removed.second.at > kLongestLoss;
+    return now - removed.second.at > kMaxLossWindow;
   });
-  m_removed[key] = Removal{now, patience};
+  m_removed[key] = Removal{now, hold_time};
 }
 
-void RestoreGuard::Add(const std::string& key, TimePoint until) {
-  m_doubts[key] = Doubt{until, {}};
+void RestoreGuard::HoldUntil(const std::string& key, TimePoint until) {
+  m_delays[key] = Delay{until, {}};
 }
 
 void RestoreGuard::OnRestored(const StorePosition& position, TimePoint now) {
-  m_copy = position;
-  m_doubts.clear();
+  m_restored_position = position;
+  m_delays.clear();
   for (const auto& [key, removed] : m_removed) {
-    if (now - removed.at <= kLongestLoss) {
-      Add(key, now + removed.patience);
+    if (now - removed.at <= kMaxLossWindow) {
+      HoldUntil(key, now + removed.hold_time);
     }
   }
 }
 
-bool RestoreGuard::PutsOff(const StoreChange& change, TimePoint now) {
-  const auto found = m_doubts.find(change.key);
-  if (found == m_doubts.end()) {
+bool RestoreGuard::HoldBack(const StoreChange& change, TimePoint now) {
+  const auto found = m_delays.find(change.key);
+  if (found == m_delays.end()) {
     return false;
   }
-  const bool is_of_copy = change.value && change.position <= m_copy;
-  if (!is_of_copy || now >= found->second.until) {
-    m_doubts.erase(found);
+  const bool is_restored =
+      change.value && change.position <= m_restored_position;
+  if (!is_restored || now >= found->second.until) {
+    m_delays.erase(found);
     return false;
   }
   found->second.entry = change;
   return true;
 }
 
-void RestoreGuard::KeepOnly(const std::set<std::string>& named) {
-  std::erase_if(m_doubts, [&](const auto& doubt) {
-    return !named.contains(doubt.first);
+void RestoreGuard::KeepOnly(const std::set<std::string>& listed) {
+  std::erase_if(m_delays, [&](const auto& delay) {
+    return !listed.contains(delay.first);
   });
 }
 
-std::optional<TimePoint> RestoreGuard::Next() const {
+std::optional<TimePoint> RestoreGuard::NextRelease() const {
   const auto first = std::ranges::min_element(
-      m_doubts, {}, [](const auto& doubt) { return doubt.second.until; });
-  return first == m_doubts.end() ? std::nullopt
+      m_delays, {}, [](const auto& delay) { return delay.second.until; });
+  return first == m_delays.end() ? std::nullopt
                                  : std::optional(first->second.until);
 }
 
-std::vector<StoreChange> RestoreGuard::TakeDue(TimePoint now) {
+std::vector<StoreChange> RestoreGuard::TakeReleased(TimePoint now) {
   std::vector<StoreChange> due;
-  for (auto at = m_doubts.begin(); at != m_doubts.end();) {
+  for (auto at = m_delays.begin(); at != m_delays.end();) {
     if (at->second.until > now) {
       ++at;
       continue;
@@ -66,7 +67,7 @@
     if (at->second.entry) {
       due.push_back(std::move(*at->second.entry));
     }
-    at = m_doubts.erase(at);
+    at = m_delays.erase(at);
   }
   return due;
 }
--- a/src/jacinthdeck/discovery/restore_doubt.h
+++ b/src/jacinthdeck/discovery/restore_doubt.h
@@ -24,19 +24,19 @@
 class RestoreGuard {
  public:
   //! Removals before that were in the copy already.
-  static constexpr Duration kLongestLoss = std::chrono::seconds(60);
+  static constexpr Duration kMaxLossWindow = std::chrono::seconds(60);
 
   /**
    * \brief Takes the removal of a key.
-   * \param patience How long a copy's entry of it is put off.
+   * \param hold_time How long a copy's entry of it is put off.
    */
-  void OnRemoved(const std::string& key, Duration patience, TimePoint now);
+  void OnRemoved(const std::string& key, Duration hold_time, TimePoint now);
 
   /*! \brief Takes that a key was written, other than by a copy. */
   void OnWritten(const std::string& key) { m_removed.erase(key); }
 
   /*! \brief Begins to doubt a key. */
-  void Add(const std::string& key, TimePoint until);
+  void HoldUntil(const std::string& key, TimePoint until);
 
   /**
    * \brief Begins to doubt all keys that were removed lately.
@@ -47,20 +47,20 @@
 
   /*! \brief Tells whether a change is put off; it is kept then. A change that
    * was made after the restore ends the doubt of its key. */
-  [[nodiscard]] bool PutsOff(const StoreChange& change, TimePoint now);
+  [[nodiscard]] bool HoldBack(const StoreChange& change, TimePoint now);
 
   /*! \brief Ends the doubt of keys that a reading does not name. */
-  void KeepOnly(const std::set<std::string>& named);
+  void KeepOnly(const std::set<std::string>& listed);
 
-  /*! \brief Earliest moment at which TakeDue() gives something. */
-  [[nodiscard]] std::optional<TimePoint> Next() const;
+  /*! \brief Earliest moment at which TakeReleased() gives something. */
+  [[nodiscard]] std::optional<TimePoint> NextRelease() const;
 
   /*! \brief Ends doubts that are due.
    * \return The entries that were put off. */
-  [[nodiscard]] std::vector<StoreChange> TakeDue(TimePoint now);
+  [[nodiscard]] std::vector<StoreChange> TakeReleased(TimePoint now);
 
  private:
-  struct Doubt {
+  struct Delay {
     TimePoint until;
     //! Of the copy; nothing if it does not hold the key.
     std::optional<StoreChange> entry;
@@ -68,13 +68,13 @@
 
   struct Removal {
     TimePoint at;
-    Duration patience{};
+    Duration hold_time{};
   };
 
-  //! Keys that were removed within kLongestLoss.
+  //! Keys that were removed within kMaxLossWindow.
   std::map<std::string, Removal> m_removed;
-  std::map<std::string, Doubt> m_doubts;
-  StorePosition m_copy;
+  std::map<std::string, Delay> m_delays;
+  StorePosition m_restored_position;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/store_content.cc
+++ b/src/jacinthdeck/discovery/store_content.cc
@@ -15,9 +15,9 @@
   return items;
 }
 
-std::optional<std::vector<StoreChange>> StoreContent::Since(
+std::optional<std::vector<StoreChange>> StoreContent::ChangesSince(
     const StorePosition& position) const {
-  if (!m_removals_from || position < *m_removals_from) {
+  if (!m_removals_complete_from || position < *m_removals_complete_from) {
     return std::nullopt;
   }
   std::vector<StoreChange> changes;
@@ -42,48 +42,48 @@
 
 std::vector<StoreChange> StoreContent::Apply(
     std::span<const StoreChange> changes) {
-  std::vector<StoreChange> news;
+  std::vector<StoreChange> applied;
   for (const StoreChange& change : changes) {
-    if (!IsNews(change)) {
+    if (!IsNewer(change)) {
       continue;
     }
-    news.push_back(change);
-    ++m_changes;
+    applied.push_back(change);
+    ++m_change_count;
     if (change.value) {
       m_items[change.key] = change;
       m_removed.erase(change.key);
     } else {
       m_items.erase(change.key);
-      Remember(change.key, change.position);
+      RecordRemoval(change.key, change.position);
     }
   }
-  return news;
+  return applied;
 }
 
 std::vector<StoreChange> StoreContent::Replace(
     std::span<const StoreChange> items,
     const StorePosition& position) {
-  if (m_removals_from && position.era > m_era) {
+  if (m_removals_complete_from && position.era > m_era) {
     Clear();
   }
   m_era = std::max(m_era, position.era);
-  std::set<std::string> named;
+  std::set<std::string> listed;
   for (const StoreChange& item : items) {
-    named.insert(item.key);
+    listed.insert(item.key);
   }
   for (auto at = m_items.begin(); at != m_items.end();) {
     const bool gone =
-        !named.contains(at->first) && at->second.position <= position;
+        !listed.contains(at->first) && at->second.position <= position;
     if (gone) {
-      Remember(at->first, position);
-      ++m_changes;
+      RecordRemoval(at->first, position);
+      ++m_change_count;
     }
     at = gone ? m_items.erase(at) : std::next(at);
   }
   (void)Apply(items);
   // Keys that went between two readings are remembered as removed at the
   // second, so that the first one's revision holds on.
-  m_removals_from = m_removals_from.value_or(position);
+  m_removals_complete_from = m_removals_complete_from.value_or(position);
   std::vector<StoreChange> valid;
   std::ranges::copy_if(
       items, std::back_inserter(valid),
@@ -91,7 +91,7 @@
   return valid;
 }
 
-bool StoreContent::IsNews(const StoreChange& change) const {
+bool StoreContent::IsNewer(const StoreChange& change) const {
   if (change.position.era < m_era) {
     return false;
   }
@@ -107,22 +107,23 @@
 }
 
 void StoreContent::Clear() {
-  ++m_changes;
+  ++m_change_count;
   m_items.clear();
   m_removed.clear();
-  m_removals_from.reset();
+  m_removals_complete_from.reset();
 }
 
-void StoreContent::Remember(const std::string& key,
-                            const StorePosition& position) {
+void StoreContent::RecordRemoval(const std::string& key,
+                                 const StorePosition& position) {
   m_removed[key] = position;
   if (m_removed.size() <= kMaxRemovals) {
     return;
   }
   const auto oldest = std::ranges::min_element(
       m_removed, {}, [](const auto& removal) { return removal.second; });
-  if (m_removals_from) {
-    m_removals_from = std::max(*m_removals_from, oldest->second);
+  if (m_removals_complete_from) {
+    m_removals_complete_from =
+        std::max(*m_removals_complete_from, oldest->second);
   }
   m_removed.erase(oldest);
 }
--- a/src/jacinthdeck/discovery/store_content.h
+++ b/src/jacinthdeck/discovery/store_content.h
@@ -35,14 +35,16 @@
    * \return Changes in the order of their positions; nothing if some of the
    * removals since then are not known here, or it is of another era.
    */
-  [[nodiscard]] std::optional<std::vector<StoreChange>> Since(
+  [[nodiscard]] std::optional<std::vector<StoreChange>> ChangesSince(
       const StorePosition& position) const;
 
   /*! \brief Position of a key's last write; revision 0 if it is not there. */
   [[nodiscard]] StorePosition PositionOf(const std::string& key) const;
 
   /*! \brief Counts what was ever changed; equal counts mean equal content. */
-  [[nodiscard]] std::uint64_t changes() const noexcept { return m_changes; }
+  [[nodiscard]] std::uint64_t changes() const noexcept {
+    return m_change_count;
+  }
 
   /**
    * \brief Takes changes.
@@ -58,19 +60,19 @@
                                    const StorePosition& position);
 
  private:
-  [[nodiscard]] bool IsNews(const StoreChange& change) const;
-  void Remember(const std::string& key, const StorePosition& position);
+  [[nodiscard]] bool IsNewer(const StoreChange& change) const;
+  void RecordRemoval(const std::string& key, const StorePosition& position);
   void Clear();
 
   std::map<std::string, StoreChange> m_items;
   //! Removed keys and when; disjoint from m_items.
   std::map<std::string, StorePosition> m_removed;
-  std::uint64_t m_changes = 0;
+  std::uint64_t m_change_count = 0;
   //! Of the last whole content.
   StoreEra m_era{};
   //! Position from which on all removals are in m_removed; nothing before the
   //! first whole content.
-  std::optional<StorePosition> m_removals_from;
+  std::optional<StorePosition> m_removals_complete_from;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -20,20 +20,20 @@
 //! costs a call.
 constexpr Duration kWatchWait = milliseconds(1500);
 //! Time beyond the wait after which a watch is taken for lost.
-constexpr Duration kWatchSlack = milliseconds(900);
+constexpr Duration kWatchTimeoutMargin = milliseconds(900);
 //! Pause after a change: registrations come in bunches, and each batch costs a
 //! call.
-constexpr Duration kGather = milliseconds(200);
+constexpr Duration kBatchDelay = milliseconds(200);
 //! Another host that heard the store so lately proves that it is not away for
 //! all. Below the time in which an own call shows that the store went silent.
-constexpr Duration kHeardLately = milliseconds(800);
+constexpr Duration kRecentContact = milliseconds(800);
 //! Hosts that write again what a restored store lacks do so one by one.
-constexpr Duration kRewriteSpread = milliseconds(400);
+constexpr Duration kMaxRewriteDelay = milliseconds(400);
 //! Feeders hear of a new era with their next renewal or watch, and hand it on.
-constexpr Duration kEraPatience = milliseconds(1500);
+constexpr Duration kNewEraTimeout = milliseconds(1500);
 //! Bounds of the pause after a failed call.
-constexpr Duration kFirstPause = milliseconds(100);
-constexpr Duration kLongestPause = milliseconds(800);
+constexpr Duration kMinBackoff = milliseconds(100);
+constexpr Duration kMaxBackoff = milliseconds(800);
 
 }  // namespace
 
@@ -51,10 +51,10 @@
       m_discovery_state(codec),
       m_reads(loop, store.address, store.port),
       m_read_timer(loop),
-      m_read_backoff(kFirstPause, kLongestPause),
+      m_read_backoff(kMinBackoff, kMaxBackoff),
       m_writes(loop, store.address, store.port),
       m_write_timer(loop),
-      m_write_backoff(kFirstPause, seconds(1)),
+      m_write_backoff(kMinBackoff, seconds(1)),
       m_name(std::move(name)),
       m_members(m_name) {}
 
@@ -77,51 +77,53 @@
   // a feeder that lags tells of one that has ended.
   const bool applies = m_loaded && position.era == m_position.era;
   const bool begins = whole && (!m_loaded || position.era > m_position.era);
-  (void)TakeEra(position.era);
+  (void)ObserveEra(position.era);
   if (!applies && !begins) {
     return;
   }
   std::vector<StoreChange> content;
-  std::vector<StoreChange> carried;
+  std::vector<StoreChange> carried_over;
   std::ranges::partition_copy(changes, std::back_inserter(content),
-                              std::back_inserter(carried),
+                              std::back_inserter(carried_over),
                               [&](const StoreChange& change) {
                                 return change.position.era == position.era;
                               });
   const bool restored = m_loaded && begins;
   m_loaded = true;
-  Take(content, position, whole);
-  TakeCarried(carried);
+  ApplyContent(content, position, whole);
+  ApplyCarriedOver(carried_over);
   if (restored) {
-    m_must_read = false;
-    RestartReading();
+    m_needs_full_read = false;
+    RestartRead();
   }
 }
 
-void StoreSession::TakeCarried(const std::vector<StoreChange>& changes) {
-  const DiscoveryChange change = m_discovery_state.OnCarried(changes);
+void StoreSession::ApplyCarriedOver(const std::vector<StoreChange>& changes) {
+  const DiscoveryChange change = m_discovery_state.OnCarriedOver(changes);
   if (change.config) {
     m_observer.OnContent(changes, m_position, false);
   }
-  Tell(change);
+  Notify(change);
 }
 
 ContentUpdate StoreSession::UpdateSince(const StorePosition& position) const {
   ContentUpdate handover{m_position, true, {}};
-  auto since = position.revision > 0 ? m_content.Since(position) : std::nullopt;
+  auto since =
+      position.revision > 0 ? m_content.ChangesSince(position) : std::nullopt;
   handover.whole = !since.has_value();
   handover.changes = since ? std::move(*since) : m_content.Items();
-  if (auto config = m_discovery_state.CarriedConfig()) {
+  if (auto config = m_discovery_state.CarriedOverConfig()) {
     handover.changes.push_back(std::move(*config));
   }
   return handover;
 }
 
 bool StoreSession::IsNewEraOverdue() const {
-  return m_behind_since && m_clock.Now() - *m_behind_since >= kEraPatience;
+  return m_ended_era_since &&
+         m_clock.Now() - *m_ended_era_since >= kNewEraTimeout;
 }
 
-StoreSession::EraOrder StoreSession::TakeEra(StoreEra era) {
+StoreSession::EraOrder StoreSession::ObserveEra(StoreEra era) {
   if (era <= m_era) {
     return era == m_era ? EraOrder::kCurrent : EraOrder::kEnded;
   }
@@ -129,18 +131,19 @@
   if (before == StoreEra{} && !m_loaded) {
     return EraOrder::kCurrent;
   }
-  m_behind_since = m_clock.Now();
+  m_ended_era_since = m_clock.Now();
   m_observer.OnStoreRestored(before, era, m_position);
   // The lease may be gone, or its number another host's by now.
   m_lease = 0;
-  m_written = false;
+  m_record_written = false;
   m_members.OnLeaseLost();
-  const auto bound = static_cast<std::uint64_t>(kRewriteSpread.count());
-  StepAfter(Duration(static_cast<Duration::rep>(m_random.Below(bound))));
+  const auto bound = static_cast<std::uint64_t>(kMaxRewriteDelay.count());
+  ScheduleWriteStep(
+      Duration(static_cast<Duration::rep>(m_random.Below(bound))));
   return EraOrder::kNew;
 }
 
-void StoreSession::RestartReading() {
+void StoreSession::RestartRead() {
   if (!m_watching) {
     return;
   }
@@ -153,28 +156,28 @@
   const TimePoint now = m_clock.Now();
   if (age) {
     const TimePoint heard = now - *age;
-    m_last_well = std::max(m_last_well.value_or(heard), heard);
-    m_others_heard = heard;
+    m_last_contact = std::max(m_last_contact.value_or(heard), heard);
+    m_peer_contact = heard;
   }
-  const bool heard_by_self = m_watching && m_loaded && !m_lost;
+  const bool heard_by_self = m_watching && m_loaded && !m_store_lost;
   if (store_away && !heard_by_self) {
     m_discovery_state.OnStoreAway();
   } else if (!store_away && m_discovery_state.store_away()) {
-    Tell(m_discovery_state.OnChanges({}, now));
+    Notify(m_discovery_state.OnChanges({}, now));
   }
 }
 
 void StoreSession::Resume() {
-  if (m_loaded && !m_must_read && !IsBehind()) {
+  if (m_loaded && !m_needs_full_read && !IsInEndedEra()) {
     Watch();
   } else {
-    ReadAll();
+    StartFullRead();
   }
 }
 
-void StoreSession::Take(const std::vector<StoreChange>& changes,
-                        const StorePosition& position,
-                        bool whole) {
+void StoreSession::ApplyContent(const std::vector<StoreChange>& changes,
+                                const StorePosition& position,
+                                bool whole) {
   const TimePoint now = m_clock.Now();
   const std::uint64_t changes_before = m_content.changes();
   const std::vector<StoreChange> news =
@@ -183,10 +186,10 @@
     m_era_since = now;
   }
   m_position = std::max(m_position, position);
-  if (!IsBehind()) {
-    m_behind_since.reset();
-  } else if (!m_behind_since) {
-    m_behind_since = now;
+  if (!IsInEndedEra()) {
+    m_ended_era_since.reset();
+  } else if (!m_ended_era_since) {
+    m_ended_era_since = now;
   }
   const DiscoveryChange change =
       whole ? m_discovery_state.OnFullRead(news, position, now)
@@ -200,19 +203,19 @@
   } else {
     m_observer.OnContent(news, m_position, false);
   }
-  Tell(change);
+  Notify(change);
 }
 
 void StoreSession::CheckTimes() {
   const TimePoint now = m_clock.Now();
   const auto due = m_discovery_state.NextTimer();
   if (due && *due <= now) {
-    Tell(m_discovery_state.OnTimer(now));
+    Notify(m_discovery_state.OnTimer(now));
   }
-  CheckMembers();
+  WriteDueMembers();
 }
 
-void StoreSession::ReadAll() {
+void StoreSession::StartFullRead() {
   m_pages.clear();
   m_pages_position.reset();
   ReadPage();
@@ -228,7 +231,7 @@
 }
 
 void StoreSession::OnPage(const StorePage& page) {
-  const EraOrder order = TakeEra(page.position.era);
+  const EraOrder order = ObserveEra(page.position.era);
   if (page.status != StoreStatus::kOk) {
     OnFailure(page.status, page.problem);
     return;
@@ -238,7 +241,7 @@
     return;
   }
   if (m_pages_position && m_pages_position->era != page.position.era) {
-    ReadAll();
+    StartFullRead();
     return;
   }
   // Pages are no snapshot: the watch goes on from the first one, and takes a
@@ -251,16 +254,16 @@
     ReadPage();
     return;
   }
-  OnWell();
-  TellReading();
+  OnCallSucceeded();
+  NotifyFullRead();
   m_loaded = true;
-  m_must_read = false;
-  Take(m_pages, *m_pages_position, true);
+  m_needs_full_read = false;
+  ApplyContent(m_pages, *m_pages_position, true);
   m_pages.clear();
-  WatchAfter(kGather);
+  WatchAfter(kBatchDelay);
 }
 
-void StoreSession::TellReading() {
+void StoreSession::NotifyFullRead() {
   const auto outdated =
       std::ranges::count_if(m_pages, [&](const StoreChange& item) {
         return item.position < m_content.PositionOf(item.key);
@@ -274,40 +277,41 @@
 void StoreSession::Watch() {
   ++m_counters.watches;
   m_reads.Call(m_codec.WatchCall(m_position.revision, kWatchWait),
-               kWatchWait + kWatchSlack, [this](const ClientReply& reply) {
+               kWatchWait + kWatchTimeoutMargin,
+               [this](const ClientReply& reply) {
                  OnBatch(m_codec.ReadWatchReply(reply, m_era));
                });
 }
 
 void StoreSession::OnBatch(const WatchBatch& batch) {
-  const EraOrder order = TakeEra(batch.position.era);
+  const EraOrder order = ObserveEra(batch.position.era);
   const bool answered = batch.status == StoreStatus::kOk ||
                         batch.status == StoreStatus::kCompacted;
   if (answered && order == EraOrder::kEnded) {
     OnFailure(StoreStatus::kOutdated, "watch of an ended era");
     return;
   }
-  if (answered && IsBehind()) {
+  if (answered && IsInEndedEra()) {
     // What it brings comes after a revision of the era before, which the
     // present one has given out again: changes before that would be missing.
-    ReadAll();
+    StartFullRead();
     return;
   }
   if (batch.status == StoreStatus::kCompacted) {
     // What is known stays valid, and so do changes that another host hands on:
     // a host that stopped watching in the middle of the reading and took none
     // of them would look fresh and know nothing new.
-    m_must_read = true;
-    ReadAll();
+    m_needs_full_read = true;
+    StartFullRead();
     return;
   }
   if (batch.status != StoreStatus::kOk) {
     OnFailure(batch.status, batch.problem);
     return;
   }
-  OnWell();
-  Take(batch.changes, batch.position, false);
-  WatchAfter(batch.changes.empty() ? Duration::zero() : kGather);
+  OnCallSucceeded();
+  ApplyContent(batch.changes, batch.position, false);
+  WatchAfter(batch.changes.empty() ? Duration::zero() : kBatchDelay);
 }
 
 void StoreSession::WatchAfter(Duration pause) {
@@ -323,26 +327,26 @@
   });
 }
 
-void StoreSession::OnWell() {
-  m_last_well = m_clock.Now();
+void StoreSession::OnCallSucceeded() {
+  m_last_contact = m_clock.Now();
   m_read_backoff.OnSuccess();
-  if (m_lost) {
-    m_lost = false;
+  if (m_store_lost) {
+    m_store_lost = false;
     m_observer.OnStoreRegained();
   }
 }
 
 void StoreSession::OnFailure(StoreStatus status, const std::string& problem) {
   ++m_counters.failures;
-  const bool heard_by_others =
-      m_others_heard && m_clock.Now() - *m_others_heard < kHeardLately;
+  const bool heard_by_peer =
+      m_peer_contact && m_clock.Now() - *m_peer_contact < kRecentContact;
   // Taken for away, a store that refuses this host alone would delay removals
   // that others tell of: targets that have left would get requests.
-  if (!heard_by_others) {
+  if (!heard_by_peer) {
     m_discovery_state.OnStoreAway();
   }
-  if (!m_lost) {
-    m_lost = true;
+  if (!m_store_lost) {
+    m_store_lost = true;
     m_observer.OnStoreLost(status, problem);
   }
   m_read_timer.expires_after(m_read_backoff.OnFailure(m_random));
@@ -353,7 +357,7 @@
   });
 }
 
-void StoreSession::Tell(const DiscoveryChange& change) {
+void StoreSession::Notify(const DiscoveryChange& change) {
   if (change.hosts) {
     CheckOwnRecord();
     CompareMembers();
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -78,7 +78,7 @@
   /*! \brief Moment of the last call that went well; nothing before the first.
    */
   [[nodiscard]] std::optional<TimePoint> last_contact() const noexcept {
-    return m_last_well;
+    return m_last_contact;
   }
 
   /*! \brief Begins to watch the store, or ends it; what is known stays. */
@@ -100,7 +100,7 @@
   void ApplyPeerAge(std::optional<Duration> age, bool store_away);
 
   /*! \brief Says how long this host's record may outlive it. */
-  void SetLeaseDuration(Duration life) noexcept { m_lease_life = life; }
+  void SetLeaseDuration(Duration life) noexcept { m_lease_duration = life; }
 
   /*! \brief Keeps this host's record in the store from now on. */
   void Register(const HostRecord& record);
@@ -136,50 +136,50 @@
   enum class EraOrder { kCurrent, kNew, kEnded };
 
   // Reading, in store_session.cc.
-  void ReadAll();
+  void StartFullRead();
   void ReadPage();
   void OnPage(const StorePage& page);
-  void TellReading();
+  void NotifyFullRead();
   void Watch();
   void OnBatch(const WatchBatch& batch);
   void WatchAfter(Duration pause);
-  void OnWell();
+  void OnCallSucceeded();
   void OnFailure(StoreStatus status, const std::string& problem);
   void Resume();
   //! Begins the reading or watch under way anew.
-  void RestartReading();
-  [[nodiscard]] bool IsBehind() const noexcept {
+  void RestartRead();
+  [[nodiscard]] bool IsInEndedEra() const noexcept {
     return m_position.era < m_era;
   }
   //! Hears of an era; one that is new ends this host's lease.
-  [[nodiscard]] EraOrder TakeEra(StoreEra era);
-  void Take(const std::vector<StoreChange>& changes,
-            const StorePosition& position,
-            bool whole);
+  [[nodiscard]] EraOrder ObserveEra(StoreEra era);
+  void ApplyContent(const std::vector<StoreChange>& changes,
+                    const StorePosition& position,
+                    bool whole);
   //! Takes what another host carries over from an era before.
-  void TakeCarried(const std::vector<StoreChange>& changes);
-  void Tell(const DiscoveryChange& change);
+  void ApplyCarriedOver(const std::vector<StoreChange>& changes);
+  void Notify(const DiscoveryChange& change);
 
   // Writing, in store_session_writes.cc.
-  void Step();
-  void StepAfter(Duration pause);
+  void RunWriteStep();
+  void ScheduleWriteStep(Duration pause);
   //! Makes a call of a write; one that ends neither well nor as accepted is
   //! told and tried again later.
   void Send(const ClientRequest& request,
             std::optional<StoreStatus> accepted,
             std::function<void(const StoreAck&)> done);
-  void Grant();
-  void Put();
-  void Renew();
-  void End();
-  void Remove();
+  void GrantLease();
+  void PutRecord();
+  void RenewLease();
+  void EndLease();
+  void RemoveRecord();
   void WriteMembers();
   void WriteConviction();
   void OnWriteFailed(StoreStatus status);
   void CheckOwnRecord();
   void CompareMembers();
-  void CheckMembers();
-  [[nodiscard]] Duration RenewPause() const noexcept;
+  void WriteDueMembers();
+  [[nodiscard]] Duration RenewInterval() const noexcept;
 
   const Clock& m_clock;
   const PlatformCodec& m_codec;
@@ -195,19 +195,19 @@
   //! Everything was read once, here or by a host that handed it on.
   bool m_loaded = false;
   //! The store forgot the history after m_position: a watch cannot go on there.
-  bool m_must_read = false;
+  bool m_needs_full_read = false;
   bool m_watching = false;
-  bool m_lost = false;
+  bool m_store_lost = false;
   StoreEra m_era{};
   //! Since when the content is of its era.
   std::optional<TimePoint> m_era_since;
   //! Since when the content is of an ended era; nothing while it is not.
-  std::optional<TimePoint> m_behind_since;
+  std::optional<TimePoint> m_ended_era_since;
   //! Where the next watch goes on.
   StorePosition m_position;
-  std::optional<TimePoint> m_last_well;
+  std::optional<TimePoint> m_last_contact;
   //! When a host that is followed last heard the store.
-  std::optional<TimePoint> m_others_heard;
+  std::optional<TimePoint> m_peer_contact;
   //! The reading under way.
   std::vector<StoreChange> m_pages;
   //! Of its first page.
@@ -221,16 +221,16 @@
   //! another host's to write.
   std::optional<HostRecord> m_record;
   //! The record is to be taken out of the store.
-  bool m_must_remove = false;
+  bool m_removal_due = false;
   MemberRecords m_members;
   //! When they are looked at next.
-  TimePoint m_members_at;
-  Duration m_lease_life = std::chrono::milliseconds(3500);
+  TimePoint m_next_member_write;
+  Duration m_lease_duration = std::chrono::milliseconds(3500);
   //! 0 while there is no lease.
   std::uint64_t m_lease = 0;
-  bool m_written = false;
+  bool m_record_written = false;
   //! Of the record's last write: content that is older cannot miss it.
-  StorePosition m_written_position;
+  StorePosition m_record_position;
   TimePoint m_renew_at;
   std::vector<Fingerprint> m_convictions;
 };
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -13,34 +13,34 @@
 
 constexpr Duration kWriteTimeout = milliseconds(1200);
 //! Renewals within a lease's life: two may be lost before it ends.
-constexpr int kRenewalsInLife = 3;
+constexpr int kRenewalsPerLease = 3;
 //! Between two looks at what is to be written for members: they come in
 //! bunches, and each write is a call.
-constexpr Duration kMembersPause = milliseconds(300);
+constexpr Duration kMemberWriteInterval = milliseconds(300);
 //! Other hosts have refused the request for long by then.
-constexpr Duration kConvictionLife = seconds(60);
+constexpr Duration kConvictionLeaseDuration = seconds(60);
 //! Convictions that wait for the store.
-constexpr std::size_t kMostConvictions = 16;
+constexpr std::size_t kMaxPendingConvictions = 16;
 
 }  // namespace
 
 void StoreSession::Register(const HostRecord& record) {
   m_record = record;
-  m_written = false;
-  StepAfter(Duration::zero());
+  m_record_written = false;
+  ScheduleWriteStep(Duration::zero());
 }
 
 void StoreSession::DelegateRecord() {
   m_record.reset();
   m_lease = 0;
-  m_written = false;
+  m_record_written = false;
 }
 
 void StoreSession::Unregister() {
   m_record.reset();
-  m_must_remove = true;
+  m_removal_due = true;
   m_writes.Abort();
-  StepAfter(Duration::zero());
+  ScheduleWriteStep(Duration::zero());
 }
 
 void StoreSession::AddMember(const std::string& value) {
@@ -48,7 +48,7 @@
   if (auto* error = std::get_if<Error>(&read)) {
     DiscoveryChange change;
     change.unreadable.push_back(std::move(*error));
-    Tell(change);
+    Notify(change);
     return;
   }
   m_members.OnMember(std::get<0>(std::move(read)));
@@ -59,44 +59,44 @@
 }
 
 void StoreSession::ShareConviction(Fingerprint fingerprint) {
-  if (m_convictions.size() < kMostConvictions) {
+  if (m_convictions.size() < kMaxPendingConvictions) {
     m_convictions.push_back(fingerprint);
   }
   if (!m_writes.busy()) {
-    StepAfter(Duration::zero());
+    ScheduleWriteStep(Duration::zero());
   }
 }
 
-void StoreSession::StepAfter(Duration pause) {
+void StoreSession::ScheduleWriteStep(Duration pause) {
   m_write_timer.expires_after(pause);
   m_write_timer.async_wait([this](const SystemError& ended) {
     if (!ended && !m_writes.busy()) {
-      Step();
+      RunWriteStep();
     }
   });
 }
 
-void StoreSession::Step() {
-  if (m_must_remove) {
+void StoreSession::RunWriteStep() {
+  if (m_removal_due) {
     if (m_lease != 0 && m_members.empty()) {
-      End();
+      EndLease();
     } else {
-      Remove();
+      RemoveRecord();
     }
   } else if (!m_record) {
     if (!m_convictions.empty()) {
       WriteConviction();
     }
   } else if (m_lease == 0) {
-    Grant();
-  } else if (!m_written) {
-    Put();
+    GrantLease();
+  } else if (!m_record_written) {
+    PutRecord();
   } else if (!m_convictions.empty()) {
     WriteConviction();
   } else if (m_clock.Now() >= m_renew_at) {
-    Renew();
+    RenewLease();
   } else {
-    StepAfter(m_renew_at - m_clock.Now());
+    ScheduleWriteStep(m_renew_at - m_clock.Now());
   }
 }
 
@@ -107,10 +107,10 @@
       request, kWriteTimeout,
       [this, accepted, done = std::move(done)](const ClientReply& reply) {
         const StoreAck ack = m_codec.ReadWriteReply(reply, m_era);
-        const EraOrder order = TakeEra(ack.position.era);
+        const EraOrder order = ObserveEra(ack.position.era);
         if (order == EraOrder::kNew) {
           // The next step begins with a lease of this era.
-          RestartReading();
+          RestartRead();
           return;
         }
         if (order == EraOrder::kEnded) {
@@ -125,62 +125,62 @@
       });
 }
 
-void StoreSession::Grant() {
+void StoreSession::GrantLease() {
   ++m_counters.writes;
-  Send(m_codec.GrantCall(m_lease_life), {}, [this](const StoreAck& ack) {
+  Send(m_codec.GrantCall(m_lease_duration), {}, [this](const StoreAck& ack) {
     if (ack.lease == 0) {
       OnWriteFailed(ack.status);
       return;
     }
     m_lease = ack.lease;
-    m_written = false;
+    m_record_written = false;
     m_members.OnLeaseLost();
-    m_renew_at = m_clock.Now() + RenewPause();
-    Step();
+    m_renew_at = m_clock.Now() + RenewInterval();
+    RunWriteStep();
   });
 }
 
-void StoreSession::Put() {
+void StoreSession::PutRecord() {
   ++m_counters.writes;
   m_record->writer = m_name;
   StoreWrite write;
   write.puts.push_back(
       {m_codec.HostKey(m_name), m_codec.WriteHost(*m_record), m_lease});
   Send(m_codec.WriteCall(write), {}, [this](const StoreAck& ack) {
-    m_written = true;
-    m_written_position = ack.position;
+    m_record_written = true;
+    m_record_position = ack.position;
     m_write_backoff.OnSuccess();
     m_observer.OnRegistration(StoreStatus::kOk);
-    Step();
+    RunWriteStep();
   });
 }
 
-void StoreSession::Renew() {
+void StoreSession::RenewLease() {
   ++m_counters.renewals;
   Send(m_codec.RenewCall(m_lease), {}, [this](const StoreAck&) {
     m_write_backoff.OnSuccess();
-    m_renew_at = m_clock.Now() + RenewPause();
-    StepAfter(m_lease == 0 ? Duration::zero() : RenewPause());
+    m_renew_at = m_clock.Now() + RenewInterval();
+    ScheduleWriteStep(m_lease == 0 ? Duration::zero() : RenewInterval());
   });
 }
 
-void StoreSession::End() {
+void StoreSession::EndLease() {
   ++m_counters.writes;
   Send(m_codec.EndCall(m_lease), StoreStatus::kNoLease,
        [this](const StoreAck&) {
          m_lease = 0;
-         m_must_remove = false;
+         m_removal_due = false;
        });
 }
 
 //! What this host wrote for members stays until its lease ends: by then they
 //! have found another writer, and none of them was missing from the store.
-void StoreSession::Remove() {
+void StoreSession::RemoveRecord() {
   ++m_counters.writes;
   StoreWrite write;
   write.removals.push_back(m_codec.HostKey(m_name));
   Send(m_codec.WriteCall(write), {},
-       [this](const StoreAck&) { m_must_remove = false; });
+       [this](const StoreAck&) { m_removal_due = false; });
 }
 
 void StoreSession::WriteMembers() {
@@ -207,57 +207,58 @@
                                  : MemberWriteResult::kConflict,
                              ack.position);
          m_write_backoff.OnSuccess();
-         Step();
+         RunWriteStep();
        });
 }
 
 void StoreSession::WriteConviction() {
   ++m_counters.writes;
-  Send(m_codec.GrantCall(kConvictionLife), {}, [this](const StoreAck& lease) {
-    if (m_convictions.empty()) {
-      OnWriteFailed(lease.status);
-      return;
-    }
-    ++m_counters.writes;
-    StoreWrite write;
-    write.puts.push_back(
-        {m_codec.ConvictionKey(m_convictions.back()), "1", lease.lease});
-    Send(m_codec.WriteCall(write), {}, [this](const StoreAck&) {
-      if (!m_convictions.empty()) {
-        m_convictions.pop_back();
-      }
-      Step();
-    });
-  });
+  Send(m_codec.GrantCall(kConvictionLeaseDuration), {},
+       [this](const StoreAck& lease) {
+         if (m_convictions.empty()) {
+           OnWriteFailed(lease.status);
+           return;
+         }
+         ++m_counters.writes;
+         StoreWrite write;
+         write.puts.push_back(
+             {m_codec.ConvictionKey(m_convictions.back()), "1", lease.lease});
+         Send(m_codec.WriteCall(write), {}, [this](const StoreAck&) {
+           if (!m_convictions.empty()) {
+             m_convictions.pop_back();
+           }
+           RunWriteStep();
+         });
+       });
 }
 
 void StoreSession::OnWriteFailed(StoreStatus status) {
   ++m_counters.failures;
   if (status == StoreStatus::kNoLease) {
     m_lease = 0;
-    m_written = false;
+    m_record_written = false;
     m_members.OnLeaseLost();
   }
   m_observer.OnRegistration(status);
   const Duration pause = m_write_backoff.OnFailure(m_random);
-  m_members_at = m_clock.Now() + pause;
-  StepAfter(pause);
+  m_next_member_write = m_clock.Now() + pause;
+  ScheduleWriteStep(pause);
 }
 
-Duration StoreSession::RenewPause() const noexcept {
-  return m_lease_life / kRenewalsInLife;
+Duration StoreSession::RenewInterval() const noexcept {
+  return m_lease_duration / kRenewalsPerLease;
 }
 
 void StoreSession::CheckOwnRecord() {
-  if (!m_record || !m_written || m_position < m_written_position) {
+  if (!m_record || !m_record_written || m_position < m_record_position) {
     return;
   }
-  const HostRecord* held = m_discovery_state.FindHost(m_name);
-  if (held != nullptr && held->writer == m_name) {
+  const HostRecord* stored = m_discovery_state.FindHost(m_name);
+  if (stored != nullptr && stored->writer == m_name) {
     return;
   }
-  m_written = false;
-  if (held == nullptr) {
+  m_record_written = false;
+  if (stored == nullptr) {
     // The store may drop the record while its lease still seems to hold; other
     // hosts would send no callers here until it is written again.
     m_lease = 0;
@@ -266,7 +267,7 @@
   // Else a former feeder's late write stands in its place, and would go when
   // that one notices.
   if (!m_writes.busy()) {
-    StepAfter(Duration::zero());
+    ScheduleWriteStep(Duration::zero());
   }
 }
 
@@ -274,23 +275,23 @@
   if (!m_record) {
     return;
   }
-  std::vector<StoredRecord> held;
+  std::vector<StoredRecord> stored;
   for (HostRecord& host : m_discovery_state.Hosts()) {
     const StorePosition position =
         m_content.PositionOf(m_codec.HostKey(host.name));
-    held.push_back({std::move(host), position});
+    stored.push_back({std::move(host), position});
   }
-  m_members.OnHosts(held, m_position, m_clock.Now());
+  m_members.OnHosts(stored, m_position, m_clock.Now());
 }
 
-void StoreSession::CheckMembers() {
+void StoreSession::WriteDueMembers() {
   // Conditions on revisions of an ended era could hold for other writes.
-  const bool can_write =
-      m_record && m_written && m_lease != 0 && !IsBehind() && !m_writes.busy();
-  if (!can_write || m_clock.Now() < m_members_at) {
+  const bool can_write = m_record && m_record_written && m_lease != 0 &&
+                         !IsInEndedEra() && !m_writes.busy();
+  if (!can_write || m_clock.Now() < m_next_member_write) {
     return;
   }
-  m_members_at = m_clock.Now() + kMembersPause;
+  m_next_member_write = m_clock.Now() + kMemberWriteInterval;
   WriteMembers();
 }
 
--- a/test/jacinthdeck/discovery/directory_choice_test.cc
+++ b/test/jacinthdeck/discovery/directory_choice_test.cc
@@ -38,29 +38,29 @@
 
 BOOST_FIXTURE_TEST_SUITE(DirectoryChoiceTest, DirectoryFixture)
 
-BOOST_AUTO_TEST_CASE(Domain_HasThreeHosts_CallersKeepToIt) {
+BOOST_AUTO_TEST_CASE(Domain_HasThreeHosts_OnlyTheyAreReturned) {
   BOOST_TEST(Ask("a").size() == 3U);
   BOOST_TEST(Ask("a").front() == "10.0.0.1:80");
 }
 
 // Both hosts of a domain may die at one moment, and are named until their
 // leases end. A third, of another domain, leaves its callers somewhere to go.
-BOOST_AUTO_TEST_CASE(Domain_HasTwoHosts_OneOfAnotherIsNamedToo) {
-  const auto named = Ask("c");
-  BOOST_TEST(named.size() == 3U);
-  BOOST_TEST(named[0] == "10.0.0.5:80");
-  BOOST_TEST(named[1] == "10.0.0.6:80");
+BOOST_AUTO_TEST_CASE(Domain_HasTwoHosts_OneOfAnotherDomainIsAdded) {
+  const auto addresses = Ask("c");
+  BOOST_TEST(addresses.size() == 3U);
+  BOOST_TEST(addresses[0] == "10.0.0.5:80");
+  BOOST_TEST(addresses[1] == "10.0.0.6:80");
 }
 
-BOOST_AUTO_TEST_CASE(Domain_HasOneHostOrNone_AllAreNamed) {
+BOOST_AUTO_TEST_CASE(Domain_HasOneHostOrNone_AllAreReturned) {
   BOOST_TEST(Ask("b").size() == 6U);
   BOOST_TEST(Ask("elsewhere").size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(Self_IsStopping_IsNotNamed) {
-  const auto named = Ask("b", false);
-  BOOST_TEST(named.size() == 5U);
-  BOOST_TEST((std::ranges::find(named, "10.0.0.4:80") == named.end()));
+BOOST_AUTO_TEST_CASE(Self_IsStopping_IsNotReturned) {
+  const auto addresses = Ask("b", false);
+  BOOST_TEST(addresses.size() == 5U);
+  BOOST_TEST((std::ranges::find(addresses, "10.0.0.4:80") == addresses.end()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/discovery/fleet_test.cc
+++ b/test/jacinthdeck/discovery/fleet_test.cc
@@ -47,7 +47,7 @@
 
 BOOST_AUTO_TEST_SUITE(FleetTest)
 
-BOOST_AUTO_TEST_CASE(Watchers_AnyFleet_AreFewAndInEachDomain) {
+BOOST_AUTO_TEST_CASE(Watchers_AnyFleetSize_AreFewAndInEachDomain) {
   BOOST_TEST(ChooseWatchers({}).empty());
   BOOST_TEST(ChooseWatchers(MakeFleet(1, 0, 2)).size() == 2U);
   BOOST_TEST(ChooseWatchers(MakeFleet(1, 0, 8)).size() == 3U);
@@ -61,7 +61,7 @@
 
 // 86 hosts and 75 connections a target: spread over all hosts that is less than
 // one a host. The strong hosts of each domain take the callers.
-BOOST_AUTO_TEST_CASE(Fronts_LargeFleet_AreTheStrongOfEachDomain) {
+BOOST_AUTO_TEST_CASE(Fronts_LargeFleet_AreTheStrongHostsOfEachDomain) {
   const auto fronts = ChooseFronts(MakeFleet(3, 2, 26), 75);
   BOOST_TEST(fronts.size() == 6U);
   BOOST_TEST(CountDomains(fronts) == 3U);
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -41,19 +41,19 @@
     return discovery_state.OnChanges({&change, 1}, now);
   }
 
-  DiscoveryChange Read(const std::vector<StoreChange>& items,
-                       const StorePosition& position) {
+  DiscoveryChange ReadAll(const std::vector<StoreChange>& items,
+                          const StorePosition& position) {
     return discovery_state.OnFullRead(items, position, now);
   }
 
   //! Takes a reading of an era without evacuations, and an evacuation.
-  void EvacuateAfterTheCopy() {
-    (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+  void EvacuateAfterBackup() {
+    (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
     (void)Change("op/evacuate/z", "{}");
   }
 
   //! Number of targets that may get work.
-  [[nodiscard]] std::size_t InUse() const {
+  [[nodiscard]] std::size_t UsableTargets() const {
     const std::vector<TargetEntry> all = discovery_state.Targets();
     return static_cast<std::size_t>(
         std::ranges::count_if(all, &TargetEntry::TakesWork));
@@ -68,7 +68,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(DiscoveryStateTest, DiscoveryStateFixture)
 
-BOOST_AUTO_TEST_CASE(Target_IsRemovedWhileTheStoreIsWell_IsGoneAtOnce) {
+BOOST_AUTO_TEST_CASE(Target_IsRemovedWhileStoreIsAvailable_IsRemovedAtOnce) {
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(targets() == 1U);
   BOOST_TEST(Change("servers/a", std::nullopt).targets);
@@ -78,7 +78,8 @@
 // The store was away, and the leases of all targets ran out meanwhile. Their
 // removals arrive with its return, although the targets live and are about to
 // register again. Callers would be refused if the removals were believed.
-BOOST_AUTO_TEST_CASE(Target_LapsedDuringAnOutage_StaysUntilItHadTimeToReturn) {
+BOOST_AUTO_TEST_CASE(
+    Target_LeaseExpiredDuringOutage_StaysUntilReregistrationTimeEnds) {
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
   discovery_state.OnStoreAway();
@@ -94,7 +95,7 @@
 }
 
 // A target that said it was leaving has left, whatever the store went through.
-BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenItLapsed_IsGoneAtOnce) {
+BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenLeaseExpired_IsRemovedAtOnce) {
   (void)Change("servers/a", Server("draining"));
   discovery_state.OnStoreAway();
   now += seconds(5);
@@ -104,7 +105,7 @@
 
 // An entry comes from another writer: it cannot be read, or lacks a field. It
 // names no target, and the others hold.
-BOOST_AUTO_TEST_CASE(Target_EntryIsUnreadable_OthersHold) {
+BOOST_AUTO_TEST_CASE(Target_EntryIsUnreadable_OtherTargetsStay) {
   (void)Change("servers/a", Server("ready"));
   for (const std::string& value :
        {std::string("\xff\x00", 2), std::string("{}"), std::string("[]"),
@@ -114,14 +115,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Target_BornStandsInTheEntry_TellsLivesApart) {
+BOOST_AUTO_TEST_CASE(Target_EntryHasBornField_StartTimeIsRead) {
   (void)Change("servers/a", Server("ready", R"(,"born":1700000000000)"));
   BOOST_TEST(discovery_state.Targets().front().started_ms == 1700000000000U);
 }
 
 // History is lost, and everything is read again. What the reading does not name
 // has gone meanwhile.
-BOOST_AUTO_TEST_CASE(Reading_NamesATargetNoMore_TargetIsGone) {
+BOOST_AUTO_TEST_CASE(FullRead_LacksATarget_TargetIsRemoved) {
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
   const std::vector<StoreChange> items{{"servers/b", At(12), Server("ready")}};
@@ -131,7 +132,7 @@
 }
 
 // A reading may be older than a change that a watch brought before.
-BOOST_AUTO_TEST_CASE(Reading_IsOlderThanAKnownChange_ChangeStays) {
+BOOST_AUTO_TEST_CASE(FullRead_IsOlderThanAKnownChange_ChangeStays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
   (void)discovery_state.OnFullRead({}, At(40), now);
@@ -163,7 +164,7 @@
   BOOST_TEST((discovery_state.FindHost(NodeId("h1")) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsTold) {
+BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsReported) {
   const Fingerprint fingerprint(0xabcdef0123456789U);
   const DiscoveryChange change =
       Change(codec.ConvictionKey(fingerprint), std::string("1"));
@@ -172,48 +173,49 @@
 }
 
 // Guards against requests to the targets of an evacuated domain.
-BOOST_AUTO_TEST_CASE(Evacuation_IsOrdered_TargetsOfThatDomainAreMarked) {
+BOOST_AUTO_TEST_CASE(Evacuation_IsWritten_TargetsOfThatDomainAreMarked) {
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(Change("op/evacuate/elsewhere", "{}").unreadable.empty());
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
   const DiscoveryChange change = Change("op/evacuate/z", "{}");
   BOOST_TEST(change.evacuations);
   BOOST_TEST(change.targets);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   BOOST_TEST(targets() == 1U);
   (void)Change("servers/b", Server("ready"));
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   BOOST_TEST(Change("op/evacuate/z", std::nullopt).targets);
-  BOOST_TEST(InUse() == 2U);
+  BOOST_TEST(UsableTargets() == 2U);
   BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
 // Guards against an order that is held back like a lapsed lease.
-BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_BothOrdersCountAtOnce) {
+BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_StartAndEndApplyAtOnce) {
   (void)Change("servers/a", Server("ready"));
   discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", "{}");
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", std::nullopt);
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
 // Guards against an evacuation that ends by a reading older than it.
-BOOST_AUTO_TEST_CASE(Evacuation_OlderReadingLacksIt_Holds) {
+BOOST_AUTO_TEST_CASE(Evacuation_OlderFullReadLacksIt_Stays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
   (void)Change("op/evacuate/z", "{}");
   (void)discovery_state.OnFullRead({}, At(40), now);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   const std::vector<StoreChange> items{{"servers/a", At(51), Server("ready")}};
   BOOST_TEST(discovery_state.OnFullRead(items, At(60), now).evacuations);
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
 // Guards against an order that is lost for its value, and against one that
 // names no domain and hides others.
-BOOST_AUTO_TEST_CASE(Evacuation_ValueOrKeyIsOdd_DomainHoldsAndOddKeyIsTold) {
+BOOST_AUTO_TEST_CASE(
+    Evacuation_ValueOrKeyIsInvalid_ValueIsIgnoredAndKeyIsReported) {
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(Change("op/evacuate/z", std::string("\xff\x00", 2)).evacuations);
   for (const std::string& key :
@@ -221,10 +223,10 @@
     BOOST_TEST(Change(key, "{}").unreadable.size() == 1U);
   }
   BOOST_TEST(discovery_state.Evacuations().size() == 1U);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Evacuation_IsWrittenAgain_SinceWhenStays) {
+BOOST_AUTO_TEST_CASE(Evacuation_IsWrittenAgain_StartTimeStays) {
   (void)Change("op/evacuate/z", "{}");
   const TimePoint first = now;
   now += seconds(3);
@@ -232,7 +234,7 @@
   BOOST_TEST((discovery_state.Evacuations().front().since == first));
 }
 
-BOOST_AUTO_TEST_CASE(Target_TellsItsColdTime_IsColdForThatLong) {
+BOOST_AUTO_TEST_CASE(Target_ReportsColdTime_IsColdForThatLong) {
   (void)Change("servers/a", Server("ready", R"(,"coldRemainingMs":1500)"));
   const TargetEntry entry = discovery_state.Targets().front();
   BOOST_TEST(entry.IsCold(now + milliseconds(1499)));
@@ -240,7 +242,7 @@
 }
 
 // Guards against a cold time that starts anew with each reading.
-BOOST_AUTO_TEST_CASE(Target_IsReadAgainWhileCold_ColdTimeGoesOn) {
+BOOST_AUTO_TEST_CASE(Target_IsReadAgainWhileCold_ColdTimeDoesNotRestart) {
   const std::string cold = Server("ready", R"(,"coldRemainingMs":1500)");
   (void)Change("servers/a", cold);
   const std::vector<StoreChange> items{{"servers/a", At(revision), cold}};
@@ -251,7 +253,7 @@
 }
 
 // Guards against a crash by an entry with the revision of no write.
-BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsTaken) {
+BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsApplied) {
   const StoreChange change{"servers/a", At(0), Server("ready")};
   (void)discovery_state.OnChanges({&change, 1}, now);
   BOOST_TEST(targets() == 1U);
@@ -259,7 +261,7 @@
 
 // Guards against a target that is lost, or avoided for a day, for a cold time
 // that makes no sense.
-BOOST_AUTO_TEST_CASE(Target_ColdTimeMakesNoSense_IsToldAndUsedAsWarm) {
+BOOST_AUTO_TEST_CASE(Target_ColdTimeIsInvalid_IsReportedAndTargetIsWarm) {
   for (const std::string value : {"-5", "\"soon\"", "86400000", "1e400"}) {
     const DiscoveryChange change =
         Change("servers/a", Server("ready", ",\"coldRemainingMs\":" + value));
@@ -273,31 +275,32 @@
 
 // Guards against a confirmed configuration that is taken back by an older copy
 // of the store, here and at hosts that start now.
-BOOST_AUTO_TEST_CASE(Restore_CopyHasAnOlderConfiguration_NewestStaysInForce) {
-  (void)Read({{"op/config", At(5), Config(4)}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderConfiguration_NewestStaysInForce) {
+  (void)ReadAll({{"op/config", At(5), Config(4)}}, At(10));
   (void)Change("op/config", Config(7));
-  BOOST_TEST(!Read({{"op/config", At(5, 2), Config(4)}}, At(8, 2)).config);
+  BOOST_TEST(!ReadAll({{"op/config", At(5, 2), Config(4)}}, At(8, 2)).config);
   BOOST_TEST(discovery_state.config()->version() == 7U);
-  const auto carried = discovery_state.CarriedConfig();
+  const auto carried = discovery_state.CarriedOverConfig();
   BOOST_REQUIRE(carried.has_value());
   DiscoveryState starting(codec);
   (void)starting.OnFullRead(
       std::vector<StoreChange>{{"op/config", At(5, 2), Config(4)}}, At(8, 2),
       now);
-  BOOST_TEST(starting.OnCarried({&*carried, 1}).config);
+  BOOST_TEST(starting.OnCarriedOver({&*carried, 1}).config);
   BOOST_TEST(starting.config()->version() == 7U);
-  BOOST_TEST(starting.CarriedConfig().has_value());
+  BOOST_TEST(starting.CarriedOverConfig().has_value());
   const StoreChange again{"op/config", At(9, 2), Config(7)};
   (void)discovery_state.OnChanges({&again, 1}, now);
-  BOOST_TEST(!discovery_state.CarriedConfig().has_value());
+  BOOST_TEST(!discovery_state.CarriedOverConfig().has_value());
 }
 
 // Guards against refusals for want of targets that live: they registered after
 // the copy was made.
-BOOST_AUTO_TEST_CASE(Restore_TargetIsNotInTheCopy_StaysUntilItCouldReturn) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(
+    Restore_BackupLacksATarget_TargetStaysUntilReregistrationTimeEnds) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/b", Server("ready"));
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 2U);
   now += RemovalHold::kReregistrationTime;
   (void)discovery_state.OnTimer(now);
@@ -306,11 +309,11 @@
 
 // Guards against requests to an address that has a new owner: its target left
 // after the copy was made.
-BOOST_AUTO_TEST_CASE(Restore_TargetThatLeftIsInTheCopy_IsNotUsed) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_BackupHasARemovedTarget_IsNotUsed) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
   BOOST_TEST(targets() == 0U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 0U);
   now += seconds(2);
   const StoreChange gone{"servers/a", At(9, 2), std::nullopt};
@@ -321,76 +324,77 @@
 }
 
 // Guards against a live target that is never used again, as a copy was doubted.
-BOOST_AUTO_TEST_CASE(Restore_TargetThatLeftStaysInTheStore_IsUsedInTheEnd) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(
+    Restore_RemovedTargetStaysInTheStore_IsUsedAfterTheHoldTime) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   now += seconds(5);
   BOOST_TEST((discovery_state.NextTimer() <= now));
   BOOST_TEST(discovery_state.OnTimer(now).targets);
   BOOST_TEST(targets() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Restore_TargetThatLeftIsWrittenAgain_IsUsedAtOnce) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_RemovedTargetIsWrittenAgain_IsUsedAtOnce) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   const StoreChange back{"servers/a", At(9, 2), Server("ready")};
   (void)discovery_state.OnChanges({&back, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
 // Guards against requests to a leaving target that the copy gives as ready.
-BOOST_AUTO_TEST_CASE(Restore_TargetWasLeaving_StillIs) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_TargetWasDraining_StaysDraining) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", Server("draining"));
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
-  BOOST_TEST(InUse() == 0U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(9, 2));
-  BOOST_TEST(InUse() == 0U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  BOOST_TEST(UsableTargets() == 0U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(9, 2));
+  BOOST_TEST(UsableTargets() == 0U);
 }
 
 // Guards against requests to an evacuated domain whose order the copy lacks.
-BOOST_AUTO_TEST_CASE(Restore_EvacuationIsNotInTheCopy_StaysForSomeSeconds) {
-  EvacuateAfterTheCopy();
-  BOOST_TEST(InUse() == 0U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
-  BOOST_TEST(InUse() == 0U);
+BOOST_AUTO_TEST_CASE(Restore_BackupLacksAnEvacuation_StaysForTheRewriteTime) {
+  EvacuateAfterBackup();
+  BOOST_TEST(UsableTargets() == 0U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  BOOST_TEST(UsableTargets() == 0U);
   now += seconds(5);
   (void)discovery_state.OnTimer(now);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   now += seconds(5);
   BOOST_TEST(discovery_state.OnTimer(now).evacuations);
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(Restore_EvacuationIsWrittenAgain_Stays) {
-  EvacuateAfterTheCopy();
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  EvacuateAfterBackup();
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   const StoreChange again{"op/evacuate/z", At(9, 2), "{}"};
   (void)discovery_state.OnChanges({&again, 1}, now);
   now += seconds(20);
   (void)discovery_state.OnTimer(now);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
 }
 
 // Guards against a domain that stays without work after its evacuation ended.
-BOOST_AUTO_TEST_CASE(Restore_EvacuationThatEndedIsInTheCopy_IsPutOff) {
+BOOST_AUTO_TEST_CASE(Restore_BackupHasAnEndedEvacuation_IsHeldBack) {
   const StoreChange target{"servers/a", At(5), Server("ready")};
-  (void)Read({target, {"op/evacuate/z", At(6), "{}"}}, At(10));
+  (void)ReadAll({target, {"op/evacuate/z", At(6), "{}"}}, At(10));
   (void)Change("op/evacuate/z", std::nullopt);
-  BOOST_TEST(InUse() == 1U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")},
-              {"op/evacuate/z", At(6, 2), "{}"}},
-             At(8, 2));
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")},
+                 {"op/evacuate/z", At(6, 2), "{}"}},
+                At(8, 2));
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
 // Guards against a typed schema that goes back to the copy's at once.
-BOOST_AUTO_TEST_CASE(Restore_CopyHasAnOlderSchema_IsPutOff) {
-  (void)Read({{"jacinthdeck/schema", At(5), "old"}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderSchema_IsHeldBack) {
+  (void)ReadAll({{"jacinthdeck/schema", At(5), "old"}}, At(10));
   (void)Change("jacinthdeck/schema", "new");
-  (void)Read({{"jacinthdeck/schema", At(5, 2), "old"}}, At(8, 2));
+  (void)ReadAll({{"jacinthdeck/schema", At(5, 2), "old"}}, At(8, 2));
   BOOST_TEST(discovery_state.schema() == "new");
   now += seconds(9);
   (void)discovery_state.OnTimer(now);
@@ -398,24 +402,24 @@
 }
 
 // Guards against a store that names its era only from its first restore on.
-BOOST_AUTO_TEST_CASE(Restore_EraBeforeWasNotNamed_IsARestoreAllTheSame) {
-  (void)Read({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
+BOOST_AUTO_TEST_CASE(Restore_EarlierEraWasUnnamed_IsTreatedAsARestore) {
+  (void)ReadAll({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
   const StoreChange gone{"servers/a", At(11, 0), std::nullopt};
   (void)discovery_state.OnChanges({&gone, 1}, now);
   const StoreChange order{"op/evacuate/z", At(12, 0), "{}"};
   (void)discovery_state.OnChanges({&order, 1}, now);
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(8));
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(8));
   BOOST_TEST(targets() == 0U);
   BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
 // Guards against what the first copy left in doubt after a second restore.
-BOOST_AUTO_TEST_CASE(Restore_TwiceWithinSeconds_TargetThatLeftIsNotUsed) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_TwiceWithinSeconds_RemovedTargetIsNotUsed) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   now += seconds(1);
-  (void)Read({{"servers/a", At(5, 3), Server("ready")}}, At(6, 3));
+  (void)ReadAll({{"servers/a", At(5, 3), Server("ready")}}, At(6, 3));
   BOOST_TEST(targets() == 0U);
 }
 
--- a/test/jacinthdeck/discovery/member_records_test.cc
+++ b/test/jacinthdeck/discovery/member_records_test.cc
@@ -23,12 +23,12 @@
   return host;
 }
 
-[[nodiscard]] StoredRecord Held(const std::string& name,
-                                const std::string& writer,
-                                std::uint64_t revision) {
-  StoredRecord held{MakeHost(name), At(revision)};
-  held.record.writer = NodeId(writer);
-  return held;
+[[nodiscard]] StoredRecord Stored(const std::string& name,
+                                  const std::string& writer,
+                                  std::uint64_t revision) {
+  StoredRecord stored{MakeHost(name), At(revision)};
+  stored.record.writer = NodeId(writer);
+  return stored;
 }
 
 struct MembersFixture {
@@ -59,7 +59,7 @@
 BOOST_FIXTURE_TEST_SUITE(MemberRecordsTest, MembersFixture)
 
 // A hundred hosts come at once. The store sees four writes, not two hundred.
-BOOST_AUTO_TEST_CASE(Members_ManyCome_AreWrittenInFewWrites) {
+BOOST_AUTO_TEST_CASE(Members_ManyConnect_AreWrittenInFewWrites) {
   for (int i = 0; i < 100; ++i) {
     members.OnMember(MakeHost("h" + std::to_string(i)));
   }
@@ -72,7 +72,7 @@
   BOOST_TEST(writes == 4);
 }
 
-BOOST_AUTO_TEST_CASE(Member_SaysTheSameAgain_IsNotWritten) {
+BOOST_AUTO_TEST_CASE(Member_SendsSameRecordAgain_IsNotWritten) {
   members.OnMember(MakeHost("a"));
   Write(10);
   members.OnMember(MakeHost("a"));
@@ -113,23 +113,23 @@
 
 // A host dies. Its record stays for some seconds, in which it may come back or
 // be written by another feeder, and goes then.
-BOOST_AUTO_TEST_CASE(Member_Leaves_RecordGoesAfterAWhile) {
+BOOST_AUTO_TEST_CASE(Member_Leaves_RecordIsRemovedAfterGraceTime) {
   members.OnMember(MakeHost("a"));
   Write(10);
   members.OnMemberLeft(NodeId("a"));
-  const std::vector<StoredRecord> held{Held("a", "feeder", 10)};
-  members.OnHosts(held, At(10), now);
+  const std::vector<StoredRecord> stored{Stored("a", "feeder", 10)};
+  members.OnHosts(stored, At(10), now);
   BOOST_TEST(DueRemovals() == 0U);
   now += seconds(4);
   BOOST_TEST(DueRemovals() == 1U);
   BOOST_TEST(members.NextWrite(now).removals.front().position.revision == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(Member_LeavesAndComesBack_RecordStays) {
+BOOST_AUTO_TEST_CASE(Member_LeavesAndReturns_RecordStays) {
   members.OnMember(MakeHost("a"));
   Write(10);
   members.OnMemberLeft(NodeId("a"));
-  members.OnHosts({{Held("a", "feeder", 10)}}, At(10), now);
+  members.OnHosts({{Stored("a", "feeder", 10)}}, At(10), now);
   members.OnMember(MakeHost("a"));
   now += seconds(4);
   BOOST_TEST(DueRemovals() == 0U);
@@ -138,21 +138,22 @@
 // The store does a write seconds after its reply was lost, when the host has
 // long gone to another feeder. The stray record is seen and taken back; what
 // the other feeder wrote since is not.
-BOOST_AUTO_TEST_CASE(Write_IsDoneLate_StrayIsTakenBack) {
+BOOST_AUTO_TEST_CASE(Write_IsAppliedLate_OrphanIsRemoved) {
   members.OnMember(MakeHost("a"));
   (void)members.NextWrite(now);
   members.OnMemberLeft(NodeId("a"));
-  members.OnHosts({{Held("a", "feeder", 20)}}, At(20), now);
+  members.OnHosts({{Stored("a", "feeder", 20)}}, At(20), now);
   now += seconds(4);
   BOOST_TEST(DueRemovals() == 1U);
-  members.OnHosts({{Held("a", "other", 21)}}, At(21), now);
+  members.OnHosts({{Stored("a", "other", 21)}}, At(21), now);
   BOOST_TEST(DueRemovals() == 0U);
 }
 
 // One of several strays was written by its new feeder a moment ago. The others
 // are still taken back, each in a write of its own.
-BOOST_AUTO_TEST_CASE(Removal_MeetsALaterWrite_OthersGoAlone) {
-  members.OnHosts({{Held("a", "feeder", 5), Held("b", "feeder", 6)}}, At(6),
+BOOST_AUTO_TEST_CASE(
+    Removal_ConflictsWithALaterWrite_OthersAreRemovedOneByOne) {
+  members.OnHosts({{Stored("a", "feeder", 5), Stored("b", "feeder", 6)}}, At(6),
                   now);
   now += seconds(4);
   const MemberWrite both = members.NextWrite(now);
--- a/test/jacinthdeck/discovery/record_writer_test.cc
+++ b/test/jacinthdeck/discovery/record_writer_test.cc
@@ -15,7 +15,7 @@
 
 struct WriterFixture {
   TimePoint now{seconds(100)};
-  FleetRole part{.knows_hosts = true, .hosts = 295, .has_feeder = true};
+  FleetRole role{.knows_hosts = true, .hosts = 295, .has_feeder = true};
   RecordWriterChoice choice;
 
   explicit WriterFixture(bool fleet_starts = false)
@@ -23,7 +23,7 @@
 
   [[nodiscard]] RecordWriter After(Duration time) {
     now += time;
-    (void)choice.Update(part, now);
+    (void)choice.Update(role, now);
     return choice.writer();
   }
 };
@@ -32,32 +32,32 @@
 
 BOOST_FIXTURE_TEST_SUITE(RecordWriterTest, WriterFixture)
 
-BOOST_AUTO_TEST_CASE(LargeFleet_HostStandsBy_FeederWrites) {
+BOOST_AUTO_TEST_CASE(LargeFleet_HostIsStandby_FeederWrites) {
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
 }
 
 // A front that is lost must not be named for long, so that it has a short lease
 // of its own; a feeder writes for others with its lease.
-BOOST_AUTO_TEST_CASE(LargeFleet_OthersRelyOnTheHost_ItWritesItself) {
-  part.is_front = true;
+BOOST_AUTO_TEST_CASE(LargeFleet_HostIsFrontOrFeeder_WritesItself) {
+  role.is_front = true;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kSelf));
-  part.is_front = false;
+  role.is_front = false;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
-  part.feeds_others = true;
+  role.feeds_others = true;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kSelf));
 }
 
-BOOST_AUTO_TEST_CASE(SmallFleet_Known_EachWritesItself) {
-  part.hosts = 8;
+BOOST_AUTO_TEST_CASE(SmallFleet_IsKnown_HostWritesItself) {
+  role.hosts = 8;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kSelf));
 }
 
 // Hundreds of hosts start at one moment. The first of them see a handful of
 // others and would take that for a small fleet; each would cost two writes.
-BOOST_AUTO_TEST_CASE(FleetStarts_FewAreKnownYet_FeederWrites) {
+BOOST_AUTO_TEST_CASE(FleetStarts_FewHostsAreKnown_FeederWrites) {
   WriterFixture start(true);
-  start.part.hosts = 3;
-  start.part.is_front = true;
+  start.role.hosts = 3;
+  start.role.is_front = true;
   BOOST_TEST((start.After(milliseconds(100)) == RecordWriter::kFeeder));
   BOOST_TEST((start.After(seconds(3)) == RecordWriter::kSelf));
 }
@@ -65,31 +65,31 @@
 // All hosts restart after a loss of power. Which part this one has is known
 // from the first word of the store on.
 BOOST_AUTO_TEST_CASE(Restart_NothingIsKnownYet_NobodyWrites) {
-  part = {};
+  role = {};
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kNobody));
-  part.knows_hosts = true;
-  part.hosts = 6;
+  role.knows_hosts = true;
+  role.hosts = 6;
   BOOST_TEST((After(milliseconds(30)) == RecordWriter::kSelf));
 }
 
 // The feeder is lost and no other is found. The record would end with the
 // feeder's lease, so that the host writes it itself in time.
-BOOST_AUTO_TEST_CASE(Feeder_IsLostForGood_HostWritesItself) {
+BOOST_AUTO_TEST_CASE(Feeder_IsLostPermanently_HostWritesItself) {
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
-  part.has_feeder = false;
+  role.has_feeder = false;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
   BOOST_TEST((After(seconds(2)) == RecordWriter::kFeeder));
   BOOST_TEST((After(seconds(1)) == RecordWriter::kSelf));
 }
 
-BOOST_AUTO_TEST_CASE(Feeder_IsLostForAMoment_FeederWrites) {
+BOOST_AUTO_TEST_CASE(Feeder_IsLostBriefly_FeederWrites) {
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
-  part.has_feeder = false;
+  role.has_feeder = false;
   (void)After(milliseconds(0));
   (void)After(seconds(2));
-  part.has_feeder = true;
+  role.has_feeder = true;
   (void)After(milliseconds(100));
-  part.has_feeder = false;
+  role.has_feeder = false;
   BOOST_TEST((After(seconds(2)) == RecordWriter::kFeeder));
 }
 
--- a/test/jacinthdeck/discovery/store_content_test.cc
+++ b/test/jacinthdeck/discovery/store_content_test.cc
@@ -11,7 +11,7 @@
 
 // A target leaves; a feeder that lags hands its old entry on. It must not come
 // back, or requests go to an address that may have a new owner.
-BOOST_AUTO_TEST_CASE(Apply_OldWordAfterARemoval_IsNoNews) {
+BOOST_AUTO_TEST_CASE(Apply_OlderChangeAfterARemoval_IsIgnored) {
   StoreContent content;
   (void)content.Apply(std::vector<StoreChange>{{"a", At(5), "1"}});
   (void)content.Apply(std::vector<StoreChange>{{"a", At(9), std::nullopt}});
@@ -35,7 +35,7 @@
   BOOST_TEST(items[1].key == "b");
 }
 
-BOOST_AUTO_TEST_CASE(Replace_NamesWhatWasRemovedLater_IsLeftOut) {
+BOOST_AUTO_TEST_CASE(Replace_ListsAKeyRemovedLater_IsLeftOut) {
   StoreContent content;
   (void)content.Apply(std::vector<StoreChange>{{"a", At(5), "1"}});
   (void)content.Apply(std::vector<StoreChange>{{"a", At(9), std::nullopt}});
@@ -45,7 +45,7 @@
 
 // A follower goes over to another feeder and says up to which revision it knows
 // all. It gets what was written and removed since, not the whole content.
-BOOST_AUTO_TEST_CASE(Since_AfterAReading_GivesWritesAndRemovals) {
+BOOST_AUTO_TEST_CASE(ChangesSince_AfterAFullRead_ReturnsWritesAndRemovals) {
   StoreContent content;
   (void)content.Replace(
       std::vector<StoreChange>{
@@ -53,39 +53,40 @@
       At(10));
   (void)content.Apply(std::vector<StoreChange>{{"b", At(11), std::nullopt},
                                                {"c", At(12), "1"}});
-  const auto changes = content.Since(At(10));
+  const auto changes = content.ChangesSince(At(10));
   BOOST_REQUIRE(changes.has_value());
   BOOST_REQUIRE_EQUAL(changes->size(), 2U);
   BOOST_TEST(changes->at(0).key == "b");
   BOOST_TEST(!changes->at(0).value.has_value());
   BOOST_TEST(changes->at(1).key == "c");
-  BOOST_TEST(content.Since(At(12))->empty());
+  BOOST_TEST(content.ChangesSince(At(12))->empty());
 }
 
 // What was removed before this host's first reading it cannot know; a follower
 // that is older than that needs the whole content.
-BOOST_AUTO_TEST_CASE(Since_BeforeTheFirstReading_GivesNothing) {
+BOOST_AUTO_TEST_CASE(ChangesSince_BeforeTheFirstFullRead_ReturnsNothing) {
   StoreContent content;
-  BOOST_TEST(!content.Since(At(0)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(0)).has_value());
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3), "0"}}, At(10));
-  BOOST_TEST(!content.Since(At(9)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(9)).has_value());
 }
 
 // The store forgot its history and was read anew. A key that went in between is
 // told as removed to those that know only the first reading.
-BOOST_AUTO_TEST_CASE(Since_OverASecondReading_TellsWhatWentBetween) {
+BOOST_AUTO_TEST_CASE(
+    ChangesSince_AcrossASecondFullRead_ReturnsRemovalsInBetween) {
   StoreContent content;
   (void)content.Replace(
       std::vector<StoreChange>{{"a", At(3), "0"}, {"b", At(4), "0"}}, At(10));
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3), "0"}}, At(20));
-  const auto changes = content.Since(At(10));
+  const auto changes = content.ChangesSince(At(10));
   BOOST_REQUIRE(changes.has_value());
   BOOST_REQUIRE_EQUAL(changes->size(), 1U);
   BOOST_TEST(changes->front().key == "b");
   BOOST_TEST(!changes->front().value.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Since_TooManyRemovals_OldestAreNoLongerKnown) {
+BOOST_AUTO_TEST_CASE(ChangesSince_TooManyRemovals_OldestAreForgotten) {
   StoreContent content;
   (void)content.Replace({}, At(1));
   std::uint64_t revision = 1;
@@ -95,13 +96,13 @@
     (void)content.Apply(
         std::vector<StoreChange>{{key, At(++revision), std::nullopt}});
   }
-  BOOST_TEST(!content.Since(At(1)).has_value());
-  BOOST_TEST(content.Since(At(3)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(1)).has_value());
+  BOOST_TEST(content.ChangesSince(At(3)).has_value());
 }
 
 // Guards against news that is dropped, as a restored store gave its revision
 // out before.
-BOOST_AUTO_TEST_CASE(Replace_NewerEraAtALowerRevision_TakesThePlaceOfAll) {
+BOOST_AUTO_TEST_CASE(Replace_NewerEraAtALowerRevision_ReplacesAllKeys) {
   StoreContent content;
   (void)content.Replace(
       std::vector<StoreChange>{{"a", At(80), "1"}, {"b", At(81), "1"}}, At(83));
@@ -114,7 +115,7 @@
 }
 
 // Guards against contents of two eras that are mixed key by key.
-BOOST_AUTO_TEST_CASE(Apply_WordOfAnEndedEra_IsNoNews) {
+BOOST_AUTO_TEST_CASE(Apply_ChangeOfAnEndedEra_IsIgnored) {
   StoreContent content;
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3, 2), "2"}},
                         At(4, 2));
@@ -124,12 +125,12 @@
 }
 
 // Guards against a follower that gets changes after a revision of another era.
-BOOST_AUTO_TEST_CASE(Since_PositionOfAnotherEra_IsNothing) {
+BOOST_AUTO_TEST_CASE(ChangesSince_PositionOfAnotherEra_ReturnsNothing) {
   StoreContent content;
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3, 2), "2"}},
                         At(4, 2));
-  BOOST_TEST(!content.Since(At(83, 1)).has_value());
-  BOOST_TEST(content.Since(At(4, 2)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(83, 1)).has_value());
+  BOOST_TEST(content.ChangesSince(At(4, 2)).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -20,7 +20,7 @@
 
 using std::chrono::seconds;
 
-struct HandedOn {
+struct ContentEvent {
   std::vector<StoreChange> changes;
   StorePosition position;
   bool whole = false;
@@ -51,15 +51,15 @@
   int lost = 0;
   int regained = 0;
   int restored = 0;
-  std::vector<HandedOn> handed_on;
-  std::vector<FullRead> readings;
+  std::vector<ContentEvent> content_events;
+  std::vector<FullRead> full_reads;
 
   void OnDiscoveryChange(const DiscoveryChange& /*change*/,
                          const StorePosition& /*position*/) override {}
   void OnContent(const std::vector<StoreChange>& changes,
                  const StorePosition& position,
                  bool whole) override {
-    handed_on.push_back({changes, position, whole});
+    content_events.push_back({changes, position, whole});
   }
   void OnStoreRestored(StoreEra /*before*/,
                        StoreEra /*era*/,
@@ -67,7 +67,7 @@
     ++restored;
   }
   void OnStoreRead(const FullRead& reading) override {
-    readings.push_back(reading);
+    full_reads.push_back(reading);
   }
   void OnStoreLost(StoreStatus /*status*/,
                    const std::string& /*problem*/) override {
@@ -110,15 +110,16 @@
     return config == nullptr ? 0 : config->version();
   }
 
-  [[nodiscard]] bool HandedOnConfig(int version) const {
+  [[nodiscard]] bool PublishedConfig(int version) const {
     const std::string text = "\"version\":" + std::to_string(version) + ",";
-    return std::ranges::any_of(handed_on, [&](const HandedOn& content) {
-      return std::ranges::any_of(
-          content.changes, [&](const StoreChange& change) {
-            return change.key == "op/config" && change.value &&
-                   change.value->find(text) != std::string::npos;
-          });
-    });
+    return std::ranges::any_of(
+        content_events, [&](const ContentEvent& content) {
+          return std::ranges::any_of(
+              content.changes, [&](const StoreChange& change) {
+                return change.key == "op/config" && change.value &&
+                       change.value->find(text) != std::string::npos;
+              });
+        });
   }
 
   void SetOutage(standins::Outage outage) {
@@ -140,11 +141,11 @@
 // host followed a fresh feeder, then a stale one, and handed the stale content
 // on under its own newer revision; whoever learned from it took the targets in
 // between for removed, and later words on them for old.
-BOOST_AUTO_TEST_CASE(Content_OfAnOlderReading_IsHandedOnWithAllThatIsKnown) {
+BOOST_AUTO_TEST_CASE(Content_OfAnOlderFullRead_IsPublishedWithAllKnownKeys) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   session.ApplyPeerContent({Target("b", 6)}, At(6), false);
   session.ApplyPeerContent({Target("a", 5), Target("c", 3)}, At(5), true);
-  const HandedOn& last = handed_on.back();
+  const ContentEvent& last = content_events.back();
   BOOST_TEST(last.whole);
   BOOST_TEST(last.position == At(6));
   BOOST_TEST(last.changes.size() == 3U);
@@ -152,7 +153,7 @@
 
 // The store forgets its history, and the host reads all again. Meanwhile it
 // finds a fresh host to follow and stops reading; changes from there count.
-BOOST_AUTO_TEST_CASE(Watch_StopsInTheMiddleOfAReading_TakesHandedOnChanges) {
+BOOST_AUTO_TEST_CASE(Watch_StopsDuringAFullRead_PeerChangesAreApplied) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -173,15 +174,15 @@
 
 // Two hosts follow each other. A reading that tells nothing new must end at the
 // one that has it: handed on, it would go to and fro for ever.
-BOOST_AUTO_TEST_CASE(Content_ReadingWithoutNews_IsNotHandedOn) {
+BOOST_AUTO_TEST_CASE(Content_FullReadWithoutChanges_IsNotPublished) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
-  BOOST_TEST(handed_on.size() == 1U);
+  BOOST_TEST(content_events.size() == 1U);
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   session.ApplyPeerContent({Target("a", 5)}, At(6), false);
-  BOOST_TEST(handed_on.size() == 1U);
+  BOOST_TEST(content_events.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Start_EntriesAreThere_AreReadAndChangesFollow) {
+BOOST_AUTO_TEST_CASE(Start_StoreHasEntries_AreReadAndWatched) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -192,7 +193,7 @@
 // The store takes calls and answers none, on connections that stay open. Only
 // the call's own timeout shows it; afterwards the watch goes on from where it
 // was.
-BOOST_AUTO_TEST_CASE(Watch_StoreFallsSilent_IsNoticedAndCatchesUp) {
+BOOST_AUTO_TEST_CASE(Watch_StoreStopsAnswering_IsDetectedAndCatchesUp) {
   session.SetWatching(true);
   Until([&] { return session.last_contact().has_value(); });
   SetOutage(standins::Outage::kSilent);
@@ -204,7 +205,7 @@
 
 // The store refuses this host alone. Another host heard it a moment ago and
 // tells that a target has left: the removal counts at once.
-BOOST_AUTO_TEST_CASE(Watch_OnlyThisHostIsTurnedAway_RemovalsCountAtOnce) {
+BOOST_AUTO_TEST_CASE(Watch_StoreRefusesOnlyThisHost_RemovalsApplyAtOnce) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -222,7 +223,7 @@
 
 // The store forgets its history while the host waits. The host reads all again;
 // until then it keeps what it knows.
-BOOST_AUTO_TEST_CASE(Watch_HistoryIsForgotten_ReadsAllAgain) {
+BOOST_AUTO_TEST_CASE(Watch_HistoryIsCompacted_ReadsAllAgain) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -237,7 +238,8 @@
 
 // Guards against hosts that keep an old configuration for seconds, as the store
 // came back from a copy and their feeder dropped what it wrote since.
-BOOST_AUTO_TEST_CASE(Watch_StoreIsRestoredFromACopy_ConfigurationIsHandedOn) {
+BOOST_AUTO_TEST_CASE(
+    Watch_StoreIsRestoredFromABackup_ConfigurationIsPublished) {
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
@@ -253,7 +255,7 @@
   SetOutage(standins::Outage::kNone);
   PutConfig(3);
   Until([&] { return ConfigVersion() == 3; });
-  BOOST_TEST(HandedOnConfig(3));
+  BOOST_TEST(PublishedConfig(3));
 }
 
 // Guards against changes that are missed, as the restored store has passed the
@@ -279,22 +281,22 @@
 
 // Guards against a feeder whose store has not come back yet, for this host, and
 // that hands on words of the era before.
-BOOST_AUTO_TEST_CASE(Content_OfAnEndedEra_IsDropped) {
+BOOST_AUTO_TEST_CASE(Content_OfAnEndedEra_IsIgnored) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 3);
   newer.position = At(3, 2);
   session.ApplyPeerContent({newer}, At(3, 2), true);
-  BOOST_TEST(handed_on.back().position == At(3, 2));
-  const std::size_t before = handed_on.size();
+  BOOST_TEST(content_events.back().position == At(3, 2));
+  const std::size_t before = content_events.size();
   session.ApplyPeerContent({Target("c", 90)}, At(90), true);
   session.ApplyPeerContent({Target("d", 91)}, At(91), false);
-  BOOST_TEST(handed_on.size() == before);
+  BOOST_TEST(content_events.size() == before);
   BOOST_TEST(session.position() == At(3, 2));
 }
 
 // Guards against a host that takes single changes of an era whose content it
 // does not know.
-BOOST_AUTO_TEST_CASE(Content_ChangesOfANewEraWithoutItsContent_AreNotTaken) {
+BOOST_AUTO_TEST_CASE(Content_ChangesOfANewEraWithoutItsContent_AreNotApplied) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 7);
   newer.position = At(7, 2);
@@ -306,7 +308,7 @@
 
 // Guards against a host that starts now and serves an older configuration than
 // the others, whose store came back without the newest.
-BOOST_AUTO_TEST_CASE(Content_ConfigurationIsNotInTheCopy_IsHandedOn) {
+BOOST_AUTO_TEST_CASE(Content_BackupLacksTheConfiguration_IsPublished) {
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
@@ -316,8 +318,8 @@
   BOOST_TEST(store.content().Restore());
   Until([&] { return session.position().era == StoreEra(2); });
   BOOST_TEST(ConfigVersion() == 2U);
-  handed_on.push_back({session.UpdateSince({}).changes, {}, true});
-  BOOST_TEST(HandedOnConfig(2));
+  content_events.push_back({session.UpdateSince({}).changes, {}, true});
+  BOOST_TEST(PublishedConfig(2));
   // Also to a host that has read the copy itself.
   const ContentUpdate rest = session.UpdateSince(session.position());
   BOOST_TEST(!rest.whole);
@@ -329,7 +331,7 @@
 
 // Guards against a host that read the copy itself and does not believe a newer
 // configuration of the era before, which the others serve.
-BOOST_AUTO_TEST_CASE(Content_ConfigurationOfTheEraBefore_IsTakenByItsVersion) {
+BOOST_AUTO_TEST_CASE(Content_ConfigurationOfAnEarlierEra_IsComparedByVersion) {
   const auto config = [](int version, const StorePosition& position) {
     return StoreChange{"op/config", position,
                        R"({"version":)" + std::to_string(version) +
@@ -338,15 +340,15 @@
   session.ApplyPeerContent({config(4, At(5, 2))}, At(8, 2), true);
   session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
   BOOST_TEST(ConfigVersion() == 7U);
-  BOOST_TEST(HandedOnConfig(7));
-  const std::size_t before = handed_on.size();
+  BOOST_TEST(PublishedConfig(7));
+  const std::size_t before = content_events.size();
   session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
-  BOOST_TEST(handed_on.size() == before);
+  BOOST_TEST(content_events.size() == before);
 }
 
 // Guards against a fleet that stays without the lost writes: all hosts were
 // lost as well, and none that starts knows more than the copy.
-BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreTaken) {
+BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreApplied) {
   PutConfig(1);
   PutTarget("left");
   store.content().KeepCopy();
@@ -414,7 +416,8 @@
 
 // A feeder writes the records of three followers in one call, with its own
 // lease. When one of them goes elsewhere and nobody writes it, the record goes.
-BOOST_AUTO_TEST_CASE(Members_ThreeCome_AreWrittenAtOnceAndGoWhenTheyLeave) {
+BOOST_AUTO_TEST_CASE(
+    Members_ThreeConnect_AreWrittenAtOnceAndRemovedWhenTheyLeave) {
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   const auto has = [&](const std::string& name) {
@@ -471,7 +474,7 @@
 // Guards against a host that removes another one's record: the former writer
 // waits to take out what it wrote, and the store comes back and gives the
 // revision of that out again.
-BOOST_AUTO_TEST_CASE(Members_RevisionIsGivenOutAgain_RecordOfItIsLeftAlone) {
+BOOST_AUTO_TEST_CASE(Members_RevisionIsReused_RecordOfAnotherWriterStays) {
   const std::string key = codec.HostKey(NodeId("a"));
   const auto put = [&](const std::string& writer) {
     HostRecord record = MakeRecord("a");
@@ -518,14 +521,14 @@
   store.Apply(control);
   session.SetWatching(true);
   Until([&] {
-    const HostRecord* held = session.discovery_state().FindHost(NodeId("h"));
-    return held != nullptr && held->writer == NodeId("h");
+    const HostRecord* stored = session.discovery_state().FindHost(NodeId("h"));
+    return stored != nullptr && stored->writer == NodeId("h");
   });
 }
 
 // A host is stopped whose record its feeder wrote. It takes the record out
 // itself: callers would be sent to it for as long as the feeder lives.
-BOOST_AUTO_TEST_CASE(Unregister_RecordIsAnothersLease_IsTakenOut) {
+BOOST_AUTO_TEST_CASE(Unregister_RecordIsOnAnotherLease_IsRemoved) {
   const std::string key = codec.HostKey(NodeId("h"));
   standins::StoreControl control;
   control.puts.push_back({key, codec.WriteHost(MakeRecord("h")), {}});
@@ -537,7 +540,7 @@
 
 // Every write takes effect and loses its reply. The host goes on trying, and
 // its record stands once replies come again.
-BOOST_AUTO_TEST_CASE(Register_RepliesAreLost_RecordStandsInTheEnd) {
+BOOST_AUTO_TEST_CASE(Register_RepliesAreLost_RecordIsWrittenEventually) {
   standins::StoreControl control;
   control.faults.lose_reply_share = 1;
   store.Apply(control);
