--- a/src/jacinthdeck/discovery/fwd.h
+++ b/src/jacinthdeck/discovery/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the discovery module: what the platform's store says
-// of configuration, targets and hosts.
+// Forward declarations of the discovery module: a host's view of the
+// configuration, targets and hosts in the platform's key-value store.
 #ifndef JACINTHDECK_DISCOVERY_FWD_H_
 #define JACINTHDECK_DISCOVERY_FWD_H_
 
--- a/src/jacinthdeck/discovery/held_entries.h
+++ b/src/jacinthdeck/discovery/held_entries.h
@@ -1,4 +1,4 @@
-// Entries of the store whose removal may be held back.
+// Entries of the store whose removals may take effect later.
 #ifndef JACINTHDECK_DISCOVERY_HELD_ENTRIES_H_
 #define JACINTHDECK_DISCOVERY_HELD_ENTRIES_H_
 
@@ -15,13 +15,13 @@
 namespace jacinthdeck {
 
 /**
- * \brief Entries by key; a removed one stays until its removal counts.
+ * \brief Entries by key; a removed entry stays until its removal takes effect.
  * \tparam Entry Decoded value.
  */
 template <typename Entry>
 class HeldEntries {
  public:
-  /*! \brief Gives all entries, held ones included. */
+  /*! \brief Returns all entries, including those with a pending removal. */
   [[nodiscard]] std::vector<Entry> Entries() const {
     std::vector<Entry> entries;
     entries.reserve(m_slots.size());
@@ -33,13 +33,14 @@
 
   [[nodiscard]] std::size_t size() const noexcept { return m_slots.size(); }
 
-  /*! \brief Finds an entry; null if there is none. */
+  /*! \brief Returns an entry; null if there is none. */
   [[nodiscard]] const Entry* Find(const std::string& key) const {
     const auto found = m_slots.find(key);
     return found == m_slots.end() ? nullptr : &found->second.entry;
   }
 
-  /*! \brief Finds an entry as of a position; null if another one is known. */
+  /*! \brief Returns the entry that was last changed at a position; null if
+   * there is none. */
   [[nodiscard]] const Entry* FindAt(const std::string& key,
                                     const StorePosition& position) const {
     const auto found = m_slots.find(key);
@@ -48,8 +49,8 @@
     return is_of_it ? &found->second.entry : nullptr;
   }
 
-  /*! \brief Finds an entry that an era before this one wrote; null if there is
-   * none. */
+  /*! \brief Returns an entry that was last changed before an era; null if
+   * there is none. */
   [[nodiscard]] const Entry* FindFromEarlierEra(const std::string& key,
                                                 StoreEra era) const {
     const auto found = m_slots.find(key);
@@ -58,7 +59,7 @@
     return is_before ? &found->second.entry : nullptr;
   }
 
-  /*! \brief Earliest moment at which Expire() removes something. */
+  /*! \brief Returns the earliest moment at which Expire() removes an entry. */
   [[nodiscard]] std::optional<TimePoint> NextExpiry() const {
     std::optional<TimePoint> next;
     for (const auto& [key, slot] : m_slots) {
@@ -70,8 +71,8 @@
   }
 
   /**
-   * \brief Takes a written entry; it ends a removal that is held.
-   * \return False if a later position is known.
+   * \brief Inserts or replaces an entry and cancels its pending removal.
+   * \return False if a later change of the key is known; the entry is ignored.
    */
   bool Put(const std::string& key, StorePosition position, Entry entry) {
     const auto found = m_slots.find(key);
@@ -83,8 +84,9 @@
   }
 
   /**
-   * \brief Takes a removal.
-   * \param effective_at When it counts; nothing while that is not known.
+   * \brief Marks an entry as removed, unless a later change is known.
+   * \param effective_at When the removal takes effect; nothing while that is
+   * unknown.
    */
   void Remove(const std::string& key,
               StorePosition position,
@@ -98,14 +100,14 @@
     found->second.erase_at = effective_at;
   }
 
-  /*! \brief Removes an entry at once. */
+  /*! \brief Removes an entry at once, without a delay. */
   void Erase(const std::string& key) { m_slots.erase(key); }
 
   /**
-   * \brief Takes a full reading: what it does not name is removed.
-   * \param listed Keys of the reading.
-   * \param position The store's position at its beginning; entries written
-   * later stay.
+   * \brief Marks the entries that a full read does not list as removed.
+   * \param listed Keys of the full read.
+   * \param position Position of the store when the read began; entries that
+   * were written later stay.
    * \param effective_at As for Remove().
    */
   void RemoveUnlisted(const std::set<std::string>& listed,
@@ -119,7 +121,7 @@
     }
   }
 
-  /*! \brief Keys whose removal does not count yet. */
+  /*! \brief Returns the keys whose removals have not taken effect yet. */
   [[nodiscard]] std::vector<std::string> PendingRemovalKeys() const {
     std::vector<std::string> keys;
     for (const auto& [key, slot] : m_slots) {
@@ -130,7 +132,7 @@
     return keys;
   }
 
-  /*! \brief Sets the moment for removals that had none. */
+  /*! \brief Sets when the pending removals without a moment take effect. */
   void SetExpiry(TimePoint effective_at) {
     for (auto& [key, slot] : m_slots) {
       if (slot.removed && !slot.erase_at) {
@@ -140,8 +142,8 @@
   }
 
   /**
-   * \brief Removes what is due.
-   * \return Keys that were removed.
+   * \brief Removes the entries whose removals are due.
+   * \return Keys of the removed entries.
    */
   std::vector<std::string> Expire(TimePoint now) {
     std::vector<std::string> expired;
@@ -159,9 +161,9 @@
  private:
   struct Slot {
     Entry entry;
-    //! Of its last write or removal.
+    //! Position of the last write or removal.
     StorePosition position;
-    //! When its removal counts.
+    //! When the removal takes effect; nothing while that is unknown.
     std::optional<TimePoint> erase_at;
     bool removed = false;
   };
--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -1,4 +1,4 @@
-// Takes the store's entries one by one.
+// Decodes and applies the store's entries one by one.
 #include "jacinthdeck/discovery/knowledge.h"
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 
 using std::chrono::milliseconds;
 
-//! Entries of the copy that nobody renews are dropped by then.
+//! Time within which the store drops restored entries that nobody renews.
 constexpr Duration kUnrenewedEntryLifetime = milliseconds(4600);
-//! Operators have repeated by then what they wrote in the lost seconds.
+//! Time within which operators have repeated the writes that a restore lost.
 constexpr Duration kOperatorRewriteTime = milliseconds(8000);
 
-//! The earlier of two moments that may be missing.
+//! Returns the earlier of two optional moments.
 [[nodiscard]] std::optional<TimePoint> Earlier(std::optional<TimePoint> left,
                                                std::optional<TimePoint> right) {
   if (!left || !right) {
@@ -64,7 +64,7 @@
 DiscoveryChange DiscoveryState::OnFullRead(std::span<const StoreChange> items,
                                            const StorePosition& position,
                                            TimePoint now) {
-  // A store may name its era only once it has come back from a copy.
+  // A store may name its era only after it was restored from a backup.
   const bool restored = m_era && position.era > *m_era;
   if (restored) {
     BeginEra(position, now);
@@ -256,7 +256,7 @@
                                  DiscoveryChange& changed) {
   if (!change.value) {
     const TargetEntry* entry = m_targets.Find(change.key);
-    // One that said it was leaving has left.
+    // A target that announced that it was draining has left on purpose.
     const bool draining = entry != nullptr && entry->draining;
     m_targets.Remove(change.key, change.position,
                      draining ? now : m_removal_hold.EffectiveAt(now));
@@ -265,7 +265,8 @@
   }
   auto parsed = Capture([&] { return m_codec.ReadTarget(id, *change.value); });
   if (auto* error = std::get_if<Error>(&parsed)) {
-    // An entry that cannot be read names no target, and hides no other.
+    // An entry that cannot be decoded yields no target and must not affect the
+    // others.
     m_targets.Erase(change.key);
     changed.targets = true;
     changed.unreadable.push_back(std::move(*error));
@@ -276,8 +277,9 @@
     changed.unreadable.push_back(std::move(*parsed_target.problem));
   }
   parsed_target.entry.cold_until = now + parsed_target.cold_for;
-  // Read again in a whole content, the same entry would start its cold time
-  // anew. The copy's entry may be from before the target began to leave.
+  // Without this, a full read that returns the same entry would restart its
+  // cold time, and an entry of a backup that was taken before the target began
+  // to drain would make it ready again.
   const TargetEntry* known = m_targets.FindAt(change.key, change.position);
   if (known == nullptr) {
     known = m_targets.FindFromEarlierEra(change.key, change.position.era);
--- a/src/jacinthdeck/discovery/knowledge.h
+++ b/src/jacinthdeck/discovery/knowledge.h
@@ -1,5 +1,4 @@
-// What a host knows of configuration, targets and hosts, and when it believes
-// what the store says.
+// A host's view of configuration, targets and hosts, decoded from the store.
 #ifndef JACINTHDECK_DISCOVERY_KNOWLEDGE_H_
 #define JACINTHDECK_DISCOVERY_KNOWLEDGE_H_
 
@@ -26,7 +25,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief What changed with one step. */
+/*! \brief What changed with one update of the discovery state. */
 struct DiscoveryChange {
   bool config = false;
   bool targets = false;
@@ -35,12 +34,13 @@
   bool schema = false;
   //! Services whose partition maps were written.
   std::vector<ServiceId> indexes;
-  //! Requests that another host found to crash targets.
+  //! Fingerprints of requests that another host found to crash targets.
   std::vector<Fingerprint> convictions;
-  //! Entries that could not be read: key and what is wrong.
+  //! Errors of entries that could not be decoded.
   std::vector<Error> unreadable;
 
-  //! Targets change with the evacuations of their domains.
+  //! Records a change of evacuations, which also changes the targets of the
+  //! evacuated domains.
   void MarkEvacuations(bool changed) noexcept {
     evacuations |= changed;
     targets |= changed;
@@ -48,27 +48,27 @@
 };
 
 /**
- * \brief The tables that the store's entries make, without a network.
+ * \brief Tables decoded from the store's entries; performs no I/O.
  *
- * Positions only rise: an older word on a key never replaces a newer one, and
- * the configuration's version never falls within the life of a process.
+ * An older change of a key never replaces a newer one, and the version of the
+ * configuration never decreases within the life of a process.
  *
- * A store that comes back from a copy lacks the last seconds, and operators and
- * targets write again what they wrote in them. Until they had the time, this
- * host keeps to what it knew: entries that the copy lacks stay, those that were
- * removed before and are back in the copy are put off (RestoreGuard), and a
- * target that was leaving still is.
+ * A store that is restored from a backup lacks the writes of the last seconds,
+ * and operators and targets repeat them. Until they had time to do so, this
+ * host keeps its previous state: entries that the backup lacks stay, entries
+ * that were removed before and reappear in the backup are held back
+ * (RestoreGuard), and a draining target stays draining.
  */
 class DiscoveryState {
  public:
-  /*! \brief Makes an empty one; the codec outlives it. */
+  /*! \brief Makes an empty state; the codec must outlive it. */
   explicit DiscoveryState(const PlatformCodec& codec) : m_codec(codec) {}
 
   [[nodiscard]] const std::shared_ptr<const RoutingConfig>& config()
       const noexcept {
     return m_config;
   }
-  /*! \brief All targets; those of evacuated domains are marked. */
+  /*! \brief Returns all targets; those of evacuated domains are marked. */
   [[nodiscard]] std::vector<TargetEntry> Targets() const;
   [[nodiscard]] std::vector<Evacuation> Evacuations() const {
     return m_evacuations.Entries();
@@ -96,39 +96,41 @@
     return m_removal_hold.away();
   }
   /**
-   * \brief The configuration in force, if an era before wrote it and this one
-   * has none that is as new.
+   * \brief Returns the configuration in force if it was written in an earlier
+   * era and the present one has none that is as new.
    *
-   * Handed on beside the content of this era: a host that starts now would
-   * serve an older one than the others.
+   * It is sent to other hosts beside the content of the present era, since a
+   * host that starts now would otherwise serve an older configuration than the
+   * others.
    */
   [[nodiscard]] std::optional<StoreChange> CarriedOverConfig() const;
 
-  /*! \brief Moment at which OnTimer() is due. */
+  /*! \brief Returns when OnTimer() is due; nothing if no timer is set. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  /*! \brief Takes a failed call to the store. */
+  /*! \brief Records a failed call to the store. */
   void OnStoreAway() noexcept { m_removal_hold.OnCallFailed(); }
 
-  /*! \brief Takes changes, in the order of their revisions, after a call that
-   * went well. */
+  /*! \brief Applies the changes of a successful call, in the order of their
+   * revisions. */
   DiscoveryChange OnChanges(std::span<const StoreChange> changes,
                             TimePoint now);
 
   /**
-   * \brief Takes a reading of all keys.
+   * \brief Applies a full read: entries that it does not list are removed.
    * \param items Every key of the store.
-   * \param position The store's position when the reading began.
+   * \param position Position of the store when the read began.
    */
   DiscoveryChange OnFullRead(std::span<const StoreChange> items,
                              const StorePosition& position,
                              TimePoint now);
 
-  /*! \brief Takes what another host carries over from an era before; only a
-   * configuration counts, by its version. */
+  /*! \brief Applies changes of an earlier era that another host sent; only a
+   * configuration is applied, if its version is newer. */
   DiscoveryChange OnCarriedOver(std::span<const StoreChange> changes);
 
-  /*! \brief Lets removals count that are due, and entries that were put off. */
+  /*! \brief Applies the removals that are due and the entries whose delay has
+   * ended. */
   DiscoveryChange OnTimer(TimePoint now);
 
  private:
@@ -149,11 +151,12 @@
                  DiscoveryChange& changed);
   void OnCallSucceeded(TimePoint now);
   void BeginEra(const StorePosition& position, TimePoint now);
-  //! Lets removals count that are due.
+  //! Applies the removals that are due.
   void ApplyDueRemovals(TimePoint now, DiscoveryChange& changed);
   /**
-   * \brief Lets removals of one kind of entries count that are due.
-   * \param hold_time How long a copy's entry of a removed key is put off.
+   * \brief Applies the due removals of one kind of entries.
+   * \param hold_time How long a backup's entry of a removed key is held back.
+   * \return True if an entry was removed.
    */
   template <typename Entry>
   [[nodiscard]] bool Expire(HeldEntries<Entry>& entries,
@@ -162,16 +165,16 @@
 
   const PlatformCodec& m_codec;
   RemovalHold m_removal_hold;
-  //! Of the last reading; nothing before the first.
+  //! Newest era of a full read; nothing before the first one.
   std::optional<StoreEra> m_era;
   RestoreGuard m_restore_guard;
   std::shared_ptr<const RoutingConfig> m_config;
-  //! What m_config was read from.
+  //! Entry from which m_config was decoded.
   StoreChange m_config_entry;
   std::string m_schema;
   std::map<ServiceId, std::string> m_indexes;
   HeldEntries<TargetEntry> m_targets;
-  //! No lease holds them: their removals count at once.
+  //! Evacuations have no lease, so their removals take effect at once.
   HeldEntries<Evacuation> m_evacuations;
   HeldEntries<HostRecord> m_hosts;
 };
--- a/src/jacinthdeck/discovery/knowledge_observer.h
+++ b/src/jacinthdeck/discovery/knowledge_observer.h
@@ -1,4 +1,4 @@
-// Receiver of what a host learns from the store.
+// Interface that receives changes of a host's discovery state.
 #ifndef JACINTHDECK_DISCOVERY_KNOWLEDGE_OBSERVER_H_
 #define JACINTHDECK_DISCOVERY_KNOWLEDGE_OBSERVER_H_
 
@@ -9,23 +9,24 @@
 
 namespace jacinthdeck {
 
-/*! \brief Told of changes; called from the event loop. */
+/*! \brief Receives events of a StoreSession; called from the event loop. */
 class DiscoveryObserver {
  public:
   virtual ~DiscoveryObserver() = default;
 
-  /*! \brief Something in the tables changed. */
+  /*! \brief The decoded tables changed. */
   virtual void OnDiscoveryChange(const DiscoveryChange& change,
                                  const StorePosition& position) = 0;
 
-  /*! \brief The store's content changed, as far as it is news here. */
+  /*! \brief The store's content changed.
+   * \param changes Only changes that were unknown here; all keys if `whole`. */
   virtual void OnContent(const std::vector<StoreChange>& changes,
                          const StorePosition& position,
                          bool whole) = 0;
 
   /**
-   * \brief The store came back from a copy.
-   * \param known Up to where its content was known.
+   * \brief The store was restored from a backup and began a new era.
+   * \param known Position up to which this host knew the content before.
    */
   virtual void OnStoreRestored(StoreEra before,
                                StoreEra era,
@@ -34,13 +35,13 @@
   /*! \brief All keys were read from the store. */
   virtual void OnStoreRead(const FullRead& reading) = 0;
 
-  /*! \brief A call to the store failed after one that went well. */
+  /*! \brief A call to the store failed after a successful one. */
   virtual void OnStoreLost(StoreStatus status, const std::string& problem) = 0;
 
-  /*! \brief A call to the store went well after one that failed. */
+  /*! \brief A call to the store succeeded after a failed one. */
   virtual void OnStoreRegained() = 0;
 
-  /*! \brief This host's own record was written, or could not be. */
+  /*! \brief A write of this host's own record succeeded or failed. */
   virtual void OnRegistration(StoreStatus status) = 0;
 };
 
--- a/src/jacinthdeck/discovery/removal_hold.h
+++ b/src/jacinthdeck/discovery/removal_hold.h
@@ -1,4 +1,4 @@
-// When a removal from the store is to be believed.
+// Decides when a removal from the store takes effect.
 #ifndef JACINTHDECK_DISCOVERY_REMOVAL_HOLD_H_
 #define JACINTHDECK_DISCOVERY_REMOVAL_HOLD_H_
 
@@ -11,22 +11,24 @@
 /**
  * \brief Delays removals that an outage of the store explains.
  *
- * While the store is away, leases run out although their holders live; their
- * entries are back soon after it is. A host that believed such removals would
- * drop every target at once and refuse all requests. Removals are held until
- * the holders had time to return; removals seen while the store is well count
+ * While the store is unavailable, leases expire although their holders are
+ * alive; the holders register again soon after the store is back. A host that
+ * applied such removals at once would drop every target and refuse all
+ * requests. Removals are therefore delayed until the holders had time to
+ * register again. Removals that arrive while the store is available take effect
  * at once.
  */
 class RemovalHold {
  public:
-  //! Holders that live are back within about two seconds of the store.
+  //! Live holders register again within about two seconds after the store is
+  //! back.
   static constexpr Duration kReregistrationTime =
       std::chrono::milliseconds(2300);
 
-  /*! \brief Takes a failed call. */
+  /*! \brief Records a failed call to the store. */
   void OnCallFailed() noexcept { m_away = true; }
 
-  /*! \brief Takes a call that went well. */
+  /*! \brief Records a successful call to the store. */
   void OnCallSucceeded(TimePoint now) noexcept {
     if (m_away) {
       m_away = false;
@@ -34,15 +36,15 @@
     }
   }
 
-  /*! \brief Takes that the store came back from a copy, which may lack holders
-   * that live. */
+  /*! \brief Records that the store was restored from a backup, which may lack
+   * the entries of live holders. */
   void OnRestored(TimePoint now) noexcept {
     m_away = false;
     m_available_since = now;
   }
 
-  /*! \brief Tells when a removal seen now counts; nothing while the store is
-   * away. */
+  /*! \brief Returns when a removal that arrives now takes effect; nothing
+   * while the store is unavailable. */
   [[nodiscard]] std::optional<TimePoint> EffectiveAt(
       TimePoint now) const noexcept {
     if (m_away) {
@@ -54,11 +56,13 @@
     return now;
   }
 
+  /*! \brief Tells whether the last call to the store failed. */
   [[nodiscard]] bool away() const noexcept { return m_away; }
 
  private:
   bool m_away = false;
-  //! End of the last outage, or moment of the last restore.
+  //! End of the last outage or moment of the last restore; nothing if there was
+  //! none.
   std::optional<TimePoint> m_available_since;
 };
 
--- a/src/jacinthdeck/discovery/restore_doubt.cc
+++ b/src/jacinthdeck/discovery/restore_doubt.cc
@@ -1,4 +1,4 @@
-// Doubts by key.
+// Keeps the delays by key.
 #include "jacinthdeck/discovery/restore_doubt.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/discovery/restore_doubt.h
+++ b/src/jacinthdeck/discovery/restore_doubt.h
@@ -1,4 +1,4 @@
-// What a host doubts of a store that came back from a copy.
+// Delays outdated entries of a store that was restored from a backup.
 #ifndef JACINTHDECK_DISCOVERY_RESTORE_DOUBT_H_
 #define JACINTHDECK_DISCOVERY_RESTORE_DOUBT_H_
 
@@ -14,55 +14,58 @@
 namespace jacinthdeck {
 
 /**
- * \brief Puts off entries of the copy that this host knows to be out of date.
+ * \brief Holds back entries of a backup that this host knows to be outdated.
  *
- * The copy still holds what was removed after it was made: targets that left,
- * whose addresses may have new owners, and orders that were taken back. Such an
- * entry counts once it is written again, or if it is still there after the time
- * in which the store drops entries that nobody renews.
+ * The backup still holds what was removed after it was taken: targets that
+ * left, whose addresses may have new owners, and evacuations that were ended.
+ * Such an entry is applied once it is written again, or if it is still present
+ * after the time in which the store drops entries that nobody renews.
  */
 class RestoreGuard {
  public:
-  //! Removals before that were in the copy already.
+  //! Longest time of which a restore loses the writes: the backup already
+  //! reflects older removals.
   static constexpr Duration kMaxLossWindow = std::chrono::seconds(60);
 
   /**
-   * \brief Takes the removal of a key.
-   * \param hold_time How long a copy's entry of it is put off.
+   * \brief Records the removal of a key.
+   * \param hold_time How long the key's entry of a backup is held back.
    */
   void OnRemoved(const std::string& key, Duration hold_time, TimePoint now);
 
-  /*! \brief Takes that a key was written, other than by a copy. */
+  /*! \brief Records a write of a key that is not held back. */
   void OnWritten(const std::string& key) { m_removed.erase(key); }
 
-  /*! \brief Begins to doubt a key. */
+  /*! \brief Holds back the restored entry of a key until a moment. */
   void HoldUntil(const std::string& key, TimePoint until);
 
   /**
-   * \brief Begins to doubt all keys that were removed lately.
-   * \param position Of the first reading of the copy: what is later was
-   * written since.
+   * \brief Begins to hold back all keys that were removed within
+   * kMaxLossWindow.
+   * \param position Position of the first full read after the restore: later
+   * changes were written since.
    */
   void OnRestored(const StorePosition& position, TimePoint now);
 
-  /*! \brief Tells whether a change is put off; it is kept then. A change that
-   * was made after the restore ends the doubt of its key. */
+  /*! \brief Stores a change that must be held back. A change that was made
+   * after the restore, or a removal, ends the delay of its key.
+   * \return True if the change is held back; the caller does not apply it. */
   [[nodiscard]] bool HoldBack(const StoreChange& change, TimePoint now);
 
-  /*! \brief Ends the doubt of keys that a reading does not name. */
+  /*! \brief Ends the delay of keys that a full read does not list. */
   void KeepOnly(const std::set<std::string>& listed);
 
-  /*! \brief Earliest moment at which TakeReleased() gives something. */
+  /*! \brief Returns the earliest moment at which a delay ends. */
   [[nodiscard]] std::optional<TimePoint> NextRelease() const;
 
-  /*! \brief Ends doubts that are due.
-   * \return The entries that were put off. */
+  /*! \brief Ends the delays that are due.
+   * \return The entries that were held back. */
   [[nodiscard]] std::vector<StoreChange> TakeReleased(TimePoint now);
 
  private:
   struct Delay {
     TimePoint until;
-    //! Of the copy; nothing if it does not hold the key.
+    //! Entry of the backup; nothing while none was read for the key.
     std::optional<StoreChange> entry;
   };
 
@@ -71,7 +74,7 @@
     Duration hold_time{};
   };
 
-  //! Keys that were removed within kMaxLossWindow.
+  //! Removals of the last kMaxLossWindow, by key.
   std::map<std::string, Removal> m_removed;
   std::map<std::string, Delay> m_delays;
   StorePosition m_restored_position;
--- a/src/jacinthdeck/discovery/store_content.cc
+++ b/src/jacinthdeck/discovery/store_content.cc
@@ -1,4 +1,4 @@
-// Compares positions key by key.
+// Applies changes and full content, comparing positions key by key.
 #include "jacinthdeck/discovery/store_content.h"
 
 #include <algorithm>
@@ -81,8 +81,9 @@
     at = gone ? m_items.erase(at) : std::next(at);
   }
   (void)Apply(items);
-  // Keys that went between two readings are remembered as removed at the
-  // second, so that the first one's revision holds on.
+  // Keys that were removed between two full reads are recorded as removed at
+  // the position of the second, so the removals since the first one's position
+  // are still complete.
   m_removals_complete_from = m_removals_complete_from.value_or(position);
   std::vector<StoreChange> valid;
   std::ranges::copy_if(
--- a/src/jacinthdeck/discovery/store_content.h
+++ b/src/jacinthdeck/discovery/store_content.h
@@ -1,4 +1,4 @@
-// The store's keys as this host knows them, for handing on.
+// A host's copy of the store's keys, which it sends to other hosts.
 #ifndef JACINTHDECK_DISCOVERY_STORE_CONTENT_H_
 #define JACINTHDECK_DISCOVERY_STORE_CONTENT_H_
 
@@ -14,47 +14,50 @@
 namespace jacinthdeck {
 
 /**
- * \brief Keys and values by position, all of one era.
+ * \brief Keys with their values and positions, all of one era.
  *
  * Content reaches a host from the store and from other hosts, in any order. A
- * word that is older than what is known of its key is dropped here, also where
- * the key was removed meanwhile: an entry that left would come back otherwise.
- * A whole content of a newer era takes the place of all that there is; words of
- * an older one are dropped.
+ * change that is older than the last known change of its key is ignored, also
+ * if that was a removal: a removed entry would reappear otherwise. Full content
+ * of a newer era replaces everything; changes of an older era are ignored.
  */
 class StoreContent {
  public:
-  //! Removals that are remembered; others than the newest cannot come late.
+  //! Removals that are remembered. Older changes of their keys can arrive late
+  //! only for the newest removals, so the oldest are forgotten first.
   static constexpr std::size_t kMaxRemovals = 4096;
 
-  /*! \brief All keys that are there. */
+  /*! \brief Returns all present keys, in order. */
   [[nodiscard]] std::vector<StoreChange> Items() const;
 
   /**
-   * \brief Gives what was changed after a position.
+   * \brief Returns the changes after a position.
    * \return Changes in the order of their positions; nothing if some of the
-   * removals since then are not known here, or it is of another era.
+   * removals since then are unknown here, or if the position is of another era.
    */
   [[nodiscard]] std::optional<std::vector<StoreChange>> ChangesSince(
       const StorePosition& position) const;
 
-  /*! \brief Position of a key's last write; revision 0 if it is not there. */
+  /*! \brief Returns the position of a key's last write; revision 0 if the key
+   * is absent. */
   [[nodiscard]] StorePosition PositionOf(const std::string& key) const;
 
-  /*! \brief Counts what was ever changed; equal counts mean equal content. */
+  /*! \brief Number of changes since the start; equal counts mean equal
+   * content. */
   [[nodiscard]] std::uint64_t changes() const noexcept {
     return m_change_count;
   }
 
   /**
-   * \brief Takes changes.
-   * \return Those that were news, in order.
+   * \brief Applies changes that are newer than what is known of their keys.
+   * \return The applied changes, in order.
    */
   std::vector<StoreChange> Apply(std::span<const StoreChange> changes);
 
   /**
-   * \brief Takes the whole content at a position.
-   * \return Its items without those that are known to be out of date.
+   * \brief Replaces the content by the full content at a position; keys that
+   * changed after it stay.
+   * \return The items without those whose keys are known to be removed later.
    */
   std::vector<StoreChange> Replace(std::span<const StoreChange> items,
                                    const StorePosition& position);
@@ -65,13 +68,13 @@
   void Clear();
 
   std::map<std::string, StoreChange> m_items;
-  //! Removed keys and when; disjoint from m_items.
+  //! Removed keys and the positions of their removals; disjoint from m_items.
   std::map<std::string, StorePosition> m_removed;
   std::uint64_t m_change_count = 0;
-  //! Of the last whole content.
+  //! Newest era of which full content was applied.
   StoreEra m_era{};
-  //! Position from which on all removals are in m_removed; nothing before the
-  //! first whole content.
+  //! Position after which m_removed holds every removal; nothing before the
+  //! first full content.
   std::optional<StorePosition> m_removals_complete_from;
 };
 
--- a/src/jacinthdeck/discovery/store_types.h
+++ b/src/jacinthdeck/discovery/store_types.h
@@ -1,4 +1,4 @@
-// Entries, changes and replies of the platform's store.
+// Entries, changes and replies of the platform's key-value store.
 #ifndef JACINTHDECK_DISCOVERY_STORE_TYPES_H_
 #define JACINTHDECK_DISCOVERY_STORE_TYPES_H_
 
@@ -14,22 +14,22 @@
 
 namespace jacinthdeck {
 
-/*! \brief How the store took a call. */
+/*! \brief Outcome of a call to the store. */
 enum class StoreStatus {
   kOk,
-  //! The call did nothing: the store is busy, or calls beyond its rate.
+  //! The call had no effect: the store is busy or its rate limit is exceeded.
   kBusy,
-  //! The history that a watch asked for is no longer there.
+  //! The history that a watch asked for has been compacted.
   kCompacted,
-  //! The lease has ended.
+  //! The lease has expired or was revoked.
   kNoLease,
-  //! A condition does not hold.
+  //! A condition of the write is not met.
   kConflict,
-  //! No reply: the call may have been done, or may be done later.
+  //! No reply: the call may have taken effect, or may do so later.
   kNoReply,
-  //! A reply that cannot be read.
+  //! The reply cannot be parsed.
   kCorrupt,
-  //! A reply of an era that has ended.
+  //! The reply is from an earlier era of the store.
   kOutdated,
 };
 
@@ -39,108 +39,111 @@
      "outdated"}};
 
 /**
- * \brief One uninterrupted history of the store; higher is newer.
+ * \brief Number of an uninterrupted history of the store; higher is newer.
  *
- * A store that comes back from a copy begins a new one, in which it gives out
- * revisions of the one before again. 0: it names none.
+ * A store that is restored from a backup begins a new era, in which it reuses
+ * revisions of the previous one. 0: the store names no era.
  */
 enum class StoreEra : std::uint64_t {};
 
-/*! \brief An era's number, for logs, metrics and messages. */
+/*! \brief Returns an era's number, for logs, metrics and messages. */
 [[nodiscard]] constexpr std::uint64_t EraNumber(StoreEra era) noexcept {
   return static_cast<std::uint64_t>(era);
 }
 
 /**
- * \brief A point in the store's history, in order over all eras.
+ * \brief A point in the store's history, ordered across eras.
  *
- * A bare revision orders nothing: a store that comes back from a copy gives the
- * same one to two changes.
+ * A revision alone does not order changes: a store that is restored from a
+ * backup uses the same revision for two changes.
  */
 struct StorePosition {
   StoreEra era{};
-  //! 0: before the first change.
+  //! Revision within the era; 0: before the first change.
   std::uint64_t revision = 0;
 
   [[nodiscard]] auto operator<=>(const StorePosition&) const = default;
 };
 
-/*! \brief A key with its value, or its removal. */
+/*! \brief A key that was written or removed. */
 struct StoreChange {
   std::string key;
   StorePosition position;
-  //! Nothing where the key was removed.
+  //! New value; nothing if the key was removed.
   std::optional<std::string> value;
 };
 
 /*! \brief One page of a range of keys. */
 struct StorePage {
   StoreStatus status = StoreStatus::kNoReply;
-  //! Why, where the status is not kOk.
+  //! Reason for a status other than kOk.
   std::string problem;
   std::vector<StoreChange> items;
   bool has_more = false;
-  //! The store's at the reading; of a failed call the era alone.
+  //! Position of the store when the page was read; of a failed call only the
+  //! era.
   StorePosition position;
 };
 
-/*! \brief Content that one host hands on to another. */
+/*! \brief Store content that one host sends to another. */
 struct ContentUpdate {
   StorePosition position;
-  //! What is not named is gone.
+  //! The changes list every key of the store: other keys are removed.
   bool whole = false;
-  //! Those of an era before are no content; they are carried over.
+  //! Changes of an earlier era are not part of the store's content; they are
+  //! carried over from before a restore.
   std::vector<StoreChange> changes;
 };
 
-/*! \brief A whole reading, as the store gave it. */
+/*! \brief Facts about a read of all keys of the store. */
 struct FullRead {
-  //! The store's when the reading began.
+  //! Position of the store when the read began.
   StorePosition position;
-  //! Up to which this host knew the content before.
+  //! Position up to which this host knew the content before.
   StorePosition known;
   std::size_t items = 0;
-  //! Items that are older than what this host knows of their keys.
+  //! Items that are older than what this host knows about their keys.
   std::size_t outdated = 0;
 };
 
-/*! \brief What a watch returned. */
+/*! \brief Result of a watch call. */
 struct WatchBatch {
   StoreStatus status = StoreStatus::kNoReply;
   std::string problem;
   std::vector<StoreChange> changes;
-  //! Where the next watch goes on; of a failed call the era alone.
+  //! Position after which the next watch continues; of a failed call only the
+  //! era.
   StorePosition position;
 };
 
-/*! \brief What a call on a lease, or a write, returned. */
+/*! \brief Result of a write or of a call that concerns a lease. */
 struct StoreAck {
   StoreStatus status = StoreStatus::kNoReply;
   std::string problem;
-  //! Of a new lease.
+  //! Id of a granted lease.
   std::uint64_t lease = 0;
-  //! The store's after a write; of other calls the era alone.
+  //! Position of the store after a write; of other calls only the era.
   StorePosition position;
 };
 
-/*! \brief A condition of a write: the key's last change is this one. */
+/*! \brief A condition of a write: the key was last changed at a revision. */
 struct StoreCondition {
   std::string key;
-  //! 0: the key is not there.
+  //! 0: the key does not exist.
   std::uint64_t revision = 0;
 };
 
-/*! \brief A key to be written. */
+/*! \brief A key and the value to write. */
 struct StorePut {
   std::string key;
   std::string value;
-  //! Lease that it ends with; 0: none.
+  //! Lease with which the key is removed; 0: none.
   std::uint64_t lease = 0;
 };
 
-/*! \brief A write that is done whole or not at all. */
+/*! \brief An atomic write of several keys. */
 struct StoreWrite {
-  //! Conditions, puts and removals that one write may hold together.
+  //! Limit of the sum of conditions, puts and removals.
   static constexpr std::size_t kMaxEntries = 32;
 
   std::vector<StoreCondition> conditions;
