--- a/src/jacinthdeck/discovery/directory_choice.cc
+++ b/src/jacinthdeck/discovery/directory_choice.cc
@@ -1,5 +1,5 @@
-// Near hosts first: a longer way costs the caller time, and traffic between
-// failure domains.
+// Prefers hosts of the caller's failure domain: others cost the caller latency
+// and cause traffic between failure domains.
 #include "jacinthdeck/discovery/directory_choice.h"
 
 #include <algorithm>
@@ -9,14 +9,16 @@
 
 namespace {
 
-//! Hosts that a caller is told of at least, where there are so many: with fewer
-//! it has nowhere to go while the directory still names those that just died.
+//! Minimum number of hosts to return, if so many exist: with fewer, a caller
+//! may know no live host while the directory still lists hosts that just
+//! failed.
 constexpr std::size_t kMinAddresses = 3;
-//! Own hosts from which callers keep to their failure domain.
+//! Hosts of the caller's failure domain from which on others are left out.
 constexpr std::ptrdiff_t kMinOwnDomainHosts = 2;
 
-//! Leaves hosts of other domains out, but for those that make up the number.
-//! They differ from domain to domain, so that no host gets them all.
+//! Drops hosts of other domains, except those needed to reach kMinAddresses.
+//! Which hosts remain depends on the caller's domain, so that the callers of
+//! several domains do not all go to the same host.
 void PreferOwnDomain(std::vector<const HostRecord*>& chosen,
                      std::ptrdiff_t own_count,
                      const FailureDomain& domain) {
--- a/src/jacinthdeck/discovery/directory_choice.h
+++ b/src/jacinthdeck/discovery/directory_choice.h
@@ -1,4 +1,4 @@
-// Which hosts a caller is told to connect to.
+// Selection of the hosts that a caller is told to connect to.
 #ifndef JACINTHDECK_DISCOVERY_DIRECTORY_CHOICE_H_
 #define JACINTHDECK_DISCOVERY_DIRECTORY_CHOICE_H_
 
@@ -11,22 +11,22 @@
 
 namespace jacinthdeck {
 
-/*! \brief Who asks, and who answers. */
+/*! \brief A caller's request for host addresses. */
 struct DirectoryRequest {
-  //! Failure domain of the caller; empty if it did not say.
+  //! Failure domain of the caller; empty if it sent none.
   FailureDomain caller_domain;
-  //! This host; left out if it takes no callers.
+  //! This host's record; left out if it accepts no callers.
   HostRecord self;
   bool self_accepts_callers = false;
-  //! Most addresses to return.
+  //! Maximum number of addresses to return.
   std::size_t max_addresses = 64;
 };
 
 /**
- * \brief Chooses the callers' addresses of live hosts.
- * \param hosts Hosts as the store names them; may hold an old record of self.
- * \return Addresses without doubles; of the caller's failure domain alone where
- * it has enough hosts; empty if none is known.
+ * \brief Chooses the addresses of live hosts for a caller.
+ * \param hosts Hosts registered in the store; may hold an old record of self.
+ * \return Distinct addresses, those of the caller's failure domain first. Only
+ * hosts of that domain if it has enough of them; empty if no host is known.
  */
 [[nodiscard]] std::vector<std::string> ChooseCallerAddresses(
     const DirectoryRequest& request,
--- a/src/jacinthdeck/discovery/evacuation.h
+++ b/src/jacinthdeck/discovery/evacuation.h
@@ -1,4 +1,4 @@
-// An operator's order that nothing be sent to the targets of a domain.
+// An operator's order to send no requests to the targets of a failure domain.
 #ifndef JACINTHDECK_DISCOVERY_EVACUATION_H_
 #define JACINTHDECK_DISCOVERY_EVACUATION_H_
 
@@ -8,10 +8,10 @@
 
 namespace jacinthdeck {
 
-/*! \brief A failure domain whose targets get nothing until it is removed. */
+/*! \brief A failure domain whose targets get no requests while it exists. */
 struct Evacuation {
   FailureDomain domain;
-  //! Of the store, at its last write.
+  //! Position of the last write of its key.
   StorePosition position;
   //! When this host learned of it.
   TimePoint since;
--- a/src/jacinthdeck/discovery/fleet.cc
+++ b/src/jacinthdeck/discovery/fleet.cc
@@ -1,4 +1,4 @@
-// Ranks hosts within their failure domains.
+// Ranks the hosts of each failure domain by processor capacity.
 #include "jacinthdeck/discovery/fleet.h"
 
 #include <algorithm>
@@ -10,15 +10,14 @@
 namespace {
 
 constexpr std::size_t kMinWatchers = 3;
-//! Hosts of a failure domain that take callers at least: one may be lost.
+//! Minimum number of fronts in a failure domain: one may be lost.
 constexpr std::size_t kMinFrontsPerDomain = 2;
-//! Connections of a target that one host needs to use its slots.
+//! Connections to a target that one front needs to use the target's slots.
 constexpr std::uint32_t kConnectionsPerFront = 3;
-//! A host takes callers with the strongest if it has this part of their
-//! strength.
+//! A host becomes a front if it has this share of the highest capacity.
 constexpr double kMinStrengthShare = 0.5;
-//! More hosts take callers while more than this share of the fronts is busy:
-//! twice as many hosts, of which the former half is busy, are enough.
+//! Hosts are added while more than this share of the fronts is busy. Each step
+//! doubles the fronts; once only the former half is busy, no more are added.
 constexpr double kMaxBusyShare = 0.5;
 
 using Ranked = std::map<FailureDomain, std::vector<const HostRecord*>>;
@@ -41,7 +40,8 @@
   return ranked;
 }
 
-//! Number of hosts of a domain that are about as strong as the strongest.
+//! Returns how many hosts of a domain have at least kMinStrengthShare of the
+//! highest capacity.
 [[nodiscard]] std::size_t CountStrong(
     const std::vector<const HostRecord*>& ranked,
     std::uint32_t strongest) {
@@ -52,7 +52,8 @@
       }));
 }
 
-//! The first hosts of each domain.
+//! Returns the highest-ranked hosts of each domain.
+//! \param counts Number of hosts to take, by domain.
 [[nodiscard]] std::vector<HostRecord> TakeStrongest(
     const Ranked& ranked,
     const std::map<FailureDomain, std::size_t>& counts) {
--- a/src/jacinthdeck/discovery/fleet.h
+++ b/src/jacinthdeck/discovery/fleet.h
@@ -1,4 +1,4 @@
-// Which hosts do what: read the store for the others, and take callers.
+// Assignment of roles to hosts: which watch the store and which take callers.
 #ifndef JACINTHDECK_DISCOVERY_FLEET_H_
 #define JACINTHDECK_DISCOVERY_FLEET_H_
 
@@ -12,36 +12,39 @@
 
 namespace jacinthdeck {
 
-//! Fleets up to this size use all hosts alike: the loss of a few would leave
-//! too few, and what each of them costs the store is little.
+//! In fleets up to this size every host has all roles: if only a few had them,
+//! the loss of some would leave too few, and so few hosts cost the store
+//! little.
 inline constexpr std::size_t kSmallFleetSize = 12;
 
 /**
- * \brief Chooses the hosts that watch the store; the others learn from them.
+ * \brief Chooses the hosts that watch the store and feed the other hosts.
  *
- * Each watch costs calls for every change. A few watchers, spread over the
- * failure domains and on the strongest hosts, cost the same for 8 hosts and for
- * 590. Every host computes the same choice from the same records.
+ * Each watch costs calls to the store for every change. A few watchers, spread
+ * over the failure domains and placed on the hosts with the most processor
+ * capacity, cost the same for 8 hosts and for 590. Every host computes the same
+ * choice from the same records.
  *
- * \return Names; at least one a failure domain and three in all, where there
+ * \return Names; at least one per failure domain and three in all, if there
  * are so many hosts.
  */
 [[nodiscard]] std::vector<NodeId> ChooseWatchers(
     std::span<const HostRecord> hosts);
 
 /**
- * \brief Chooses the hosts that callers are sent to.
+ * \brief Chooses the fronts: the hosts that callers are sent to.
  *
- * Targets accept few connections. Spread over all hosts of a large fleet they
- * are less than one a host, and each host knows little of each target. The
- * strongest hosts of each failure domain take the callers, more of them while
- * those are busy; the rest stand by and are next when hosts are lost.
+ * Targets accept few connections. Divided among all hosts of a large fleet that
+ * is less than one connection per host, and each host measures little of each
+ * target. The hosts with the most processor capacity in each failure domain are
+ * the fronts, and more hosts join them while they are busy. The other hosts are
+ * on standby and replace lost fronts.
  *
  * \param hosts Live hosts.
- * \param target_connections Fewest connections that a target of any service
- * accepts from all hosts; 0 if unknown.
- * \return Records, strongest first in each domain; all hosts where the fleet
- * is small.
+ * \param target_connections Smallest number of connections that a target of
+ * any service accepts from all hosts; 0 if unknown.
+ * \return Records, by descending capacity in each domain; all hosts if the
+ * fleet is small.
  */
 [[nodiscard]] std::vector<HostRecord> ChooseFronts(
     std::span<const HostRecord> hosts,
--- a/src/jacinthdeck/discovery/host_record.h
+++ b/src/jacinthdeck/discovery/host_record.h
@@ -1,4 +1,4 @@
-// What a host says of itself in the store.
+// A host's registration in the store.
 #ifndef JACINTHDECK_DISCOVERY_HOST_RECORD_H_
 #define JACINTHDECK_DISCOVERY_HOST_RECORD_H_
 
@@ -9,23 +9,23 @@
 
 namespace jacinthdeck {
 
-/*! \brief A host that serves callers. */
+/*! \brief Addresses, capacity and load of a host. */
 struct HostRecord {
   NodeId name;
   FailureDomain domain;
   //! `address:port` that callers connect to.
   std::string callers;
-  //! `address:port` of the typed calls; empty if it takes none.
+  //! `address:port` of the typed calls; empty if it accepts none.
   std::string queries;
-  //! `address:port` where other hosts learn from it; empty if they cannot.
+  //! `address:port` of the feed for other hosts; empty if it offers none.
   std::string peers;
-  //! Processor that it has, in thousandths of a core.
+  //! Processor capacity in thousandths of a core.
   std::uint32_t cpu_millicores = 0;
-  //! Its processor is the bottleneck of its calls now.
+  //! The processor is currently the bottleneck of its calls.
   bool busy = false;
-  //! Start of its process in Unix milliseconds: tells its lives apart.
+  //! Start of the process in Unix milliseconds; distinguishes restarts.
   std::uint64_t started_ms = 0;
-  //! Host that wrote this record into the store, with whose lease it ends.
+  //! Host that wrote this record; the record is removed with its lease.
   NodeId writer;
 
   [[nodiscard]] bool operator==(const HostRecord&) const = default;
--- a/src/jacinthdeck/discovery/member_records.cc
+++ b/src/jacinthdeck/discovery/member_records.cc
@@ -1,4 +1,4 @@
-// Members and strays by name; a write takes as many as the store allows.
+// Collects as many records into a write as the store allows.
 #include "jacinthdeck/discovery/member_records.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 namespace {
 
-//! A host whose link ended may come back, or be written elsewhere, within this
-//! time; its record is left alone so long.
+//! Time before an orphaned record is removed: its host may reconnect, or
+//! another feeder may write its record.
 constexpr Duration kOrphanGrace = std::chrono::milliseconds(3000);
-//! Each removal is an entry of a write, and so is its condition.
+//! A removal counts as two entries of a write: the removal and its condition.
 constexpr std::size_t kMaxRemovals = StoreWrite::kMaxEntries / 2;
 
 }  // namespace
@@ -57,7 +57,7 @@
   }
   m_orphans = std::move(orphans);
   for (auto& [name, member] : m_members) {
-    // The store may drop a key while its lease seems to hold.
+    // The store may drop a key although its lease still seems valid.
     const bool known =
         member.position.revision != 0 && position >= member.position;
     member.dirty = member.dirty || (known && !listed.contains(name));
--- a/src/jacinthdeck/discovery/member_records.h
+++ b/src/jacinthdeck/discovery/member_records.h
@@ -1,4 +1,4 @@
-// Records that a host writes for the hosts that learn from it.
+// Records that a feeder writes into the store for the hosts that follow it.
 #ifndef JACINTHDECK_DISCOVERY_MEMBER_RECORDS_H_
 #define JACINTHDECK_DISCOVERY_MEMBER_RECORDS_H_
 
@@ -18,14 +18,14 @@
 /*! \brief A host's record as the store holds it. */
 struct StoredRecord {
   HostRecord record;
-  //! Of its last write.
+  //! Position of the last write.
   StorePosition position;
 };
 
-/*! \brief What is to be written for members at once. */
+/*! \brief A write of several members' records. */
 struct MemberWrite {
   std::vector<HostRecord> puts;
-  //! To be removed if nobody wrote them since.
+  //! Records to remove unless they were written again since.
   std::vector<StoredRecord> removals;
 
   [[nodiscard]] bool empty() const noexcept {
@@ -33,63 +33,67 @@
   }
 };
 
-/*! \brief How a write for members ended. */
+/*! \brief Outcome of a MemberWrite. */
 enum class MemberWriteResult {
   kDone,
-  //! A record that was to be removed was written by another host.
+  //! Not written: another host has written a record that was to be removed.
   kConflict,
 };
 
 /**
- * \brief Decides what is to be written for members, without a network.
+ * \brief Decides which records to write for members; performs no I/O.
  *
- * With a lease and a record of its own, each of hundreds of hosts costs two
- * writes at its start, a renewal every few seconds, and a row of failed writes
- * whenever the store is away. Members are hosts that the writer hears all the
- * time anyway; their records hang on its lease, dozens in one write.
+ * A member is a host that follows this host, the feeder, and leaves the writing
+ * of its record to it. If each of hundreds of hosts had its own lease and wrote
+ * its own record, each would cost the store two writes at its start, a renewal
+ * every few seconds and a series of failed writes in every outage. A feeder is
+ * connected to its members anyway, so it attaches their records to its own
+ * lease and writes dozens of them at once.
  *
- * If the writer is lost, its lease ends and the records with it; by then the
- * members have found another writer, whose later write of the same keys holds.
- * A write may be done seconds after its reply was lost, when its host has long
- * gone to another writer. Each record names its writer, so that such a stray is
- * seen and taken back, unless another host wrote the key since.
+ * If the feeder is lost, its lease expires and the records with it. By then the
+ * members have found another feeder, and its later writes of the same keys are
+ * kept. A write may take effect seconds after its reply was lost, when its
+ * member already follows another feeder. Each record names its writer, so the
+ * feeder detects such an orphaned record and removes it, unless another host
+ * has written the key since.
  */
 class MemberRecords {
  public:
-  /*! \brief Makes an empty set for the writer of that name. */
+  /*! \brief Makes an empty set for the feeder with a name. */
   explicit MemberRecords(NodeId self) : m_self(std::move(self)) {}
 
-  /*! \brief Tells whether nothing is written for anybody. */
+  /*! \brief Tells whether there are neither members nor orphaned records. */
   [[nodiscard]] bool empty() const noexcept {
     return m_members.empty() && m_orphans.empty();
   }
 
-  /*! \brief Takes a member, or its changed record. */
+  /*! \brief Adds a member or updates its record. */
   void OnMember(HostRecord record);
 
-  /*! \brief Takes the loss of a member, or its word that it is written
-   * elsewhere. */
+  /*! \brief Removes a member that was lost or whose record is now written by
+   * another host. */
   void OnMemberLeft(const NodeId& name);
 
-  /*! \brief The lease has ended: nothing of what was written holds. */
+  /*! \brief Marks all records as unwritten, since the lease has ended. */
   void OnLeaseLost();
 
   /**
-   * \brief Compares what was written with what the store holds.
+   * \brief Compares the store's records with the members: finds records that
+   * are missing from the store and orphaned records in it.
    * \param stored Records of all hosts.
-   * \param position Position up to which they are known.
+   * \param position Position up to which the records are known.
    */
   void OnHosts(std::span<const StoredRecord> stored,
                const StorePosition& position,
                TimePoint now);
 
-  /*! \brief Gives the write that is due; an empty one if none is. */
+  /*! \brief Returns the write that is due; an empty one if none is. */
   [[nodiscard]] MemberWrite NextWrite(TimePoint now) const;
 
   /**
-   * \brief Takes the end of a write that NextWrite() gave; one that was not
-   * done, or of which nothing is known, stays due.
-   * \param position The store's after it, where it was done.
+   * \brief Records the outcome of a write that NextWrite() returned. Not
+   * called for a write that failed or whose outcome is unknown: it stays due.
+   * \param position Position of the store after the write, if it was done.
    */
   void OnWritten(const MemberWrite& write,
                  MemberWriteResult result,
@@ -98,21 +102,21 @@
  private:
   struct Member {
     HostRecord record;
-    //! The store does not hold the record.
+    //! The store does not hold the present record.
     bool dirty = true;
-    //! Of the last write.
+    //! Position of the last write; revision 0 if there was none.
     StorePosition position;
   };
   struct Orphan {
     StoredRecord stored;
     TimePoint since;
-    //! Its removal goes alone, as one beside it met a conflict.
+    //! Removed in a write of its own, since a joint removal had a conflict.
     bool remove_alone = false;
   };
 
   const NodeId m_self;
   std::map<NodeId, Member> m_members;
-  //! Records of this writer whose hosts are no members.
+  //! Records that this host wrote for hosts that are not its members.
   std::map<NodeId, Orphan> m_orphans;
 };
 
--- a/src/jacinthdeck/discovery/platform_codec.h
+++ b/src/jacinthdeck/discovery/platform_codec.h
@@ -1,4 +1,4 @@
-// The platform's formats, as the discovery module needs them.
+// Interface to the formats of the platform's store.
 #ifndef JACINTHDECK_DISCOVERY_PLATFORM_CODEC_H_
 #define JACINTHDECK_DISCOVERY_PLATFORM_CODEC_H_
 
@@ -19,10 +19,10 @@
 
 namespace jacinthdeck {
 
-/*! \brief What a key of the store holds. */
+/*! \brief Kind of value that a key of the store holds. */
 enum class KeyKind {
   kConfig,
-  //! The operators want nothing sent to the targets of a failure domain.
+  //! Order to send no requests to the targets of a failure domain.
   kEvacuation,
   kTarget,
   kHost,
@@ -37,26 +37,26 @@
     {"config", "evacuation", "target", "host", "conviction", "schema", "index",
      "other"}};
 
-/*! \brief A key taken apart. */
+/*! \brief A parsed key. */
 struct ParsedKey {
   KeyKind kind = KeyKind::kOther;
-  //! What follows the kind's prefix.
+  //! Part of the key after the prefix of its kind.
   std::string id;
 };
 
-/*! \brief A target's entry as it was read. */
+/*! \brief A decoded target entry. */
 struct ParsedTarget {
   TargetEntry entry;
-  //! Time for which the target was cold when it wrote the entry.
+  //! Remaining cold time of the target when it wrote the entry.
   Duration cold_for{};
-  //! What is wrong with a field that the entry can do without.
+  //! Error in an optional field; the entry is usable without it.
   std::optional<Error> problem;
 };
 
 /**
- * \brief Builds the store's calls and reads its replies and values.
+ * \brief Builds requests to the store and parses its replies and values.
  *
- * Holds no state and decides nothing.
+ * Implementations have no state and contain no discovery logic.
  */
 class PlatformCodec {
  public:
@@ -73,10 +73,10 @@
   [[nodiscard]] virtual Result<std::shared_ptr<const RoutingConfig>> ReadConfig(
       const std::string& value) const = 0;
   /**
-   * \brief Reads which failure domain an evacuation is for.
+   * \brief Parses the failure domain of an evacuation from its key.
    *
-   * Its key alone gives the order. Its value is not read: an order that
-   * somebody wrote by hand must not fail for it.
+   * The value is ignored, so that an evacuation that an operator wrote by hand
+   * cannot fail because of it.
    */
   [[nodiscard]] virtual Result<FailureDomain> ReadEvacuation(
       const std::string& id) const = 0;
@@ -87,18 +87,19 @@
       const std::string& value) const = 0;
   [[nodiscard]] virtual std::string WriteHost(const HostRecord& host) const = 0;
 
-  /*! \brief Reads keys after one; an empty key begins at the first. */
+  /*! \brief Builds a request for a page of keys after a key; an empty key
+   * begins at the first. */
   [[nodiscard]] virtual ClientRequest RangeCall(
       const std::string& after) const = 0;
   /**
-   * \brief Reads a page.
-   * \param current Era of a reply that names none; ReadWatchReply() and
-   * ReadWriteReply() take it too.
+   * \brief Parses a page of keys.
+   * \param current Era to assume for a reply that names none; also for
+   * ReadWatchReply() and ReadWriteReply().
    */
   [[nodiscard]] virtual StorePage ReadPage(const ClientReply& reply,
                                            StoreEra current) const = 0;
 
-  /*! \brief Waits for changes after a revision. */
+  /*! \brief Builds a request that waits for changes after a revision. */
   [[nodiscard]] virtual ClientRequest WatchCall(std::uint64_t after,
                                                 Duration wait) const = 0;
   [[nodiscard]] virtual WatchBatch ReadWatchReply(const ClientReply& reply,
--- a/src/jacinthdeck/discovery/record_writer.cc
+++ b/src/jacinthdeck/discovery/record_writer.cc
@@ -1,4 +1,4 @@
-// Prefers the feeder where the fleet is large.
+// Prefers the feeder as the writer in large fleets.
 #include "jacinthdeck/discovery/record_writer.h"
 
 #include <chrono>
@@ -11,9 +11,10 @@
 
 using std::chrono::milliseconds;
 
-//! When all hosts start: time in which most of them are heard of.
+//! Time in which most hosts become known when all of them start.
 constexpr Duration kFleetStartTime = milliseconds(2500);
-//! Time in which a lost feeder is mostly replaced, below the life of its lease.
+//! Time in which a lost feeder is usually replaced; shorter than its lease, so
+//! that the host writes its record before the feeder's lease expires.
 constexpr Duration kFeederLossTimeout = milliseconds(3000);
 
 }  // namespace
--- a/src/jacinthdeck/discovery/record_writer.h
+++ b/src/jacinthdeck/discovery/record_writer.h
@@ -1,4 +1,4 @@
-// Who keeps a host's record in the store.
+// Decides which host writes a host's record into the store.
 #ifndef JACINTHDECK_DISCOVERY_RECORD_WRITER_H_
 #define JACINTHDECK_DISCOVERY_RECORD_WRITER_H_
 
@@ -10,13 +10,13 @@
 
 namespace jacinthdeck {
 
-/*! \brief Who keeps it. */
+/*! \brief The writer of a host's record. */
 enum class RecordWriter {
-  //! Nobody: too little is known yet.
+  //! No host: too little is known yet.
   kNobody,
   //! The host itself, with a lease of its own.
   kSelf,
-  //! The host that it learns from.
+  //! The feeder that the host follows.
   kFeeder,
 };
 
@@ -24,48 +24,49 @@
 inline constexpr NameTable<RecordWriter, 3> kRecordWriterNames{
     {"nobody", "self", "feeder"}};
 
-/*! \brief What a host knows of its part in the fleet. */
+/*! \brief A host's role in the fleet, as far as it is known. */
 struct FleetRole {
-  //! Something was read of the store, here or by another host.
+  //! Store content is known, from the store or from another host.
   bool knows_hosts = false;
-  //! Hosts that are known.
+  //! Number of known hosts.
   std::size_t hosts = 0;
-  //! Callers are sent to it.
+  //! Callers are sent to this host.
   bool is_front = false;
-  //! Others learn from it, or will.
+  //! Other hosts follow this host, or it is chosen as a watcher.
   bool feeds_others = false;
-  //! A feeder is heard.
+  //! A connection to a feeder is established.
   bool has_feeder = false;
 };
 
 /**
- * \brief Chooses who keeps this host's record.
+ * \brief Chooses which host writes this host's record.
  *
- * Hosts that others rely on have leases of their own: fronts, which must not be
- * named for long after their loss, and feeders. The others are written by
- * whom they learn from; the store then counts leases and failed calls by the
- * feeders and fronts, not by the hundreds of hosts.
+ * Fronts and feeders have leases of their own: a front must not stay listed for
+ * long after its loss, and feeders write the records of others with theirs. The
+ * records of the other hosts are written by their feeders, so the number of
+ * leases and of failed calls grows with the feeders and fronts, not with the
+ * hundreds of hosts.
  */
 class RecordWriterChoice {
  public:
-  /*! \brief Begins with nobody.
-   * \param fleet_starts All hosts start now: what is known of the fleet in the
-   * first seconds is a part of it. */
+  /*! \brief Begins with RecordWriter::kNobody.
+   * \param fleet_starts All hosts start now, so only a part of the fleet is
+   * known in the first seconds. */
   RecordWriterChoice(bool fleet_starts, TimePoint now);
 
   [[nodiscard]] RecordWriter writer() const noexcept { return m_writer; }
 
-  /*! \brief Chooses anew; called some times a second.
-   * \return True if the choice is another one than before. */
+  /*! \brief Updates the choice; called several times a second.
+   * \return True if the choice changed. */
   bool Update(const FleetRole& role, TimePoint now);
 
  private:
   [[nodiscard]] RecordWriter Choose(const FleetRole& role, TimePoint now);
 
-  //! From when on the known hosts are the fleet.
+  //! Moment from which on the known hosts are taken for the whole fleet.
   const TimePoint m_fleet_known_at;
   RecordWriter m_writer = RecordWriter::kNobody;
-  //! Since when no feeder is heard; nothing while one is.
+  //! Since when there is no feeder; nothing while there is one.
   std::optional<TimePoint> m_no_feeder_since;
 };
 
