--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -1,4 +1,4 @@
-// Reading and watching.
+// Reading and watching the store, and content of other hosts.
 #include "jacinthdeck/discovery/store_session.h"
 
 #include <algorithm>
@@ -12,26 +12,29 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! Time for a call that the store answers at once; a slow store takes up to
-//! some hundred milliseconds.
+//! Timeout of a call that the store answers at once; a slow store takes up to a
+//! few hundred milliseconds.
 constexpr Duration kCallTimeout = milliseconds(1500);
-//! How long a watch waits. A change must be in force within seconds also after
-//! the watch's connection went silent, so that bounds this wait; each new watch
-//! costs a call.
+//! How long a watch waits for a change. Each new watch costs a call, but a
+//! change must be applied within seconds even if the connection of the watch
+//! stops delivering data, which limits the wait.
 constexpr Duration kWatchWait = milliseconds(1500);
-//! Time beyond the wait after which a watch is taken for lost.
+//! Time after the end of its wait at which a watch is considered lost.
 constexpr Duration kWatchTimeoutMargin = milliseconds(900);
-//! Pause after a change: registrations come in bunches, and each batch costs a
-//! call.
+//! Delay of the next watch after a change: registrations arrive in bursts, and
+//! each batch costs a call.
 constexpr Duration kBatchDelay = milliseconds(200);
-//! Another host that heard the store so lately proves that it is not away for
-//! all. Below the time in which an own call shows that the store went silent.
+//! A successful call of another host within this time proves that the store is
+//! not unavailable for all hosts. It is shorter than the time in which a call
+//! of this host detects that the store stopped answering.
 constexpr Duration kRecentContact = milliseconds(800);
-//! Hosts that write again what a restored store lacks do so one by one.
+//! Maximum random delay before a host repeats the writes that a restore lost,
+//! so that the hosts do not write at once.
 constexpr Duration kMaxRewriteDelay = milliseconds(400);
-//! Feeders hear of a new era with their next renewal or watch, and hand it on.
+//! Time within which feeders learn of a new era, with their next renewal or
+//! watch, and send its content to their followers.
 constexpr Duration kNewEraTimeout = milliseconds(1500);
-//! Bounds of the pause after a failed call.
+//! Limits of the delay after a failed read or watch.
 constexpr Duration kMinBackoff = milliseconds(100);
 constexpr Duration kMaxBackoff = milliseconds(800);
 
@@ -73,8 +76,8 @@
 void StoreSession::ApplyPeerContent(const std::vector<StoreChange>& changes,
                                     const StorePosition& position,
                                     bool whole) {
-  // Changes alone are of no use to a host that knows nothing of their era, and
-  // a feeder that lags tells of one that has ended.
+  // Single changes are useless to a host without full content of their era, and
+  // a lagging feeder may send content of an ended era.
   const bool applies = m_loaded && position.era == m_position.era;
   const bool begins = whole && (!m_loaded || position.era > m_position.era);
   (void)ObserveEra(position.era);
@@ -133,7 +136,8 @@
   }
   m_ended_era_since = m_clock.Now();
   m_observer.OnStoreRestored(before, era, m_position);
-  // The lease may be gone, or its number another host's by now.
+  // The restored store may not know the lease, or may have granted its id to
+  // another host.
   m_lease = 0;
   m_record_written = false;
   m_members.OnLeaseLost();
@@ -195,10 +199,11 @@
       whole ? m_discovery_state.OnFullRead(news, position, now)
             : m_discovery_state.OnChanges(news, now);
   if (m_content.changes() == changes_before) {
-    // Hosts that follow each other would hand one reading on for ever.
+    // Hosts that follow each other would exchange the same content endlessly.
   } else if (whole) {
-    // A reading may be older than what this host knows. Handed on as it came,
-    // under the newer position, it made followers drop live targets for good.
+    // A full read may be older than the known content. If it were forwarded
+    // unchanged under the newer position, followers would drop live targets
+    // permanently, so all known keys are sent instead.
     m_observer.OnContent(UpdateSince({}).changes, m_position, true);
   } else {
     m_observer.OnContent(news, m_position, false);
@@ -244,8 +249,8 @@
     StartFullRead();
     return;
   }
-  // Pages are no snapshot: the watch goes on from the first one, and takes a
-  // change twice rather than not at all.
+  // The pages are not a consistent snapshot. The watch continues from the
+  // position of the first one: it may return a change twice but misses none.
   if (!m_pages_position) {
     m_pages_position = page.position;
   }
@@ -292,15 +297,17 @@
     return;
   }
   if (answered && IsInEndedEra()) {
-    // What it brings comes after a revision of the era before, which the
-    // present one has given out again: changes before that would be missing.
+    // The watch asked for changes after a revision of the previous era, which
+    // the present era has reused: earlier changes of the present era would be
+    // missed.
     StartFullRead();
     return;
   }
   if (batch.status == StoreStatus::kCompacted) {
-    // What is known stays valid, and so do changes that another host hands on:
-    // a host that stopped watching in the middle of the reading and took none
-    // of them would look fresh and know nothing new.
+    // The known content stays valid, and changes from other hosts are still
+    // applied. If m_loaded were cleared, a host that stopped watching during
+    // the full read would ignore them and appear up to date with outdated
+    // content.
     m_needs_full_read = true;
     StartFullRead();
     return;
@@ -340,8 +347,9 @@
   ++m_counters.failures;
   const bool heard_by_peer =
       m_peer_contact && m_clock.Now() - *m_peer_contact < kRecentContact;
-  // Taken for away, a store that refuses this host alone would delay removals
-  // that others tell of: targets that have left would get requests.
+  // If a store that refuses only this host were considered unavailable,
+  // removals that other hosts report would be delayed, and targets that have
+  // left would get requests.
   if (!heard_by_peer) {
     m_discovery_state.OnStoreAway();
   }
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -1,4 +1,5 @@
-// Keeps a host's knowledge up to date with the store, and its own record in it.
+// Client of the store: keeps a host's discovery state up to date and writes the
+// host's record.
 #ifndef JACINTHDECK_DISCOVERY_STORE_SESSION_H_
 #define JACINTHDECK_DISCOVERY_STORE_SESSION_H_
 
@@ -25,7 +26,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Counts of the store's calls since the start. */
+/*! \brief Number of calls to the store since the start, by kind. */
 struct StoreCounters {
   std::uint64_t reads = 0;
   std::uint64_t watches = 0;
@@ -35,12 +36,12 @@
 };
 
 /**
- * \brief Reads all keys once, then watches; holds a lease with this host's
- * record.
+ * \brief Reads all keys once and then watches them; writes this host's record
+ * and renews its lease.
  *
- * Every call is paid for, so one watch covers all keys, and after a change the
- * next watch waits a moment to take further changes along. Each call has its
- * own timeout: a connection may go silent without an end.
+ * Every call has a cost, so one watch covers all keys, and after a change the
+ * next watch is delayed to batch further changes. Each call has its own
+ * timeout, since a connection may stop delivering data without being closed.
  */
 class StoreSession {
  public:
@@ -60,82 +61,89 @@
   [[nodiscard]] const StoreCounters& counters() const noexcept {
     return m_counters;
   }
-  /*! \brief Up to where the content is known. */
+  /*! \brief Position up to which the content is known. */
   [[nodiscard]] const StorePosition& position() const noexcept {
     return m_position;
   }
-  /*! \brief Moment at which content of the present era was first taken. */
+  /*! \brief Moment at which content of the present era was first applied. */
   [[nodiscard]] std::optional<TimePoint> era_since() const noexcept {
     return m_era_since;
   }
-  /*! \brief Newest era of the store that was heard of. */
+  /*! \brief Newest era of the store that was observed. */
   [[nodiscard]] StoreEra era() const noexcept { return m_era; }
   /*! \brief Tells whether the content has been of an ended era for longer than
-   * another host takes to hand on that of the present one. */
+   * a feeder needs to send that of the new one. */
   [[nodiscard]] bool IsNewEraOverdue() const;
-  /*! \brief Tells whether the whole content was taken once. */
+  /*! \brief Tells whether full content was applied at least once. */
   [[nodiscard]] bool loaded() const noexcept { return m_loaded; }
-  /*! \brief Moment of the last call that went well; nothing before the first.
-   */
+  /*! \brief Moment of the last successful call to the store, by this host or
+   * one that it follows; nothing before the first. */
   [[nodiscard]] std::optional<TimePoint> last_contact() const noexcept {
     return m_last_contact;
   }
 
-  /*! \brief Begins to watch the store, or ends it; what is known stays. */
+  /*! \brief Starts or stops watching the store; the known content stays. */
   void SetWatching(bool watching);
 
-  /*! \brief Takes content that another host handed on. */
+  /*! \brief Applies content that another host sent. Single changes are ignored
+   * unless full content of their era is known.
+   * \param whole The changes list every key of the store. */
   void ApplyPeerContent(const std::vector<StoreChange>& changes,
                         const StorePosition& position,
                         bool whole);
 
   /**
-   * \brief Gives what another host lacks.
-   * \param position Up to which it knows all; revision 0 if it knows nothing.
+   * \brief Returns the content that another host lacks.
+   * \param position Position up to which it knows all changes; revision 0 if it
+   * knows nothing.
    */
   [[nodiscard]] ContentUpdate UpdateSince(const StorePosition& position) const;
 
-  /*! \brief Takes another host's word on how old that content is; nothing: it
-   * never heard the store. */
+  /*! \brief Applies the age of another host's content.
+   * \param age Time since the last successful call to the store; nothing if
+   * there was none.
+   * \param store_away The other host considers the store unavailable. */
   void ApplyPeerAge(std::optional<Duration> age, bool store_away);
 
-  /*! \brief Says how long this host's record may outlive it. */
+  /*! \brief Sets how long this host's record may outlive the host. */
   void SetLeaseDuration(Duration life) noexcept { m_lease_duration = life; }
 
-  /*! \brief Keeps this host's record in the store from now on. */
+  /*! \brief Writes this host's record and keeps it in the store from now on. */
   void Register(const HostRecord& record);
 
-  /*! \brief Another host writes this one's record from now on: the own lease
-   * is left to end by itself, which costs no call. */
+  /*! \brief Leaves the writing of this host's record to another host. The own
+   * lease is left to expire, which costs no call. */
   void DelegateRecord();
 
-  /*! \brief Takes this host's record out of the store, whoever wrote it. */
+  /*! \brief Removes this host's record from the store, whoever wrote it. */
   void Unregister();
 
-  /*! \brief Writes another host's record from now on, with this host's lease.
-   * \param value As the store holds records; what cannot be read is told and
-   * left out. */
+  /*! \brief Writes a member's record from now on, with this host's lease.
+   * \param value Encoded record; one that cannot be decoded is reported to the
+   * observer and ignored. */
   void AddMember(const std::string& value);
 
-  /*! \brief Ends that. */
+  /*! \brief Stops writing a member's record. */
   void RemoveMember(const NodeId& name);
 
-  /*! \brief A record as the store holds it. */
+  /*! \brief Encodes a record as the store holds it. */
   [[nodiscard]] std::string ValueOf(const HostRecord& record) const {
     return m_codec.WriteHost(record);
   }
 
-  /*! \brief Writes that a request crashes its targets. */
+  /*! \brief Informs the other hosts, through the store, that a request crashes
+   * its targets. */
   void ShareConviction(Fingerprint fingerprint);
 
-  /*! \brief Lets held removals count; called a few times a second. */
+  /*! \brief Applies due removals and writes due member records; called a few
+   * times a second. */
   void CheckTimes();
 
  private:
-  //! How the era of a reply stands to the newest one that was heard of.
+  //! The era of a reply compared with the newest one that was observed before.
   enum class EraOrder { kCurrent, kNew, kEnded };
 
-  // Reading, in store_session.cc.
+  // Reading and watching, in store_session.cc.
   void StartFullRead();
   void ReadPage();
   void OnPage(const StorePage& page);
@@ -146,25 +154,27 @@
   void OnCallSucceeded();
   void OnFailure(StoreStatus status, const std::string& problem);
   void Resume();
-  //! Begins the reading or watch under way anew.
+  //! Restarts the read or watch in progress.
   void RestartRead();
   [[nodiscard]] bool IsInEndedEra() const noexcept {
     return m_position.era < m_era;
   }
-  //! Hears of an era; one that is new ends this host's lease.
+  //! Compares an era with the newest one. A newer era invalidates this host's
+  //! lease.
   [[nodiscard]] EraOrder ObserveEra(StoreEra era);
   void ApplyContent(const std::vector<StoreChange>& changes,
                     const StorePosition& position,
                     bool whole);
-  //! Takes what another host carries over from an era before.
+  //! Applies changes of an earlier era that another host sent.
   void ApplyCarriedOver(const std::vector<StoreChange>& changes);
   void Notify(const DiscoveryChange& change);
 
   // Writing, in store_session_writes.cc.
   void RunWriteStep();
   void ScheduleWriteStep(Duration pause);
-  //! Makes a call of a write; one that ends neither well nor as accepted is
-  //! told and tried again later.
+  //! Sends a write request. One that ends neither with kOk nor with the
+  //! accepted status is reported to the observer, and the next write step is
+  //! delayed.
   void Send(const ClientRequest& request,
             std::optional<StoreStatus> accepted,
             std::function<void(const StoreAck&)> done);
@@ -192,44 +202,46 @@
   ClientSession m_reads;
   asio::steady_timer m_read_timer;
   Backoff m_read_backoff;
-  //! Everything was read once, here or by a host that handed it on.
+  //! Full content was applied, from the store or from another host.
   bool m_loaded = false;
-  //! The store forgot the history after m_position: a watch cannot go on there.
+  //! The store compacted the history after m_position, so a watch cannot
+  //! continue there.
   bool m_needs_full_read = false;
   bool m_watching = false;
   bool m_store_lost = false;
   StoreEra m_era{};
-  //! Since when the content is of its era.
+  //! When content of the present era was first applied.
   std::optional<TimePoint> m_era_since;
   //! Since when the content is of an ended era; nothing while it is not.
   std::optional<TimePoint> m_ended_era_since;
-  //! Where the next watch goes on.
+  //! Position up to which the content is known and the next watch continues.
   StorePosition m_position;
   std::optional<TimePoint> m_last_contact;
-  //! When a host that is followed last heard the store.
+  //! When a followed host last had a successful call to the store.
   std::optional<TimePoint> m_peer_contact;
-  //! The reading under way.
+  //! Items of the full read in progress.
   std::vector<StoreChange> m_pages;
-  //! Of its first page.
+  //! Position of its first page.
   std::optional<StorePosition> m_pages_position;
 
   ClientSession m_writes;
   asio::steady_timer m_write_timer;
   Backoff m_write_backoff;
   const NodeId m_name;
-  //! This host's record as it should stand; nothing while it should not, or is
-  //! another host's to write.
+  //! This host's record as it should be stored; nothing while this host does
+  //! not write it.
   std::optional<HostRecord> m_record;
-  //! The record is to be taken out of the store.
+  //! The record must be removed from the store.
   bool m_removal_due = false;
   MemberRecords m_members;
-  //! When they are looked at next.
+  //! Earliest moment of the next write for members.
   TimePoint m_next_member_write;
   Duration m_lease_duration = std::chrono::milliseconds(3500);
   //! 0 while there is no lease.
   std::uint64_t m_lease = 0;
   bool m_record_written = false;
-  //! Of the record's last write: content that is older cannot miss it.
+  //! Position of the record's last write: its absence from older content means
+  //! nothing.
   StorePosition m_record_position;
   TimePoint m_renew_at;
   std::vector<Fingerprint> m_convictions;
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -1,4 +1,4 @@
-// This host's own record and what it shares.
+// Writes to the store: this host's record, its members' and crashing requests.
 #include <algorithm>
 #include <utility>
 
@@ -12,14 +12,15 @@
 using std::chrono::seconds;
 
 constexpr Duration kWriteTimeout = milliseconds(1200);
-//! Renewals within a lease's life: two may be lost before it ends.
+//! Renewals within the duration of a lease: two may be lost before it expires.
 constexpr int kRenewalsPerLease = 3;
-//! Between two looks at what is to be written for members: they come in
-//! bunches, and each write is a call.
+//! Minimum time between two writes for members: members arrive in bursts, and
+//! each write costs a call.
 constexpr Duration kMemberWriteInterval = milliseconds(300);
-//! Other hosts have refused the request for long by then.
+//! Lease of the key that reports a crashing request. The other hosts learn of
+//! the request long before it expires.
 constexpr Duration kConvictionLeaseDuration = seconds(60);
-//! Convictions that wait for the store.
+//! Limit of crashing requests that wait to be written.
 constexpr std::size_t kMaxPendingConvictions = 16;
 
 }  // namespace
@@ -109,7 +110,7 @@
         const StoreAck ack = m_codec.ReadWriteReply(reply, m_era);
         const EraOrder order = ObserveEra(ack.position.era);
         if (order == EraOrder::kNew) {
-          // The next step begins with a lease of this era.
+          // ObserveEra() has scheduled a step that begins with a new lease.
           RestartRead();
           return;
         }
@@ -173,8 +174,9 @@
        });
 }
 
-//! What this host wrote for members stays until its lease ends: by then they
-//! have found another writer, and none of them was missing from the store.
+//! Removes only the own record and leaves the lease to expire: the members'
+//! records stay until then, and by then the members have found another feeder,
+//! so none of them is ever missing from the store.
 void StoreSession::RemoveRecord() {
   ++m_counters.writes;
   StoreWrite write;
@@ -259,13 +261,13 @@
   }
   m_record_written = false;
   if (stored == nullptr) {
-    // The store may drop the record while its lease still seems to hold; other
-    // hosts would send no callers here until it is written again.
+    // The store may drop the record although its lease still seems valid. Other
+    // hosts would direct no callers here until it is written again.
     m_lease = 0;
     m_members.OnLeaseLost();
   }
-  // Else a former feeder's late write stands in its place, and would go when
-  // that one notices.
+  // Otherwise a late write of a former feeder has replaced the record, and that
+  // feeder would remove it as orphaned.
   if (!m_writes.busy()) {
     ScheduleWriteStep(Duration::zero());
   }
@@ -285,7 +287,8 @@
 }
 
 void StoreSession::WriteDueMembers() {
-  // Conditions on revisions of an ended era could hold for other writes.
+  // Conditions on revisions of an ended era could match unrelated writes of the
+  // present one.
   const bool can_write = m_record && m_record_written && m_lease != 0 &&
                          !IsInEndedEra() && !m_writes.busy();
   if (!can_write || m_clock.Now() < m_next_member_write) {
