--- a/test/jacinthdeck/discovery/directory_choice_test.cc
+++ b/test/jacinthdeck/discovery/directory_choice_test.cc
@@ -1,4 +1,4 @@
-// Tests of which hosts callers are told of.
+// Tests of which host addresses are returned to callers.
 #include "jacinthdeck/discovery/directory_choice.h"
 
 #include <algorithm>
@@ -43,8 +43,8 @@
   BOOST_TEST(Ask("a").front() == "10.0.0.1:80");
 }
 
-// Both hosts of a domain may die at one moment, and are named until their
-// leases end. A third, of another domain, leaves its callers somewhere to go.
+// Both hosts of a domain may fail at once and stay listed until their leases
+// expire. A third host, of another domain, remains for the callers.
 BOOST_AUTO_TEST_CASE(Domain_HasTwoHosts_OneOfAnotherDomainIsAdded) {
   const auto addresses = Ask("c");
   BOOST_TEST(addresses.size() == 3U);
--- a/test/jacinthdeck/discovery/fleet_test.cc
+++ b/test/jacinthdeck/discovery/fleet_test.cc
@@ -1,4 +1,4 @@
-// Tests of which hosts watch and which take callers.
+// Tests of which hosts watch the store and which take callers.
 #include "jacinthdeck/discovery/fleet.h"
 
 #include <algorithm>
@@ -21,7 +21,8 @@
   return host;
 }
 
-//! Per domain a few strong hosts and many weak ones.
+//! Makes hosts of which some in each domain have a high capacity and the others
+//! a low one.
 [[nodiscard]] std::vector<HostRecord> MakeFleet(int domains,
                                                 int strong,
                                                 int weak) {
@@ -59,8 +60,9 @@
   BOOST_TEST(ChooseFronts(MakeFleet(3, 0, 2), 30).size() == 6U);
 }
 
-// 86 hosts and 75 connections a target: spread over all hosts that is less than
-// one a host. The strong hosts of each domain take the callers.
+// With 86 hosts and 75 connections per target, all hosts together would get
+// less than one connection each. Only the strong hosts of each domain take
+// callers.
 BOOST_AUTO_TEST_CASE(Fronts_LargeFleet_AreTheStrongHostsOfEachDomain) {
   const auto fronts = ChooseFronts(MakeFleet(3, 2, 26), 75);
   BOOST_TEST(fronts.size() == 6U);
@@ -70,7 +72,7 @@
   }));
 }
 
-// The strong hosts are lost. Those that stood by take over, two in each domain.
+// The strong hosts are lost. Standby hosts take over, at least two per domain.
 BOOST_AUTO_TEST_CASE(Fronts_StrongHostsAreLost_OthersTakeOver) {
   const auto fronts = ChooseFronts(MakeFleet(3, 0, 26), 75);
   BOOST_TEST(fronts.size() >= 6U);
@@ -78,8 +80,8 @@
   BOOST_TEST(CountDomains(fronts) == 3U);
 }
 
-// Callers press and the fronts' processors are the bottleneck: more hosts take
-// callers, up to what the targets' connections allow.
+// Under load the processors of the fronts are the bottleneck. More hosts take
+// callers, up to the number that the connections of the targets allow.
 BOOST_AUTO_TEST_CASE(Fronts_AreBusy_MoreHostsTakeCallers) {
   std::vector<HostRecord> hosts = MakeFleet(3, 2, 26);
   for (HostRecord& host : hosts) {
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -1,4 +1,4 @@
-// Tests of what is believed of the store's entries, and when.
+// Tests of DiscoveryState: which entries of the store are applied, and when.
 #include "jacinthdeck/discovery/knowledge.h"
 
 #include <algorithm>
@@ -46,13 +46,14 @@
     return discovery_state.OnFullRead(items, position, now);
   }
 
-  //! Takes a reading of an era without evacuations, and an evacuation.
+  //! Applies a full read without evacuations, which is what a backup would
+  //! hold, and then an evacuation.
   void EvacuateAfterBackup() {
     (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
     (void)Change("op/evacuate/z", "{}");
   }
 
-  //! Number of targets that may get work.
+  //! Returns the number of targets that may get requests.
   [[nodiscard]] std::size_t UsableTargets() const {
     const std::vector<TargetEntry> all = discovery_state.Targets();
     return static_cast<std::size_t>(
@@ -75,9 +76,9 @@
   BOOST_TEST(targets() == 0U);
 }
 
-// The store was away, and the leases of all targets ran out meanwhile. Their
-// removals arrive with its return, although the targets live and are about to
-// register again. Callers would be refused if the removals were believed.
+// Guards against callers that are refused after an outage: the leases of all
+// targets expired while the store was unavailable, and their removals arrive
+// once it is back, although the targets are alive and about to register again.
 BOOST_AUTO_TEST_CASE(
     Target_LeaseExpiredDuringOutage_StaysUntilReregistrationTimeEnds) {
   (void)Change("servers/a", Server("ready"));
@@ -94,7 +95,8 @@
   BOOST_TEST(targets() == 1U);
 }
 
-// A target that said it was leaving has left, whatever the store went through.
+// Guards against requests to a target that announced its leaving, with
+// draining, and whose removal is delayed like that of an expired lease.
 BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenLeaseExpired_IsRemovedAtOnce) {
   (void)Change("servers/a", Server("draining"));
   discovery_state.OnStoreAway();
@@ -103,8 +105,8 @@
   BOOST_TEST(targets() == 0U);
 }
 
-// An entry comes from another writer: it cannot be read, or lacks a field. It
-// names no target, and the others hold.
+// Guards against a foreign entry that cannot be decoded, or lacks a field, and
+// affects other targets.
 BOOST_AUTO_TEST_CASE(Target_EntryIsUnreadable_OtherTargetsStay) {
   (void)Change("servers/a", Server("ready"));
   for (const std::string& value :
@@ -120,8 +122,8 @@
   BOOST_TEST(discovery_state.Targets().front().started_ms == 1700000000000U);
 }
 
-// History is lost, and everything is read again. What the reading does not name
-// has gone meanwhile.
+// Guards against targets that stay although they were removed while the history
+// was compacted: the full read that follows does not list them.
 BOOST_AUTO_TEST_CASE(FullRead_LacksATarget_TargetIsRemoved) {
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
@@ -131,7 +133,8 @@
   BOOST_TEST(discovery_state.Targets().front().id == TargetId("b"));
 }
 
-// A reading may be older than a change that a watch brought before.
+// Guards against a full read that is older than a change of a watch and undoes
+// it.
 BOOST_AUTO_TEST_CASE(FullRead_IsOlderThanAKnownChange_ChangeStays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
@@ -189,7 +192,8 @@
   BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
-// Guards against an order that is held back like a lapsed lease.
+// Guards against an evacuation that is delayed like the removal of an expired
+// lease.
 BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_StartAndEndApplyAtOnce) {
   (void)Change("servers/a", Server("ready"));
   discovery_state.OnStoreAway();
@@ -200,7 +204,7 @@
   BOOST_TEST(UsableTargets() == 1U);
 }
 
-// Guards against an evacuation that ends by a reading older than it.
+// Guards against an evacuation that is ended by a full read older than it.
 BOOST_AUTO_TEST_CASE(Evacuation_OlderFullReadLacksIt_Stays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
@@ -212,8 +216,8 @@
   BOOST_TEST(UsableTargets() == 1U);
 }
 
-// Guards against an order that is lost for its value, and against one that
-// names no domain and hides others.
+// Guards against an evacuation that is lost because of its value, and against
+// one without a valid domain that affects others.
 BOOST_AUTO_TEST_CASE(
     Evacuation_ValueOrKeyIsInvalid_ValueIsIgnoredAndKeyIsReported) {
   (void)Change("servers/a", Server("ready"));
@@ -241,7 +245,7 @@
   BOOST_TEST(!entry.IsCold(now + milliseconds(1500)));
 }
 
-// Guards against a cold time that starts anew with each reading.
+// Guards against a cold time that restarts with each full read.
 BOOST_AUTO_TEST_CASE(Target_IsReadAgainWhileCold_ColdTimeDoesNotRestart) {
   const std::string cold = Server("ready", R"(,"coldRemainingMs":1500)");
   (void)Change("servers/a", cold);
@@ -252,15 +256,15 @@
   BOOST_TEST((discovery_state.Targets().front().cold_until == warm));
 }
 
-// Guards against a crash by an entry with the revision of no write.
+// Guards against a crash on an entry with revision 0, which no write has.
 BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsApplied) {
   const StoreChange change{"servers/a", At(0), Server("ready")};
   (void)discovery_state.OnChanges({&change, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
-// Guards against a target that is lost, or avoided for a day, for a cold time
-// that makes no sense.
+// Guards against a target that is lost, or avoided for a day, because of an
+// invalid cold time.
 BOOST_AUTO_TEST_CASE(Target_ColdTimeIsInvalid_IsReportedAndTargetIsWarm) {
   for (const std::string value : {"-5", "\"soon\"", "86400000", "1e400"}) {
     const DiscoveryChange change =
@@ -273,8 +277,8 @@
   }
 }
 
-// Guards against a confirmed configuration that is taken back by an older copy
-// of the store, here and at hosts that start now.
+// Guards against a confirmed configuration that is reverted by an older backup
+// of the store, here and on hosts that start now.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderConfiguration_NewestStaysInForce) {
   (void)ReadAll({{"op/config", At(5), Config(4)}}, At(10));
   (void)Change("op/config", Config(7));
@@ -294,8 +298,8 @@
   BOOST_TEST(!discovery_state.CarriedOverConfig().has_value());
 }
 
-// Guards against refusals for want of targets that live: they registered after
-// the copy was made.
+// Guards against refused requests because live targets are missing: they
+// registered after the backup was taken.
 BOOST_AUTO_TEST_CASE(
     Restore_BackupLacksATarget_TargetStaysUntilReregistrationTimeEnds) {
   (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
@@ -308,7 +312,7 @@
 }
 
 // Guards against requests to an address that has a new owner: its target left
-// after the copy was made.
+// after the backup was taken.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasARemovedTarget_IsNotUsed) {
   (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
@@ -323,7 +327,8 @@
   BOOST_TEST(targets() == 0U);
 }
 
-// Guards against a live target that is never used again, as a copy was doubted.
+// Guards against a live target that is never used again because its restored
+// entry was held back.
 BOOST_AUTO_TEST_CASE(
     Restore_RemovedTargetStaysInTheStore_IsUsedAfterTheHoldTime) {
   (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
@@ -344,7 +349,7 @@
   BOOST_TEST(targets() == 1U);
 }
 
-// Guards against requests to a leaving target that the copy gives as ready.
+// Guards against requests to a draining target that is ready in the backup.
 BOOST_AUTO_TEST_CASE(Restore_TargetWasDraining_StaysDraining) {
   (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", Server("draining"));
@@ -354,7 +359,8 @@
   BOOST_TEST(UsableTargets() == 0U);
 }
 
-// Guards against requests to an evacuated domain whose order the copy lacks.
+// Guards against requests to an evacuated domain whose evacuation the backup
+// lacks.
 BOOST_AUTO_TEST_CASE(Restore_BackupLacksAnEvacuation_StaysForTheRewriteTime) {
   EvacuateAfterBackup();
   BOOST_TEST(UsableTargets() == 0U);
@@ -378,7 +384,7 @@
   BOOST_TEST(UsableTargets() == 0U);
 }
 
-// Guards against a domain that stays without work after its evacuation ended.
+// Guards against a domain that gets no requests after its evacuation ended.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasAnEndedEvacuation_IsHeldBack) {
   const StoreChange target{"servers/a", At(5), Server("ready")};
   (void)ReadAll({target, {"op/evacuate/z", At(6), "{}"}}, At(10));
@@ -390,7 +396,7 @@
   BOOST_TEST(UsableTargets() == 1U);
 }
 
-// Guards against a typed schema that goes back to the copy's at once.
+// Guards against a typed schema that reverts to that of the backup at once.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderSchema_IsHeldBack) {
   (void)ReadAll({{"jacinthdeck/schema", At(5), "old"}}, At(10));
   (void)Change("jacinthdeck/schema", "new");
@@ -401,7 +407,8 @@
   BOOST_TEST(discovery_state.schema() == "old");
 }
 
-// Guards against a store that names its era only from its first restore on.
+// Guards against a restore that goes unnoticed because the store names its era
+// only from its first restore on.
 BOOST_AUTO_TEST_CASE(Restore_EarlierEraWasUnnamed_IsTreatedAsARestore) {
   (void)ReadAll({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
   const StoreChange gone{"servers/a", At(11, 0), std::nullopt};
@@ -413,7 +420,8 @@
   BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
-// Guards against what the first copy left in doubt after a second restore.
+// Guards against entries that were held back after a first restore and are used
+// after a second one.
 BOOST_AUTO_TEST_CASE(Restore_TwiceWithinSeconds_RemovedTargetIsNotUsed) {
   (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
--- a/test/jacinthdeck/discovery/member_records_test.cc
+++ b/test/jacinthdeck/discovery/member_records_test.cc
@@ -1,4 +1,4 @@
-// Tests of what a feeder writes for its followers.
+// Tests of the records that a feeder writes for its members.
 #include "jacinthdeck/discovery/member_records.h"
 
 #include <boost/test/unit_test.hpp>
@@ -35,7 +35,7 @@
   TimePoint now{seconds(100)};
   MemberRecords members{NodeId("feeder")};
 
-  //! Writes all that is due.
+  //! Performs the write that is due.
   void Write(std::uint64_t revision) {
     const MemberWrite write = members.NextWrite(now);
     members.OnWritten(write, MemberWriteResult::kDone, At(revision));
@@ -58,7 +58,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(MemberRecordsTest, MembersFixture)
 
-// A hundred hosts come at once. The store sees four writes, not two hundred.
+// Guards against a call to the store for each host: a hundred hosts connect at
+// once and cost four writes, not two hundred.
 BOOST_AUTO_TEST_CASE(Members_ManyConnect_AreWrittenInFewWrites) {
   for (int i = 0; i < 100; ++i) {
     members.OnMember(MakeHost("h" + std::to_string(i)));
@@ -79,7 +80,8 @@
   BOOST_TEST(members.NextWrite(now).empty());
 }
 
-// A member changes its record while the former one is being written.
+// Guards against a changed record that is never written because the change
+// arrived during the write of the former one.
 BOOST_AUTO_TEST_CASE(Member_ChangesDuringAWrite_IsWrittenAgain) {
   members.OnMember(MakeHost("a"));
   const MemberWrite write = members.NextWrite(now);
@@ -96,9 +98,8 @@
   BOOST_TEST(DuePuts().size() == 1U);
 }
 
-// The lease ends, or the store drops a single key: the records are written
-// again. Before the store's content has come to the written revision nothing is
-// missing.
+// Guards against records that stay missing after their lease ended or after the
+// store dropped a single key. Content older than the write proves no loss.
 BOOST_AUTO_TEST_CASE(Record_IsDroppedByTheStore_IsWrittenAgain) {
   members.OnMember(MakeHost("a"));
   Write(10);
@@ -111,8 +112,8 @@
   BOOST_TEST(DuePuts().size() == 1U);
 }
 
-// A host dies. Its record stays for some seconds, in which it may come back or
-// be written by another feeder, and goes then.
+// The record of a failed host stays for a few seconds, in which the host may
+// reconnect or another feeder may write its record, and is removed then.
 BOOST_AUTO_TEST_CASE(Member_Leaves_RecordIsRemovedAfterGraceTime) {
   members.OnMember(MakeHost("a"));
   Write(10);
@@ -135,9 +136,9 @@
   BOOST_TEST(DueRemovals() == 0U);
 }
 
-// The store does a write seconds after its reply was lost, when the host has
-// long gone to another feeder. The stray record is seen and taken back; what
-// the other feeder wrote since is not.
+// Guards against an orphaned record: the store applies a write seconds after
+// its reply was lost, when the host already follows another feeder. The record
+// is removed, but not if the other feeder has written it since.
 BOOST_AUTO_TEST_CASE(Write_IsAppliedLate_OrphanIsRemoved) {
   members.OnMember(MakeHost("a"));
   (void)members.NextWrite(now);
@@ -149,8 +150,9 @@
   BOOST_TEST(DueRemovals() == 0U);
 }
 
-// One of several strays was written by its new feeder a moment ago. The others
-// are still taken back, each in a write of its own.
+// Guards against one conflict that blocks other removals: one of several
+// orphaned records was just written by its new feeder. The others are still
+// removed, each in a write of its own.
 BOOST_AUTO_TEST_CASE(
     Removal_ConflictsWithALaterWrite_OthersAreRemovedOneByOne) {
   members.OnHosts({{Stored("a", "feeder", 5), Stored("b", "feeder", 6)}}, At(6),
--- a/test/jacinthdeck/discovery/record_writer_test.cc
+++ b/test/jacinthdeck/discovery/record_writer_test.cc
@@ -1,4 +1,4 @@
-// Tests of who keeps a host's record in the store.
+// Tests of which host writes a host's record into the store.
 #include "jacinthdeck/discovery/record_writer.h"
 
 #include <boost/test/unit_test.hpp>
@@ -36,8 +36,8 @@
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
 }
 
-// A front that is lost must not be named for long, so that it has a short lease
-// of its own; a feeder writes for others with its lease.
+// A lost front must not stay listed for long, so it has a short lease of its
+// own. A feeder writes the records of others with its lease.
 BOOST_AUTO_TEST_CASE(LargeFleet_HostIsFrontOrFeeder_WritesItself) {
   role.is_front = true;
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kSelf));
@@ -52,8 +52,8 @@
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kSelf));
 }
 
-// Hundreds of hosts start at one moment. The first of them see a handful of
-// others and would take that for a small fleet; each would cost two writes.
+// Guards against two writes per host when hundreds of hosts start at once: the
+// first ones know only a few others, which looks like a small fleet.
 BOOST_AUTO_TEST_CASE(FleetStarts_FewHostsAreKnown_FeederWrites) {
   WriterFixture start(true);
   start.role.hosts = 3;
@@ -62,8 +62,8 @@
   BOOST_TEST((start.After(seconds(3)) == RecordWriter::kSelf));
 }
 
-// All hosts restart after a loss of power. Which part this one has is known
-// from the first word of the store on.
+// All hosts restart after a power failure. The role of this host is known once
+// the first content of the store is.
 BOOST_AUTO_TEST_CASE(Restart_NothingIsKnownYet_NobodyWrites) {
   role = {};
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kNobody));
@@ -72,8 +72,8 @@
   BOOST_TEST((After(milliseconds(30)) == RecordWriter::kSelf));
 }
 
-// The feeder is lost and no other is found. The record would end with the
-// feeder's lease, so that the host writes it itself in time.
+// Guards against a record that expires with the lease of a lost feeder: if no
+// other feeder is found, the host writes its record in time.
 BOOST_AUTO_TEST_CASE(Feeder_IsLostPermanently_HostWritesItself) {
   BOOST_TEST((After(milliseconds(0)) == RecordWriter::kFeeder));
   role.has_feeder = false;
--- a/test/jacinthdeck/discovery/store_content_test.cc
+++ b/test/jacinthdeck/discovery/store_content_test.cc
@@ -1,4 +1,4 @@
-// Tests of content that arrives in any order.
+// Tests of StoreContent with changes and full content in any order.
 #include "jacinthdeck/discovery/store_content.h"
 
 #include <boost/test/unit_test.hpp>
@@ -9,8 +9,8 @@
 
 BOOST_AUTO_TEST_SUITE(StoreContentTest)
 
-// A target leaves; a feeder that lags hands its old entry on. It must not come
-// back, or requests go to an address that may have a new owner.
+// Guards against requests to an address that may have a new owner: a target
+// left, and a lagging feeder still sends its old entry.
 BOOST_AUTO_TEST_CASE(Apply_OlderChangeAfterARemoval_IsIgnored) {
   StoreContent content;
   (void)content.Apply(std::vector<StoreChange>{{"a", At(5), "1"}});
@@ -43,8 +43,8 @@
                  .empty());
 }
 
-// A follower goes over to another feeder and says up to which revision it knows
-// all. It gets what was written and removed since, not the whole content.
+// A follower changes to another feeder and sends the position up to which it
+// knows all changes. It gets the writes and removals since, not full content.
 BOOST_AUTO_TEST_CASE(ChangesSince_AfterAFullRead_ReturnsWritesAndRemovals) {
   StoreContent content;
   (void)content.Replace(
@@ -62,8 +62,8 @@
   BOOST_TEST(content.ChangesSince(At(12))->empty());
 }
 
-// What was removed before this host's first reading it cannot know; a follower
-// that is older than that needs the whole content.
+// This host cannot know what was removed before its first full read, so a
+// follower with an older position needs full content.
 BOOST_AUTO_TEST_CASE(ChangesSince_BeforeTheFirstFullRead_ReturnsNothing) {
   StoreContent content;
   BOOST_TEST(!content.ChangesSince(At(0)).has_value());
@@ -71,8 +71,8 @@
   BOOST_TEST(!content.ChangesSince(At(9)).has_value());
 }
 
-// The store forgot its history and was read anew. A key that went in between is
-// told as removed to those that know only the first reading.
+// The store compacted its history and was read again. A key that disappeared
+// between the two full reads is reported as removed since the first one.
 BOOST_AUTO_TEST_CASE(
     ChangesSince_AcrossASecondFullRead_ReturnsRemovalsInBetween) {
   StoreContent content;
@@ -100,8 +100,8 @@
   BOOST_TEST(content.ChangesSince(At(3)).has_value());
 }
 
-// Guards against news that is dropped, as a restored store gave its revision
-// out before.
+// Guards against new content that is ignored because a restored store has used
+// its revision before.
 BOOST_AUTO_TEST_CASE(Replace_NewerEraAtALowerRevision_ReplacesAllKeys) {
   StoreContent content;
   (void)content.Replace(
@@ -114,7 +114,7 @@
   BOOST_TEST(items[0].value.value() == "2");
 }
 
-// Guards against contents of two eras that are mixed key by key.
+// Guards against a mix of entries of two eras.
 BOOST_AUTO_TEST_CASE(Apply_ChangeOfAnEndedEra_IsIgnored) {
   StoreContent content;
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3, 2), "2"}},
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -1,5 +1,5 @@
-// Tests of the store's client against the stand-in store, with real sockets and
-// short waits: what is asserted never depends on how fast something was.
+// Tests of StoreSession against the stand-in store, with real sockets and short
+// waits. No assertion depends on timing.
 #include "jacinthdeck/discovery/store_session.h"
 
 #include <algorithm>
@@ -137,10 +137,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(StoreSessionTest, SessionFixture)
 
-// Callers of another host are refused, as it knows a third of the targets. This
-// host followed a fresh feeder, then a stale one, and handed the stale content
-// on under its own newer revision; whoever learned from it took the targets in
-// between for removed, and later words on them for old.
+// Guards against refused callers on a host that knew a third of the targets:
+// the host that it followed had followed a current feeder, then a lagging one,
+// and sent the old content under its own newer position. Its followers took the
+// targets in between for removed and ignored later changes of them as outdated.
 BOOST_AUTO_TEST_CASE(Content_OfAnOlderFullRead_IsPublishedWithAllKnownKeys) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   session.ApplyPeerContent({Target("b", 6)}, At(6), false);
@@ -151,8 +151,9 @@
   BOOST_TEST(last.changes.size() == 3U);
 }
 
-// The store forgets its history, and the host reads all again. Meanwhile it
-// finds a fresh host to follow and stops reading; changes from there count.
+// The store compacts its history, and the host starts a full read. Meanwhile it
+// finds a current host to follow and stops reading. The changes that this host
+// sends must be applied.
 BOOST_AUTO_TEST_CASE(Watch_StopsDuringAFullRead_PeerChangesAreApplied) {
   PutTarget("a");
   session.SetWatching(true);
@@ -172,8 +173,8 @@
   BOOST_TEST(targets() == before + 1);
 }
 
-// Two hosts follow each other. A reading that tells nothing new must end at the
-// one that has it: handed on, it would go to and fro for ever.
+// Guards against an endless exchange between two hosts that follow each other:
+// a full read without new content must not be sent on.
 BOOST_AUTO_TEST_CASE(Content_FullReadWithoutChanges_IsNotPublished) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   BOOST_TEST(content_events.size() == 1U);
@@ -190,9 +191,9 @@
   Until([&] { return targets() == 2; });
 }
 
-// The store takes calls and answers none, on connections that stay open. Only
-// the call's own timeout shows it; afterwards the watch goes on from where it
-// was.
+// The store accepts calls and answers none, on connections that stay open. Only
+// the timeout of a call detects this. Afterwards the watch continues from its
+// last position.
 BOOST_AUTO_TEST_CASE(Watch_StoreStopsAnswering_IsDetectedAndCatchesUp) {
   session.SetWatching(true);
   Until([&] { return session.last_contact().has_value(); });
@@ -203,8 +204,9 @@
   Until([&] { return regained == 1 && targets() == 1; });
 }
 
-// The store refuses this host alone. Another host heard it a moment ago and
-// tells that a target has left: the removal counts at once.
+// Guards against requests to a target that has left: the store refuses only
+// this host, and another host that just reached the store reports the removal,
+// which must take effect at once.
 BOOST_AUTO_TEST_CASE(Watch_StoreRefusesOnlyThisHost_RemovalsApplyAtOnce) {
   PutTarget("a");
   session.SetWatching(true);
@@ -221,8 +223,8 @@
   BOOST_TEST(targets() == 0U);
 }
 
-// The store forgets its history while the host waits. The host reads all again;
-// until then it keeps what it knows.
+// The store compacts its history while the host watches. The host reads all
+// keys again and keeps the known content until then.
 BOOST_AUTO_TEST_CASE(Watch_HistoryIsCompacted_ReadsAllAgain) {
   PutTarget("a");
   session.SetWatching(true);
@@ -236,8 +238,8 @@
   BOOST_TEST(session.counters().reads >= reads);
 }
 
-// Guards against hosts that keep an old configuration for seconds, as the store
-// came back from a copy and their feeder dropped what it wrote since.
+// Guards against hosts that keep an old configuration for seconds: the store
+// was restored from a backup and their feeder ignored what was written since.
 BOOST_AUTO_TEST_CASE(
     Watch_StoreIsRestoredFromABackup_ConfigurationIsPublished) {
   PutConfig(1);
@@ -258,8 +260,8 @@
   BOOST_TEST(PublishedConfig(3));
 }
 
-// Guards against changes that are missed, as the restored store has passed the
-// revision after which the host watches.
+// Guards against changes that are missed because the restored store has already
+// passed the revision after which the host watches.
 BOOST_AUTO_TEST_CASE(Watch_RestoredStorePassedTheKnownRevision_MissesNothing) {
   PutTarget("a");
   session.SetWatching(true);
@@ -279,8 +281,8 @@
   BOOST_TEST((session.position().era == StoreEra(2)));
 }
 
-// Guards against a feeder whose store has not come back yet, for this host, and
-// that hands on words of the era before.
+// Guards against changes of the previous era from a feeder that has not yet
+// noticed the restore.
 BOOST_AUTO_TEST_CASE(Content_OfAnEndedEra_IsIgnored) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 3);
@@ -294,8 +296,8 @@
   BOOST_TEST(session.position() == At(3, 2));
 }
 
-// Guards against a host that takes single changes of an era whose content it
-// does not know.
+// Guards against a host that applies single changes of an era whose full
+// content it does not know.
 BOOST_AUTO_TEST_CASE(Content_ChangesOfANewEraWithoutItsContent_AreNotApplied) {
   session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 7);
@@ -307,7 +309,7 @@
 }
 
 // Guards against a host that starts now and serves an older configuration than
-// the others, whose store came back without the newest.
+// the others because the restored store lacks the newest one.
 BOOST_AUTO_TEST_CASE(Content_BackupLacksTheConfiguration_IsPublished) {
   PutConfig(1);
   session.SetWatching(true);
@@ -320,7 +322,7 @@
   BOOST_TEST(ConfigVersion() == 2U);
   content_events.push_back({session.UpdateSince({}).changes, {}, true});
   BOOST_TEST(PublishedConfig(2));
-  // Also to a host that has read the copy itself.
+  // It is also sent to a host that has read the restored store itself.
   const ContentUpdate rest = session.UpdateSince(session.position());
   BOOST_TEST(!rest.whole);
   BOOST_REQUIRE_EQUAL(rest.changes.size(), 1U);
@@ -329,8 +331,8 @@
   Until([&] { return ConfigVersion() == 3; });
 }
 
-// Guards against a host that read the copy itself and does not believe a newer
-// configuration of the era before, which the others serve.
+// Guards against a host that read the restored store itself and ignores a newer
+// configuration of the previous era, which the other hosts serve.
 BOOST_AUTO_TEST_CASE(Content_ConfigurationOfAnEarlierEra_IsComparedByVersion) {
   const auto config = [](int version, const StorePosition& position) {
     return StoreChange{"op/config", position,
@@ -346,8 +348,8 @@
   BOOST_TEST(content_events.size() == before);
 }
 
-// Guards against a fleet that stays without the lost writes: all hosts were
-// lost as well, and none that starts knows more than the copy.
+// Guards against a fleet that ignores repeated writes after a restore: all
+// hosts were lost as well, and none that starts knows more than the backup.
 BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreApplied) {
   PutConfig(1);
   PutTarget("left");
@@ -377,8 +379,8 @@
   });
 }
 
-// Guards against a host that nobody is sent to: its record is not in the copy,
-// and its lease's number is another host's.
+// Guards against a host that gets no callers: the backup lacks its record, and
+// the id of its lease belongs to another host.
 BOOST_AUTO_TEST_CASE(
     Register_StoreIsRestored_RecordIsWrittenWithALeaseOfItsOwn) {
   store.content().KeepCopy();
@@ -414,8 +416,8 @@
   Until([&] { return !store.content().Get(codec.HostKey(host.name)); });
 }
 
-// A feeder writes the records of three followers in one call, with its own
-// lease. When one of them goes elsewhere and nobody writes it, the record goes.
+// A feeder writes the records of three members in one call, with its own lease.
+// When one of them leaves and no other host writes its record, it is removed.
 BOOST_AUTO_TEST_CASE(
     Members_ThreeConnect_AreWrittenAtOnceAndRemovedWhenTheyLeave) {
   session.SetWatching(true);
@@ -435,8 +437,8 @@
   BOOST_TEST(has("a"));
 }
 
-// The feeder's lease is ended by the store, and with it all that it wrote. All
-// of it is back as soon as the feeder has a lease again.
+// The store ends the feeder's lease and with it all records that the feeder
+// wrote. They are written again as soon as the feeder has a new lease.
 BOOST_AUTO_TEST_CASE(Members_LeaseIsEndedByTheStore_AreWrittenAgain) {
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
@@ -454,8 +456,8 @@
   });
 }
 
-// Guards against hosts that nobody is sent to: their feeder wrote their records
-// after the copy was made, with a lease that is gone.
+// Guards against hosts that get no callers: their feeder wrote their records
+// after the backup was taken, with a lease that no longer exists.
 BOOST_AUTO_TEST_CASE(Members_StoreIsRestored_AreWrittenAgain) {
   const std::string key = codec.HostKey(NodeId("a"));
   store.content().KeepCopy();
@@ -471,9 +473,9 @@
              store.content().Get(own)->lease);
 }
 
-// Guards against a host that removes another one's record: the former writer
-// waits to take out what it wrote, and the store comes back and gives the
-// revision of that out again.
+// Guards against the removal of a record of another writer: a former writer
+// waits to remove its orphaned record, and the store is restored and reuses the
+// revision of that record.
 BOOST_AUTO_TEST_CASE(Members_RevisionIsReused_RecordOfAnotherWriterStays) {
   const std::string key = codec.HostKey(NodeId("a"));
   const auto put = [&](const std::string& writer) {
@@ -507,9 +509,9 @@
   BOOST_TEST(store.content().Get(key).has_value());
 }
 
-// A host writes its own record, and a late write of its former feeder takes its
-// place before the host has seen its own. The feeder takes the record back some
-// seconds later, and callers would never be sent to the host again.
+// Guards against a host that never gets callers again: a late write of its
+// former feeder replaces its record before the host has seen its own, and the
+// feeder removes that record as orphaned some seconds later.
 BOOST_AUTO_TEST_CASE(Register_FormerFeederWritesLate_IsWrittenAgain) {
   const std::string key = codec.HostKey(NodeId("h"));
   session.Register(MakeRecord("h"));
@@ -526,8 +528,8 @@
   });
 }
 
-// A host is stopped whose record its feeder wrote. It takes the record out
-// itself: callers would be sent to it for as long as the feeder lives.
+// Guards against callers that are sent to a stopped host for as long as its
+// feeder lives: the host removes the record that its feeder wrote.
 BOOST_AUTO_TEST_CASE(Unregister_RecordIsOnAnotherLease_IsRemoved) {
   const std::string key = codec.HostKey(NodeId("h"));
   standins::StoreControl control;
@@ -538,8 +540,8 @@
   Until([&] { return !store.content().Get(key).has_value(); });
 }
 
-// Every write takes effect and loses its reply. The host goes on trying, and
-// its record stands once replies come again.
+// Every write takes effect but its reply is lost. The host keeps retrying, and
+// its record is present once replies arrive again.
 BOOST_AUTO_TEST_CASE(Register_RepliesAreLost_RecordIsWrittenEventually) {
   standins::StoreControl control;
   control.faults.lose_reply_share = 1;
