--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -242,12 +242,12 @@
     return;
   }
   const Evacuation* known = m_evacuations.Find(change.key);
-  const bool news = known == nullptr;
-  const TimePoint since = news ? now : known->since;
+  const bool is_new = known == nullptr;
+  const TimePoint since = is_new ? now : known->since;
   (void)m_evacuations.Put(
       change.key, change.position,
       {std::get<0>(std::move(parsed)), change.position, since});
-  changed.MarkEvacuations(news);
+  changed.MarkEvacuations(is_new);
 }
 
 void DiscoveryState::ApplyTarget(const std::string& id,
