--- a/src/jacinthdeck/discovery/knowledge.h
+++ b/src/jacinthdeck/discovery/knowledge.h
@@ -92,6 +92,7 @@
   [[nodiscard]] std::size_t host_count() const noexcept {
     return m_hosts.size();
   }
+  /*! \brief Tells whether the store is considered unavailable. */
   [[nodiscard]] bool store_away() const noexcept {
     return m_removal_hold.away();
   }
@@ -108,7 +109,7 @@
   /*! \brief Returns when OnTimer() is due; nothing if no timer is set. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
-  /*! \brief Records a failed call to the store. */
+  /*! \brief Records that the store is unavailable. */
   void OnStoreAway() noexcept { m_removal_hold.OnCallFailed(); }
 
   /*! \brief Applies the changes of a successful call, in the order of their
--- a/src/jacinthdeck/discovery/removal_hold.h
+++ b/src/jacinthdeck/discovery/removal_hold.h
@@ -56,7 +56,7 @@
     return now;
   }
 
-  /*! \brief Tells whether the last call to the store failed. */
+  /*! \brief Tells whether the store is considered unavailable. */
   [[nodiscard]] bool away() const noexcept { return m_away; }
 
  private:
