--- a/src/jacinthdeck/discovery/fleet.cc
+++ b/src/jacinthdeck/discovery/fleet.cc
@@ -1,4 +1,4 @@
-// Ranks hosts within their failure domains.
+// Ranks the hosts of each failure domain by processor capacity.
 #include "jacinthdeck/discovery/fleet.h"
 
 #include <algorithm>
@@ -9,28 +9,27 @@
 
 namespace {
 
-constexpr std::size_t kLeastWatchers = 3;
-//! Hosts of a failure domain that take callers at least: one may be lost.
-constexpr std::size_t kLeastFronts = 2;
-//! Connections of a target that one host needs to use its slots.
+constexpr std::size_t kMinWatchers = 3;
+//! Minimum number of fronts in a failure domain: one may be lost.
+constexpr std::size_t kMinFrontsPerDomain = 2;
+//! Connections to a target that one front needs to use the target's slots.
 constexpr std::uint32_t kConnectionsPerFront = 3;
-//! A host takes callers with the strongest if it has this part of their
-//! strength.
-constexpr double kStrongPart = 0.5;
-//! More hosts take callers while more than this share of the fronts is busy:
-//! twice as many hosts, of which the former half is busy, are enough.
-constexpr double kBusyShare = 0.5;
+//! A host becomes a front if it has this share of the highest capacity.
+constexpr double kMinStrengthShare = 0.5;
+//! Hosts are added while more than this share of the fronts is busy. Each step
+//! doubles the fronts; once only the former half is busy, no more are added.
+constexpr double kMaxBusyShare = 0.5;
 
 using Ranked = std::map<FailureDomain, std::vector<const HostRecord*>>;
 
 [[nodiscard]] bool Stronger(const HostRecord* left, const HostRecord* right) {
-  if (left->strength != right->strength) {
-    return left->strength > right->strength;
+  if (left->cpu_millicores != right->cpu_millicores) {
+    return left->cpu_millicores > right->cpu_millicores;
   }
   return left->name < right->name;
 }
 
-[[nodiscard]] Ranked Rank(std::span<const HostRecord> hosts) {
+[[nodiscard]] Ranked RankByDomain(std::span<const HostRecord> hosts) {
   Ranked ranked;
   for (const HostRecord& host : hosts) {
     ranked[host.domain].push_back(&host);
@@ -41,46 +40,50 @@
   return ranked;
 }
 
-//! Number of hosts of a domain that are about as strong as the strongest.
+//! Returns how many hosts of a domain have at least kMinStrengthShare of the
+//! highest capacity.
 [[nodiscard]] std::size_t CountStrong(
     const std::vector<const HostRecord*>& ranked,
     std::uint32_t strongest) {
-  const double least = kStrongPart * strongest;
-  return static_cast<std::size_t>(std::ranges::count_if(
-      ranked, [&](const HostRecord* host) { return host->strength >= least; }));
+  const double min_strength = kMinStrengthShare * strongest;
+  return static_cast<std::size_t>(
+      std::ranges::count_if(ranked, [&](const HostRecord* host) {
+        return host->cpu_millicores >= min_strength;
+      }));
 }
 
-//! The first hosts of each domain.
-[[nodiscard]] std::vector<HostRecord> Take(
+//! Returns the highest-ranked hosts of each domain.
+//! \param counts Number of hosts to take, by domain.
+[[nodiscard]] std::vector<HostRecord> TakeStrongest(
     const Ranked& ranked,
     const std::map<FailureDomain, std::size_t>& counts) {
-  std::vector<HostRecord> taken;
+  std::vector<HostRecord> strongest_hosts;
   for (const auto& [domain, of_domain] : ranked) {
     const std::size_t count = std::min(counts.at(domain), of_domain.size());
     for (std::size_t i = 0; i < count; ++i) {
-      taken.push_back(*of_domain[i]);
+      strongest_hosts.push_back(*of_domain[i]);
     }
   }
-  return taken;
+  return strongest_hosts;
 }
 
 [[nodiscard]] bool IsBusy(const std::vector<HostRecord>& fronts) {
   const auto busy = std::ranges::count_if(
       fronts, [](const HostRecord& host) { return host.busy; });
   return static_cast<double>(busy) >
-         kBusyShare * static_cast<double>(fronts.size());
+         kMaxBusyShare * static_cast<double>(fronts.size());
 }
 
 }  // namespace
 
 std::vector<HostId> ChooseWatchers(std::span<const HostRecord> hosts) {
-  const Ranked ranked = Rank(hosts);
+  const Ranked ranked = RankByDomain(hosts);
   std::vector<HostId> watchers;
   if (ranked.empty()) {
     return watchers;
   }
   const std::size_t per_domain =
-      (kLeastWatchers + ranked.size() - 1) / ranked.size();
+      (kMinWatchers + ranked.size() - 1) / ranked.size();
   for (const auto& [domain, of_domain] : ranked) {
     for (std::size_t i = 0; i < std::min(per_domain, of_domain.size()); ++i) {
       watchers.push_back(of_domain[i]->name);
@@ -91,30 +94,31 @@
 
 std::vector<HostRecord> ChooseFronts(std::span<const HostRecord> hosts,
                                      std::uint32_t target_connections) {
-  if (hosts.size() <= kSmallFleet) {
+  if (hosts.size() <= kSmallFleetSize) {
     return {hosts.begin(), hosts.end()};
   }
-  const Ranked ranked = Rank(hosts);
+  const Ranked ranked = RankByDomain(hosts);
   std::uint32_t strongest = 0;
   for (const HostRecord& host : hosts) {
-    strongest = std::max(strongest, host.strength);
+    strongest = std::max(strongest, host.cpu_millicores);
   }
-  const std::size_t most = std::max<std::size_t>(
-      target_connections / kConnectionsPerFront, kLeastFronts * ranked.size());
-  const std::size_t most_of_domain =
-      std::max<std::size_t>(most / ranked.size(), kLeastFronts);
+  const std::size_t max_fronts =
+      std::max<std::size_t>(target_connections / kConnectionsPerFront,
+                            kMinFrontsPerDomain * ranked.size());
+  const std::size_t max_per_domain =
+      std::max<std::size_t>(max_fronts / ranked.size(), kMinFrontsPerDomain);
   std::map<FailureDomain, std::size_t> counts;
   for (const auto& [domain, of_domain] : ranked) {
     const std::size_t strong = CountStrong(of_domain, strongest);
-    counts[domain] = std::clamp(strong, kLeastFronts, most_of_domain);
+    counts[domain] = std::clamp(strong, kMinFrontsPerDomain, max_per_domain);
   }
-  std::vector<HostRecord> fronts = Take(ranked, counts);
-  while (IsBusy(fronts) && fronts.size() < most) {
+  std::vector<HostRecord> fronts = TakeStrongest(ranked, counts);
+  while (IsBusy(fronts) && fronts.size() < max_fronts) {
     for (auto& [domain, count] : counts) {
-      count = std::min(2 * count, most_of_domain);
+      count = std::min(2 * count, max_per_domain);
     }
     const std::size_t before = fronts.size();
-    fronts = Take(ranked, counts);
+    fronts = TakeStrongest(ranked, counts);
     if (fronts.size() == before) {
       break;
     }
--- a/src/jacinthdeck/discovery/fwd.h
+++ b/src/jacinthdeck/discovery/fwd.h
@@ -1,28 +1,28 @@
-// Forward declarations of the discovery module: what the platform's store says
-// of configuration, targets and hosts.
+// Forward declarations of the discovery module: a host's view of the
+// configuration, targets and hosts in the platform's key-value store.
 #ifndef JACINTHDECK_DISCOVERY_FWD_H_
 #define JACINTHDECK_DISCOVERY_FWD_H_
 
 namespace jacinthdeck {
 
-class Knowledge;
-class KnowledgeObserver;
+class DiscoveryObserver;
+class DiscoveryState;
 class MemberRecords;
 class PlatformCodec;
 class RecordWriterChoice;
 class RemovalHold;
-class RestoreDoubt;
+class RestoreGuard;
 class StoreContent;
 class StoreSession;
 struct Evacuation;
-struct HeldRecord;
+struct FullRead;
 struct HostRecord;
 struct MemberWrite;
+struct ParsedTarget;
 struct StoreChange;
 struct StorePage;
-struct StoreReading;
 struct StoreWrite;
-struct TargetReading;
+struct StoredRecord;
 struct WatchBatch;
 enum class KeyKind;
 enum class RecordWriter;
--- a/src/jacinthdeck/discovery/held_entries.h
+++ b/src/jacinthdeck/discovery/held_entries.h
@@ -1,4 +1,4 @@
-// Entries of the store whose removal may be held back.
+// Entries of the store whose removals may take effect later.
 #ifndef JACINTHDECK_DISCOVERY_HELD_ENTRIES_H_
 #define JACINTHDECK_DISCOVERY_HELD_ENTRIES_H_
 
@@ -15,140 +15,142 @@
 namespace jacinthdeck {
 
 /**
- * \brief Entries by key; a removed one stays until its removal counts.
+ * \brief Entries by key; a removed entry stays until its removal takes effect.
  * \tparam Entry Decoded value.
  */
 template <typename Entry>
 class HeldEntries {
  public:
-  /*! \brief Gives all entries, held ones included. */
+  /*! \brief Returns all entries, including those with a pending removal. */
   [[nodiscard]] std::vector<Entry> Entries() const {
     std::vector<Entry> entries;
-    entries.reserve(m_held.size());
-    for (const auto& [key, held] : m_held) {
-      entries.push_back(held.entry);
+    entries.reserve(m_slots.size());
+    for (const auto& [key, slot] : m_slots) {
+      entries.push_back(slot.entry);
     }
     return entries;
   }
 
-  [[nodiscard]] std::size_t size() const noexcept { return m_held.size(); }
+  [[nodiscard]] std::size_t size() const noexcept { return m_slots.size(); }
 
-  /*! \brief Finds an entry; null if there is none. */
+  /*! \brief Returns an entry; null if there is none. */
   [[nodiscard]] const Entry* Find(const std::string& key) const {
-    const auto found = m_held.find(key);
-    return found == m_held.end() ? nullptr : &found->second.entry;
+    const auto found = m_slots.find(key);
+    return found == m_slots.end() ? nullptr : &found->second.entry;
   }
 
-  /*! \brief Finds an entry as of a position; null if another one is known. */
+  /*! \brief Returns the entry that was last changed at a position; null if
+   * there is none. */
   [[nodiscard]] const Entry* FindAt(const std::string& key,
                                     const StorePosition& position) const {
-    const auto found = m_held.find(key);
+    const auto found = m_slots.find(key);
     const bool is_of_it =
-        found != m_held.end() && found->second.position == position;
+        found != m_slots.end() && found->second.position == position;
     return is_of_it ? &found->second.entry : nullptr;
   }
 
-  /*! \brief Finds an entry that an era before this one wrote; null if there is
-   * none. */
-  [[nodiscard]] const Entry* FindBefore(const std::string& key,
-                                        StoreEra era) const {
-    const auto found = m_held.find(key);
+  /*! \brief Returns an entry that was last changed before an era; null if
+   * there is none. */
+  [[nodiscard]] const Entry* FindFromEarlierEra(const std::string& key,
+                                                StoreEra era) const {
+    const auto found = m_slots.find(key);
     const bool is_before =
-        found != m_held.end() && found->second.position.era < era;
+        found != m_slots.end() && found->second.position.era < era;
     return is_before ? &found->second.entry : nullptr;
   }
 
-  /*! \brief Earliest moment at which Expire() removes something. */
+  /*! \brief Returns the earliest moment at which Expire() removes an entry. */
   [[nodiscard]] std::optional<TimePoint> NextExpiry() const {
     std::optional<TimePoint> next;
-    for (const auto& [key, held] : m_held) {
-      if (held.gone_at && (!next || *held.gone_at < *next)) {
-        next = held.gone_at;
+    for (const auto& [key, slot] : m_slots) {
+      if (slot.erase_at && (!next || *slot.erase_at < *next)) {
+        next = slot.erase_at;
       }
     }
     return next;
   }
 
   /**
-   * \brief Takes a written entry; it ends a removal that is held.
-   * \return False if a later position is known.
+   * \brief Inserts or replaces an entry and cancels its pending removal.
+   * \return False if a later change of the key is known; the entry is ignored.
    */
   bool Put(const std::string& key, StorePosition position, Entry entry) {
-    const auto found = m_held.find(key);
-    if (found != m_held.end() && found->second.position > position) {
+    const auto found = m_slots.find(key);
+    if (found != m_slots.end() && found->second.position > position) {
       return false;
     }
-    m_held.insert_or_assign(key, Held{std::move(entry), position, {}, false});
+    m_slots.insert_or_assign(key, Slot{std::move(entry), position, {}, false});
     return true;
   }
 
   /**
-   * \brief Takes a removal.
-   * \param counts_at When it counts; nothing while that is not known.
+   * \brief Marks an entry as removed, unless a later change is known.
+   * \param effective_at When the removal takes effect; nothing while that is
+   * unknown.
    */
   void Remove(const std::string& key,
               StorePosition position,
-              std::optional<TimePoint> counts_at) {
-    const auto found = m_held.find(key);
-    if (found == m_held.end() || found->second.position > position) {
+              std::optional<TimePoint> effective_at) {
+    const auto found = m_slots.find(key);
+    if (found == m_slots.end() || found->second.position > position) {
       return;
     }
     found->second.position = position;
     found->second.removed = true;
-    found->second.gone_at = counts_at;
+    found->second.erase_at = effective_at;
   }
 
-  /*! \brief Removes an entry at once. */
-  void Drop(const std::string& key) { m_held.erase(key); }
+  /*! \brief Removes an entry at once, without a delay. */
+  void Erase(const std::string& key) { m_slots.erase(key); }
 
   /**
-   * \brief Takes a full reading: what it does not name is removed.
-   * \param named Keys of the reading.
-   * \param position The store's position at its beginning; entries written
-   * later stay.
-   * \param counts_at As for Remove().
+   * \brief Marks the entries that a full read does not list as removed.
+   * \param listed Keys of the full read.
+   * \param position Position of the store when the read began; entries that
+   * were written later stay.
+   * \param effective_at As for Remove().
    */
-  void RemoveOthers(const std::set<std::string>& named,
-                    StorePosition position,
-                    std::optional<TimePoint> counts_at) {
-    for (auto& [key, held] : m_held) {
-      if (!named.contains(key) && !held.removed && held.position <= position) {
-        held.removed = true;
-        held.gone_at = counts_at;
+  void RemoveUnlisted(const std::set<std::string>& listed,
+                      StorePosition position,
+                      std::optional<TimePoint> effective_at) {
+    for (auto& [key, slot] : m_slots) {
+      if (!listed.contains(key) && !slot.removed && slot.position <= position) {
+        slot.removed = true;
+        slot.erase_at = effective_at;
       }
     }
   }
 
-  /*! \brief Keys whose removal does not count yet. */
-  [[nodiscard]] std::vector<std::string> RemovedKeys() const {
+  /*! \brief Returns the keys whose removals have not taken effect yet. */
+  [[nodiscard]] std::vector<std::string> PendingRemovalKeys() const {
     std::vector<std::string> keys;
-    for (const auto& [key, held] : m_held) {
-      if (held.removed) {
+    for (const auto& [key, slot] : m_slots) {
+      if (slot.removed) {
         keys.push_back(key);
       }
     }
     return keys;
   }
 
-  /*! \brief Sets the moment for removals that had none. */
-  void SetExpiry(TimePoint counts_at) {
-    for (auto& [key, held] : m_held) {
-      if (held.removed && !held.gone_at) {
-        held.gone_at = counts_at;
+  /*! \brief Sets when the pending removals without a moment take effect. */
+  void SetExpiry(TimePoint effective_at) {
+    for (auto& [key, slot] : m_slots) {
+      if (slot.removed && !slot.erase_at) {
+        slot.erase_at = effective_at;
       }
     }
   }
 
   /**
-   * \brief Removes what is due.
-   * \return Keys that were removed.
+   * \brief Removes the entries whose removals are due.
+   * \return Keys of the removed entries.
    */
   std::vector<std::string> Expire(TimePoint now) {
     std::vector<std::string> expired;
-    for (auto at = m_held.begin(); at != m_held.end();) {
-      if (at->second.gone_at && *at->second.gone_at <= now) {
+    for (auto at = m_slots.begin(); at != m_slots.end();) {
+      if (at->second.erase_at && *at->second.erase_at <= now) {
         expired.push_back(at->first);
-        at = m_held.erase(at);
+        at = m_slots.erase(at);
       } else {
         ++at;
       }
@@ -157,16 +159,16 @@
   }
 
  private:
-  struct Held {
+  struct Slot {
     Entry entry;
-    //! Of its last write or removal.
+    //! Position of the last write or removal.
     StorePosition position;
-    //! When its removal counts.
-    std::optional<TimePoint> gone_at;
+    //! When the removal takes effect; nothing while that is unknown.
+    std::optional<TimePoint> erase_at;
     bool removed = false;
   };
 
-  std::map<std::string, Held> m_held;
+  std::map<std::string, Slot> m_slots;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -1,4 +1,4 @@
-// Reading and watching.
+// Reading and watching the store, and content of other hosts.
 #include "jacinthdeck/discovery/store_session.h"
 
 #include <algorithm>
@@ -12,35 +12,38 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! Time for a call that the store answers at once; a slow store takes up to
-//! some hundred milliseconds.
+//! Timeout of a call that the store answers at once; a slow store takes up to a
+//! few hundred milliseconds.
 constexpr Duration kCallTimeout = milliseconds(1500);
-//! How long a watch waits. A change must be in force within seconds also after
-//! the watch's connection went silent, so that bounds this wait; each new watch
-//! costs a call.
+//! How long a watch waits for a change. Each new watch costs a call, but a
+//! change must be applied within seconds even if the connection of the watch
+//! stops delivering data, which limits the wait.
 constexpr Duration kWatchWait = milliseconds(1500);
-//! Time beyond the wait after which a watch is taken for lost.
-constexpr Duration kWatchSlack = milliseconds(900);
-//! Pause after a change: registrations come in bunches, and each batch costs a
-//! call.
-constexpr Duration kGather = milliseconds(200);
-//! Another host that heard the store so lately proves that it is not away for
-//! all. Below the time in which an own call shows that the store went silent.
-constexpr Duration kHeardLately = milliseconds(800);
-//! Hosts that write again what a restored store lacks do so one by one.
-constexpr Duration kRewriteSpread = milliseconds(400);
-//! Feeders hear of a new era with their next renewal or watch, and hand it on.
-constexpr Duration kEraPatience = milliseconds(1500);
-//! Bounds of the pause after a failed call.
-constexpr Duration kFirstPause = milliseconds(100);
-constexpr Duration kLongestPause = milliseconds(800);
+//! Time after the end of its wait at which a watch is considered lost.
+constexpr Duration kWatchTimeoutMargin = milliseconds(900);
+//! Delay of the next watch after a change: registrations arrive in bursts, and
+//! each batch costs a call.
+constexpr Duration kBatchDelay = milliseconds(200);
+//! A successful call of another host within this time proves that the store is
+//! not unavailable for all hosts. It is shorter than the time in which a call
+//! of this host detects that the store stopped answering.
+constexpr Duration kRecentContact = milliseconds(800);
+//! Maximum random delay before a host repeats the writes that a restore lost,
+//! so that the hosts do not write at once.
+constexpr Duration kMaxRewriteDelay = milliseconds(400);
+//! Time within which feeders learn of a new era, with their next renewal or
+//! watch, and send its content to their followers.
+constexpr Duration kNewEraTimeout = milliseconds(1500);
+//! Limits of the delay after a failed read or watch.
+constexpr Duration kMinBackoff = milliseconds(100);
+constexpr Duration kMaxBackoff = milliseconds(800);
 
 }  // namespace
 
 StoreSession::StoreSession(asio::io_context& loop,
                            const Clock& clock,
                            const PlatformCodec& codec,
-                           KnowledgeObserver& observer,
+                           DiscoveryObserver& observer,
                            HostId name,
                            const Endpoint& store,
                            std::uint64_t seed)
@@ -48,13 +51,13 @@
       m_codec(codec),
       m_observer(observer),
       m_random(seed),
-      m_knowledge(codec),
+      m_discovery_state(codec),
       m_reads(loop, store.address, store.port),
       m_read_timer(loop),
-      m_read_backoff(kFirstPause, kLongestPause),
+      m_read_backoff(kMinBackoff, kMaxBackoff),
       m_writes(loop, store.address, store.port),
       m_write_timer(loop),
-      m_write_backoff(kFirstPause, seconds(1)),
+      m_write_backoff(kMinBackoff, seconds(1)),
       m_name(std::move(name)),
       m_members(m_name) {}
 
@@ -70,58 +73,60 @@
   }
 }
 
-void StoreSession::TakeContent(const std::vector<StoreChange>& changes,
-                               const StorePosition& position,
-                               bool whole) {
-  // Changes alone are of no use to a host that knows nothing of their era, and
-  // a feeder that lags tells of one that has ended.
+void StoreSession::ApplyPeerContent(const std::vector<StoreChange>& changes,
+                                    const StorePosition& position,
+                                    bool whole) {
+  // Single changes are useless to a host without full content of their era, and
+  // a lagging feeder may send content of an ended era.
   const bool applies = m_loaded && position.era == m_position.era;
   const bool begins = whole && (!m_loaded || position.era > m_position.era);
-  (void)TakeEra(position.era);
+  (void)ObserveEra(position.era);
   if (!applies && !begins) {
     return;
   }
   std::vector<StoreChange> content;
-  std::vector<StoreChange> carried;
+  std::vector<StoreChange> carried_over;
   std::ranges::partition_copy(changes, std::back_inserter(content),
-                              std::back_inserter(carried),
+                              std::back_inserter(carried_over),
                               [&](const StoreChange& change) {
                                 return change.position.era == position.era;
                               });
   const bool restored = m_loaded && begins;
   m_loaded = true;
-  Take(content, position, whole);
-  TakeCarried(carried);
+  ApplyContent(content, position, whole);
+  ApplyCarriedOver(carried_over);
   if (restored) {
-    m_must_read = false;
-    RestartReading();
+    m_needs_full_read = false;
+    RestartRead();
   }
 }
 
-void StoreSession::TakeCarried(const std::vector<StoreChange>& changes) {
-  const KnowledgeChange change = m_knowledge.OnCarried(changes);
+void StoreSession::ApplyCarriedOver(const std::vector<StoreChange>& changes) {
+  const DiscoveryChange change = m_discovery_state.OnCarriedOver(changes);
   if (change.config) {
     m_observer.OnContent(changes, m_position, false);
   }
-  Tell(change);
+  Notify(change);
 }
 
-StoreHandover StoreSession::HandoverSince(const StorePosition& position) const {
-  StoreHandover handover{m_position, true, {}};
-  auto since = position.revision > 0 ? m_content.Since(position) : std::nullopt;
+ContentUpdate StoreSession::UpdateSince(const StorePosition& position) const {
+  ContentUpdate handover{m_position, true, {}};
+  auto since =
+      position.revision > 0 ? m_content.ChangesSince(position) : std::nullopt;
   handover.whole = !since.has_value();
   handover.changes = since ? std::move(*since) : m_content.Items();
-  if (auto config = m_knowledge.CarriedConfig()) {
+  if (auto config = m_discovery_state.CarriedOverConfig()) {
     handover.changes.push_back(std::move(*config));
   }
   return handover;
 }
 
-bool StoreSession::IsLeftBehind() const {
-  return m_behind_since && m_clock.Now() - *m_behind_since >= kEraPatience;
+bool StoreSession::IsNewEraOverdue() const {
+  return m_ended_era_since &&
+         m_clock.Now() - *m_ended_era_since >= kNewEraTimeout;
 }
 
-StoreSession::EraOrder StoreSession::TakeEra(StoreEra era) {
+StoreSession::EraOrder StoreSession::ObserveEra(StoreEra era) {
   if (era <= m_era) {
     return era == m_era ? EraOrder::kCurrent : EraOrder::kEnded;
   }
@@ -129,18 +134,20 @@
   if (before == StoreEra{} && !m_loaded) {
     return EraOrder::kCurrent;
   }
-  m_behind_since = m_clock.Now();
+  m_ended_era_since = m_clock.Now();
   m_observer.OnStoreRestored(before, era, m_position);
-  // The lease may be gone, or its number another host's by now.
+  // The restored store may not know the lease, or may have granted its id to
+  // another host.
   m_lease = 0;
-  m_written = false;
+  m_record_written = false;
   m_members.OnLeaseLost();
-  const auto bound = static_cast<std::uint64_t>(kRewriteSpread.count());
-  StepAfter(Duration(static_cast<Duration::rep>(m_random.Below(bound))));
+  const auto bound = static_cast<std::uint64_t>(kMaxRewriteDelay.count());
+  ScheduleWriteStep(
+      Duration(static_cast<Duration::rep>(m_random.Below(bound))));
   return EraOrder::kNew;
 }
 
-void StoreSession::RestartReading() {
+void StoreSession::RestartRead() {
   if (!m_watching) {
     return;
   }
@@ -149,32 +156,32 @@
   Resume();
 }
 
-void StoreSession::TakeAge(std::optional<Duration> age, bool store_away) {
+void StoreSession::ApplyPeerAge(std::optional<Duration> age, bool store_away) {
   const TimePoint now = m_clock.Now();
   if (age) {
     const TimePoint heard = now - *age;
-    m_last_well = std::max(m_last_well.value_or(heard), heard);
-    m_others_heard = heard;
+    m_last_contact = std::max(m_last_contact.value_or(heard), heard);
+    m_peer_contact = heard;
   }
-  const bool heard_by_self = m_watching && m_loaded && !m_lost;
+  const bool heard_by_self = m_watching && m_loaded && !m_store_lost;
   if (store_away && !heard_by_self) {
-    m_knowledge.OnStoreAway();
-  } else if (!store_away && m_knowledge.store_away()) {
-    Tell(m_knowledge.OnChanges({}, now));
+    m_discovery_state.OnStoreAway();
+  } else if (!store_away && m_discovery_state.store_away()) {
+    Notify(m_discovery_state.OnChanges({}, now));
   }
 }
 
 void StoreSession::Resume() {
-  if (m_loaded && !m_must_read && !IsBehind()) {
+  if (m_loaded && !m_needs_full_read && !IsInEndedEra()) {
     Watch();
   } else {
-    ReadAll();
+    StartFullRead();
   }
 }
 
-void StoreSession::Take(const std::vector<StoreChange>& changes,
-                        const StorePosition& position,
-                        bool whole) {
+void StoreSession::ApplyContent(const std::vector<StoreChange>& changes,
+                                const StorePosition& position,
+                                bool whole) {
   const TimePoint now = m_clock.Now();
   const std::uint64_t changes_before = m_content.changes();
   const std::vector<StoreChange> news =
@@ -183,36 +190,37 @@
     m_era_since = now;
   }
   m_position = std::max(m_position, position);
-  if (!IsBehind()) {
-    m_behind_since.reset();
-  } else if (!m_behind_since) {
-    m_behind_since = now;
+  if (!IsInEndedEra()) {
+    m_ended_era_since.reset();
+  } else if (!m_ended_era_since) {
+    m_ended_era_since = now;
   }
-  const KnowledgeChange change =
-      whole ? m_knowledge.OnReading(news, position, now)
-            : m_knowledge.OnChanges(news, now);
+  const DiscoveryChange change =
+      whole ? m_discovery_state.OnFullRead(news, position, now)
+            : m_discovery_state.OnChanges(news, now);
   if (m_content.changes() == changes_before) {
-    // Hosts that follow each other would hand one reading on for ever.
+    // Hosts that follow each other would exchange the same content endlessly.
   } else if (whole) {
-    // A reading may be older than what this host knows. Handed on as it came,
-    // under the newer position, it made followers drop live targets for good.
-    m_observer.OnContent(HandoverSince({}).changes, m_position, true);
+    // A full read may be older than the known content. If it were forwarded
+    // unchanged under the newer position, followers would drop live targets
+    // permanently, so all known keys are sent instead.
+    m_observer.OnContent(UpdateSince({}).changes, m_position, true);
   } else {
     m_observer.OnContent(news, m_position, false);
   }
-  Tell(change);
+  Notify(change);
 }
 
 void StoreSession::CheckTimes() {
   const TimePoint now = m_clock.Now();
-  const auto due = m_knowledge.NextTimer();
+  const auto due = m_discovery_state.NextTimer();
   if (due && *due <= now) {
-    Tell(m_knowledge.OnTimer(now));
+    Notify(m_discovery_state.OnTimer(now));
   }
-  CheckMembers();
+  WriteDueMembers();
 }
 
-void StoreSession::ReadAll() {
+void StoreSession::StartFullRead() {
   m_pages.clear();
   m_pages_position.reset();
   ReadPage();
@@ -228,7 +236,7 @@
 }
 
 void StoreSession::OnPage(const StorePage& page) {
-  const EraOrder order = TakeEra(page.position.era);
+  const EraOrder order = ObserveEra(page.position.era);
   if (page.status != StoreStatus::kOk) {
     OnFailure(page.status, page.problem);
     return;
@@ -238,11 +246,11 @@
     return;
   }
   if (m_pages_position && m_pages_position->era != page.position.era) {
-    ReadAll();
+    StartFullRead();
     return;
   }
-  // Pages are no snapshot: the watch goes on from the first one, and takes a
-  // change twice rather than not at all.
+  // The pages are not a consistent snapshot. The watch continues from the
+  // position of the first one: it may return a change twice but misses none.
   if (!m_pages_position) {
     m_pages_position = page.position;
   }
@@ -251,16 +259,16 @@
     ReadPage();
     return;
   }
-  OnWell();
-  TellReading();
+  OnCallSucceeded();
+  NotifyFullRead();
   m_loaded = true;
-  m_must_read = false;
-  Take(m_pages, *m_pages_position, true);
+  m_needs_full_read = false;
+  ApplyContent(m_pages, *m_pages_position, true);
   m_pages.clear();
-  WatchAfter(kGather);
+  WatchAfter(kBatchDelay);
 }
 
-void StoreSession::TellReading() {
+void StoreSession::NotifyFullRead() {
   const auto outdated =
       std::ranges::count_if(m_pages, [&](const StoreChange& item) {
         return item.position < m_content.PositionOf(item.key);
@@ -274,40 +282,43 @@
 void StoreSession::Watch() {
   ++m_counters.watches;
   m_reads.Call(m_codec.WatchCall(m_position.revision, kWatchWait),
-               kWatchWait + kWatchSlack, [this](const ClientReply& reply) {
-                 OnBatch(m_codec.ReadBatch(reply, m_era));
+               kWatchWait + kWatchTimeoutMargin,
+               [this](const ClientReply& reply) {
+                 OnBatch(m_codec.ReadWatchReply(reply, m_era));
                });
 }
 
 void StoreSession::OnBatch(const WatchBatch& batch) {
-  const EraOrder order = TakeEra(batch.position.era);
+  const EraOrder order = ObserveEra(batch.position.era);
   const bool answered = batch.status == StoreStatus::kOk ||
                         batch.status == StoreStatus::kCompacted;
   if (answered && order == EraOrder::kEnded) {
     OnFailure(StoreStatus::kOutdated, "watch of an ended era");
     return;
   }
-  if (answered && IsBehind()) {
-    // What it brings comes after a revision of the era before, which the
-    // present one has given out again: changes before that would be missing.
-    ReadAll();
+  if (answered && IsInEndedEra()) {
+    // The watch asked for changes after a revision of the previous era, which
+    // the present era has reused: earlier changes of the present era would be
+    // missed.
+    StartFullRead();
     return;
   }
   if (batch.status == StoreStatus::kCompacted) {
-    // What is known stays valid, and so do changes that another host hands on:
-    // a host that stopped watching in the middle of the reading and took none
-    // of them would look fresh and know nothing new.
-    m_must_read = true;
-    ReadAll();
+    // The known content stays valid, and changes from other hosts are still
+    // applied. If m_loaded were cleared, a host that stopped watching during
+    // the full read would ignore them and appear up to date with outdated
+    // content.
+    m_needs_full_read = true;
+    StartFullRead();
     return;
   }
   if (batch.status != StoreStatus::kOk) {
     OnFailure(batch.status, batch.problem);
     return;
   }
-  OnWell();
-  Take(batch.changes, batch.position, false);
-  WatchAfter(batch.changes.empty() ? Duration::zero() : kGather);
+  OnCallSucceeded();
+  ApplyContent(batch.changes, batch.position, false);
+  WatchAfter(batch.changes.empty() ? Duration::zero() : kBatchDelay);
 }
 
 void StoreSession::WatchAfter(Duration pause) {
@@ -323,26 +334,27 @@
   });
 }
 
-void StoreSession::OnWell() {
-  m_last_well = m_clock.Now();
+void StoreSession::OnCallSucceeded() {
+  m_last_contact = m_clock.Now();
   m_read_backoff.OnSuccess();
-  if (m_lost) {
-    m_lost = false;
+  if (m_store_lost) {
+    m_store_lost = false;
     m_observer.OnStoreRegained();
   }
 }
 
 void StoreSession::OnFailure(StoreStatus status, const std::string& problem) {
   ++m_counters.failures;
-  const bool heard_by_others =
-      m_others_heard && m_clock.Now() - *m_others_heard < kHeardLately;
-  // Taken for away, a store that refuses this host alone would delay removals
-  // that others tell of: targets that have left would get requests.
-  if (!heard_by_others) {
-    m_knowledge.OnStoreAway();
+  const bool heard_by_peer =
+      m_peer_contact && m_clock.Now() - *m_peer_contact < kRecentContact;
+  // If a store that refuses only this host were considered unavailable,
+  // removals that other hosts report would be delayed, and targets that have
+  // left would get requests.
+  if (!heard_by_peer) {
+    m_discovery_state.OnStoreAway();
   }
-  if (!m_lost) {
-    m_lost = true;
+  if (!m_store_lost) {
+    m_store_lost = true;
     m_observer.OnStoreLost(status, problem);
   }
   m_read_timer.expires_after(m_read_backoff.OnFailure(m_random));
@@ -353,7 +365,7 @@
   });
 }
 
-void StoreSession::Tell(const KnowledgeChange& change) {
+void StoreSession::Notify(const DiscoveryChange& change) {
   if (change.hosts) {
     CheckOwnRecord();
     CompareMembers();
@@ -362,7 +374,7 @@
                     change.targets || change.hosts ||
                     !change.convictions.empty() || !change.unreadable.empty();
   if (news) {
-    m_observer.OnKnowledge(change, m_position);
+    m_observer.OnDiscoveryChange(change, m_position);
   }
 }
 
--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -97,7 +97,7 @@
   if (!m_feeders.empty()) {
     m_next_feeder = m_random.Below(m_feeders.size());
   }
-  m_serves_callers = m_self.strength >= kMinServingStrength;
+  m_serves_callers = m_self.cpu_millicores >= kMinServingStrength;
   const bool waits_for_seed =
       fleet_starts || (!m_serves_callers && !m_is_watcher);
   ScheduleWatch(kStartJitter,
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -31,7 +31,7 @@
 };
 
 /*! \brief Changes of the store's content, or the whole content. */
-using FeedChanges = StoreHandover;
+using FeedChanges = ContentUpdate;
 
 /*! \brief Periodic message of a feeder that shows that it is alive and how old
  * its content is. */
--- a/test/jacinthdeck/discovery/directory_choice_test.cc
+++ b/test/jacinthdeck/discovery/directory_choice_test.cc
@@ -1,4 +1,4 @@
-// Tests of which hosts callers are told of.
+// Tests of which host addresses are returned to callers.
 #include "jacinthdeck/discovery/directory_choice.h"
 
 #include <algorithm>
@@ -23,13 +23,14 @@
                                 MakeHost(3, "a"), MakeHost(4, "b"),
                                 MakeHost(5, "c"), MakeHost(6, "c")};
 
-  [[nodiscard]] std::vector<std::string> Ask(const std::string& domain,
-                                             bool self_serves = true) const {
-    DirectoryQuestion question;
-    question.caller = FailureDomain(domain);
-    question.self = hosts[3];
-    question.self_serves = self_serves;
-    return ChooseHosts(question, hosts);
+  [[nodiscard]] std::vector<std::string> Ask(
+      const std::string& domain,
+      bool self_accepts_callers = true) const {
+    DirectoryRequest request;
+    request.caller_domain = FailureDomain(domain);
+    request.self = hosts[3];
+    request.self_accepts_callers = self_accepts_callers;
+    return ChooseCallerAddresses(request, hosts);
   }
 };
 
@@ -37,29 +38,29 @@
 
 BOOST_FIXTURE_TEST_SUITE(DirectoryChoiceTest, DirectoryFixture)
 
-BOOST_AUTO_TEST_CASE(Domain_HasThreeHosts_CallersKeepToIt) {
+BOOST_AUTO_TEST_CASE(Domain_HasThreeHosts_OnlyTheyAreReturned) {
   BOOST_TEST(Ask("a").size() == 3U);
   BOOST_TEST(Ask("a").front() == "10.0.0.1:80");
 }
 
-// Both hosts of a domain may die at one moment, and are named until their
-// leases end. A third, of another domain, leaves its callers somewhere to go.
-BOOST_AUTO_TEST_CASE(Domain_HasTwoHosts_OneOfAnotherIsNamedToo) {
-  const auto named = Ask("c");
-  BOOST_TEST(named.size() == 3U);
-  BOOST_TEST(named[0] == "10.0.0.5:80");
-  BOOST_TEST(named[1] == "10.0.0.6:80");
+// Both hosts of a domain may fail at once and stay listed until their leases
+// expire. A third host, of another domain, remains for the callers.
+BOOST_AUTO_TEST_CASE(Domain_HasTwoHosts_OneOfAnotherDomainIsAdded) {
+  const auto addresses = Ask("c");
+  BOOST_TEST(addresses.size() == 3U);
+  BOOST_TEST(addresses[0] == "10.0.0.5:80");
+  BOOST_TEST(addresses[1] == "10.0.0.6:80");
 }
 
-BOOST_AUTO_TEST_CASE(Domain_HasOneHostOrNone_AllAreNamed) {
+BOOST_AUTO_TEST_CASE(Domain_HasOneHostOrNone_AllAreReturned) {
   BOOST_TEST(Ask("b").size() == 6U);
   BOOST_TEST(Ask("elsewhere").size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(Self_IsStopping_IsNotNamed) {
-  const auto named = Ask("b", false);
-  BOOST_TEST(named.size() == 5U);
-  BOOST_TEST((std::ranges::find(named, "10.0.0.4:80") == named.end()));
+BOOST_AUTO_TEST_CASE(Self_IsStopping_IsNotReturned) {
+  const auto addresses = Ask("b", false);
+  BOOST_TEST(addresses.size() == 5U);
+  BOOST_TEST((std::ranges::find(addresses, "10.0.0.4:80") == addresses.end()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/discovery/fleet_test.cc
+++ b/test/jacinthdeck/discovery/fleet_test.cc
@@ -1,4 +1,4 @@
-// Tests of which hosts watch and which take callers.
+// Tests of which hosts watch the store and which take callers.
 #include "jacinthdeck/discovery/fleet.h"
 
 #include <algorithm>
@@ -13,15 +13,16 @@
 
 namespace {
 
-[[nodiscard]] HostRecord MakeHost(int number, int domain, int strength) {
+[[nodiscard]] HostRecord MakeHost(int number, int domain, int cpu_millicores) {
   HostRecord host;
   host.name = HostId("h" + std::to_string(number));
   host.domain = FailureDomain("d" + std::to_string(domain));
-  host.strength = static_cast<std::uint32_t>(strength);
+  host.cpu_millicores = static_cast<std::uint32_t>(cpu_millicores);
   return host;
 }
 
-//! Per domain a few strong hosts and many weak ones.
+//! Makes hosts of which some in each domain have a high capacity and the others
+//! a low one.
 [[nodiscard]] std::vector<HostRecord> MakeFleet(int domains,
                                                 int strong,
                                                 int weak) {
@@ -47,7 +48,7 @@
 
 BOOST_AUTO_TEST_SUITE(FleetTest)
 
-BOOST_AUTO_TEST_CASE(Watchers_AnyFleet_AreFewAndInEachDomain) {
+BOOST_AUTO_TEST_CASE(Watchers_AnyFleetSize_AreFewAndInEachDomain) {
   BOOST_TEST(ChooseWatchers({}).empty());
   BOOST_TEST(ChooseWatchers(MakeFleet(1, 0, 2)).size() == 2U);
   BOOST_TEST(ChooseWatchers(MakeFleet(1, 0, 8)).size() == 3U);
@@ -59,17 +60,19 @@
   BOOST_TEST(ChooseFronts(MakeFleet(3, 0, 2), 30).size() == 6U);
 }
 
-// 86 hosts and 75 connections a target: spread over all hosts that is less than
-// one a host. The strong hosts of each domain take the callers.
-BOOST_AUTO_TEST_CASE(Fronts_LargeFleet_AreTheStrongOfEachDomain) {
+// With 86 hosts and 75 connections per target, all hosts together would get
+// less than one connection each. Only the strong hosts of each domain take
+// callers.
+BOOST_AUTO_TEST_CASE(Fronts_LargeFleet_AreTheStrongHostsOfEachDomain) {
   const auto fronts = ChooseFronts(MakeFleet(3, 2, 26), 75);
   BOOST_TEST(fronts.size() == 6U);
   BOOST_TEST(CountDomains(fronts) == 3U);
-  BOOST_TEST(std::ranges::all_of(
-      fronts, [](const HostRecord& host) { return host.strength == 500; }));
+  BOOST_TEST(std::ranges::all_of(fronts, [](const HostRecord& host) {
+    return host.cpu_millicores == 500;
+  }));
 }
 
-// The strong hosts are lost. Those that stood by take over, two in each domain.
+// The strong hosts are lost. Standby hosts take over, at least two per domain.
 BOOST_AUTO_TEST_CASE(Fronts_StrongHostsAreLost_OthersTakeOver) {
   const auto fronts = ChooseFronts(MakeFleet(3, 0, 26), 75);
   BOOST_TEST(fronts.size() >= 6U);
@@ -77,12 +80,12 @@
   BOOST_TEST(CountDomains(fronts) == 3U);
 }
 
-// Callers press and the fronts' processors are the bottleneck: more hosts take
-// callers, up to what the targets' connections allow.
+// Under load the processors of the fronts are the bottleneck. More hosts take
+// callers, up to the number that the connections of the targets allow.
 BOOST_AUTO_TEST_CASE(Fronts_AreBusy_MoreHostsTakeCallers) {
   std::vector<HostRecord> hosts = MakeFleet(3, 2, 26);
   for (HostRecord& host : hosts) {
-    host.busy = host.strength == 500;
+    host.busy = host.cpu_millicores == 500;
   }
   const auto more = ChooseFronts(hosts, 75);
   BOOST_TEST(more.size() > 6U);
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -1,4 +1,4 @@
-// Tests of what is believed of the store's entries, and when.
+// Tests of DiscoveryState: which entries of the store are applied, and when.
 #include "jacinthdeck/discovery/knowledge.h"
 
 #include <algorithm>
@@ -17,9 +17,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct KnowledgeFixture {
+struct DiscoveryStateFixture {
   platform::StoreCodec codec;
-  Knowledge knowledge{codec};
+  DiscoveryState discovery_state{codec};
   TimePoint now{seconds(100)};
   std::uint64_t revision = 10;
 
@@ -35,51 +35,55 @@
            R"(,"routes":[],"services":[]})";
   }
 
-  KnowledgeChange Change(const std::string& key,
+  DiscoveryChange Change(const std::string& key,
                          std::optional<std::string> value) {
     const StoreChange change{key, At(++revision), std::move(value)};
-    return knowledge.OnChanges({&change, 1}, now);
+    return discovery_state.OnChanges({&change, 1}, now);
   }
 
-  KnowledgeChange Read(const std::vector<StoreChange>& items,
-                       const StorePosition& position) {
-    return knowledge.OnReading(items, position, now);
+  DiscoveryChange ReadAll(const std::vector<StoreChange>& items,
+                          const StorePosition& position) {
+    return discovery_state.OnFullRead(items, position, now);
   }
 
-  //! Takes a reading of an era without evacuations, and an evacuation.
-  void EvacuateAfterTheCopy() {
-    (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+  //! Applies a full read without evacuations, which is what a backup would
+  //! hold, and then an evacuation.
+  void EvacuateAfterBackup() {
+    (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
     (void)Change("op/evacuate/z", "{}");
   }
 
-  //! Number of targets that may get work.
-  [[nodiscard]] std::size_t InUse() const {
-    const std::vector<TargetEntry> all = knowledge.Targets();
+  //! Returns the number of targets that may get requests.
+  [[nodiscard]] std::size_t UsableTargets() const {
+    const std::vector<TargetEntry> all = discovery_state.Targets();
     return static_cast<std::size_t>(
         std::ranges::count_if(all, &TargetEntry::AcceptsRequests));
   }
 
-  [[nodiscard]] std::size_t targets() const { return knowledge.target_count(); }
+  [[nodiscard]] std::size_t targets() const {
+    return discovery_state.target_count();
+  }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(KnowledgeTest, KnowledgeFixture)
+BOOST_FIXTURE_TEST_SUITE(DiscoveryStateTest, DiscoveryStateFixture)
 
-BOOST_AUTO_TEST_CASE(Target_IsRemovedWhileTheStoreIsWell_IsGoneAtOnce) {
+BOOST_AUTO_TEST_CASE(Target_IsRemovedWhileStoreIsAvailable_IsRemovedAtOnce) {
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(targets() == 1U);
   BOOST_TEST(Change("servers/a", std::nullopt).targets);
   BOOST_TEST(targets() == 0U);
 }
 
-// The store was away, and the leases of all targets ran out meanwhile. Their
-// removals arrive with its return, although the targets live and are about to
-// register again. Callers would be refused if the removals were believed.
-BOOST_AUTO_TEST_CASE(Target_LapsedDuringAnOutage_StaysUntilItHadTimeToReturn) {
+// Guards against callers that are refused after an outage: the leases of all
+// targets expired while the store was unavailable, and their removals arrive
+// once it is back, although the targets are alive and about to register again.
+BOOST_AUTO_TEST_CASE(
+    Target_LeaseExpiredDuringOutage_StaysUntilReregistrationTimeEnds) {
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   now += seconds(5);
   (void)Change("servers/a", std::nullopt);
   (void)Change("servers/b", std::nullopt);
@@ -87,22 +91,23 @@
   now += milliseconds(1500);
   (void)Change("servers/a", Server("ready"));
   now += milliseconds(1500);
-  BOOST_TEST(knowledge.OnTimer(now).targets);
+  BOOST_TEST(discovery_state.OnTimer(now).targets);
   BOOST_TEST(targets() == 1U);
 }
 
-// A target that said it was leaving has left, whatever the store went through.
-BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenItLapsed_IsGoneAtOnce) {
+// Guards against requests to a target that announced its leaving, with
+// draining, and whose removal is delayed like that of an expired lease.
+BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenLeaseExpired_IsRemovedAtOnce) {
   (void)Change("servers/a", Server("draining"));
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   now += seconds(5);
   (void)Change("servers/a", std::nullopt);
   BOOST_TEST(targets() == 0U);
 }
 
-// An entry comes from another writer: it cannot be read, or lacks a field. It
-// names no target, and the others hold.
-BOOST_AUTO_TEST_CASE(Target_EntryIsUnreadable_OthersHold) {
+// Guards against a foreign entry that cannot be decoded, or lacks a field, and
+// affects other targets.
+BOOST_AUTO_TEST_CASE(Target_EntryIsUnreadable_OtherTargetsStay) {
   (void)Change("servers/a", Server("ready"));
   for (const std::string& value :
        {std::string("\xff\x00", 2), std::string("{}"), std::string("[]"),
@@ -112,40 +117,41 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Target_BornStandsInTheEntry_TellsLivesApart) {
+BOOST_AUTO_TEST_CASE(Target_EntryHasBornField_StartTimeIsRead) {
   (void)Change("servers/a", Server("ready", R"(,"born":1700000000000)"));
-  BOOST_TEST(knowledge.Targets().front().started_ms == 1700000000000U);
+  BOOST_TEST(discovery_state.Targets().front().started_ms == 1700000000000U);
 }
 
-// History is lost, and everything is read again. What the reading does not name
-// has gone meanwhile.
-BOOST_AUTO_TEST_CASE(Reading_NamesATargetNoMore_TargetIsGone) {
+// Guards against targets that stay although they were removed while the history
+// was compacted: the full read that follows does not list them.
+BOOST_AUTO_TEST_CASE(FullRead_LacksATarget_TargetIsRemoved) {
   (void)Change("servers/a", Server("ready"));
   (void)Change("servers/b", Server("ready"));
   const std::vector<StoreChange> items{{"servers/b", At(12), Server("ready")}};
-  BOOST_TEST(knowledge.OnReading(items, At(40), now).targets);
+  BOOST_TEST(discovery_state.OnFullRead(items, At(40), now).targets);
   BOOST_REQUIRE_EQUAL(targets(), 1U);
-  BOOST_TEST(knowledge.Targets().front().id == TargetId("b"));
+  BOOST_TEST(discovery_state.Targets().front().id == TargetId("b"));
 }
 
-// A reading may be older than a change that a watch brought before.
-BOOST_AUTO_TEST_CASE(Reading_IsOlderThanAKnownChange_ChangeStays) {
+// Guards against a full read that is older than a change of a watch and undoes
+// it.
+BOOST_AUTO_TEST_CASE(FullRead_IsOlderThanAKnownChange_ChangeStays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
-  (void)knowledge.OnReading({}, At(40), now);
+  (void)discovery_state.OnFullRead({}, At(40), now);
   BOOST_TEST(targets() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(Config_OlderVersionArrives_IsNotTaken) {
   BOOST_TEST(Change("op/config", Config(7)).config);
   BOOST_TEST(!Change("op/config", Config(5)).config);
-  BOOST_TEST(knowledge.config()->version() == 7U);
+  BOOST_TEST(discovery_state.config()->version() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(Config_IsUnreadable_FormerOneStays) {
   (void)Change("op/config", Config(7));
   BOOST_TEST(Change("op/config", "{").unreadable.size() == 1U);
-  BOOST_TEST(knowledge.config()->version() == 7U);
+  BOOST_TEST(discovery_state.config()->version() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(Host_RegistersAndLeaves_IsKnownAndForgotten) {
@@ -155,265 +161,273 @@
                         true,          5,
                         HostId("h2")};
   (void)Change(codec.HostKey(host.name), codec.WriteHost(host));
-  BOOST_REQUIRE(knowledge.FindHost(HostId("h1")) != nullptr);
-  BOOST_TEST((*knowledge.FindHost(HostId("h1")) == host));
+  BOOST_REQUIRE(discovery_state.FindHost(HostId("h1")) != nullptr);
+  BOOST_TEST((*discovery_state.FindHost(HostId("h1")) == host));
   (void)Change(codec.HostKey(host.name), std::nullopt);
-  BOOST_TEST((knowledge.FindHost(HostId("h1")) == nullptr));
+  BOOST_TEST((discovery_state.FindHost(HostId("h1")) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsTold) {
+BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsReported) {
   const Fingerprint fingerprint(0xabcdef0123456789U);
-  const KnowledgeChange change =
+  const DiscoveryChange change =
       Change(codec.ConvictionKey(fingerprint), std::string("1"));
   BOOST_REQUIRE_EQUAL(change.convictions.size(), 1U);
   BOOST_TEST(change.convictions.front() == fingerprint);
 }
 
 // Guards against requests to the targets of an evacuated domain.
-BOOST_AUTO_TEST_CASE(Evacuation_IsOrdered_TargetsOfThatDomainAreMarked) {
+BOOST_AUTO_TEST_CASE(Evacuation_IsWritten_TargetsOfThatDomainAreMarked) {
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(Change("op/evacuate/elsewhere", "{}").unreadable.empty());
-  BOOST_TEST(InUse() == 1U);
-  const KnowledgeChange change = Change("op/evacuate/z", "{}");
+  BOOST_TEST(UsableTargets() == 1U);
+  const DiscoveryChange change = Change("op/evacuate/z", "{}");
   BOOST_TEST(change.evacuations);
   BOOST_TEST(change.targets);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   BOOST_TEST(targets() == 1U);
   (void)Change("servers/b", Server("ready"));
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(UsableTargets() == 0U);
   BOOST_TEST(Change("op/evacuate/z", std::nullopt).targets);
-  BOOST_TEST(InUse() == 2U);
-  BOOST_TEST(knowledge.Evacuations().size() == 1U);
+  BOOST_TEST(UsableTargets() == 2U);
+  BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
-// Guards against an order that is held back like a lapsed lease.
-BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_BothOrdersCountAtOnce) {
+// Guards against an evacuation that is delayed like the removal of an expired
+// lease.
+BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_StartAndEndApplyAtOnce) {
   (void)Change("servers/a", Server("ready"));
-  knowledge.OnStoreAway();
+  discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", "{}");
-  BOOST_TEST(InUse() == 0U);
-  knowledge.OnStoreAway();
+  BOOST_TEST(UsableTargets() == 0U);
+  discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", std::nullopt);
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
-// Guards against an evacuation that ends by a reading older than it.
-BOOST_AUTO_TEST_CASE(Evacuation_OlderReadingLacksIt_Holds) {
+// Guards against an evacuation that is ended by a full read older than it.
+BOOST_AUTO_TEST_CASE(Evacuation_OlderFullReadLacksIt_Stays) {
   revision = 50;
   (void)Change("servers/a", Server("ready"));
   (void)Change("op/evacuate/z", "{}");
-  (void)knowledge.OnReading({}, At(40), now);
-  BOOST_TEST(InUse() == 0U);
+  (void)discovery_state.OnFullRead({}, At(40), now);
+  BOOST_TEST(UsableTargets() == 0U);
   const std::vector<StoreChange> items{{"servers/a", At(51), Server("ready")}};
-  BOOST_TEST(knowledge.OnReading(items, At(60), now).evacuations);
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(discovery_state.OnFullRead(items, At(60), now).evacuations);
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
-// Guards against an order that is lost for its value, and against one that
-// names no domain and hides others.
-BOOST_AUTO_TEST_CASE(Evacuation_ValueOrKeyIsOdd_DomainHoldsAndOddKeyIsTold) {
+// Guards against an evacuation that is lost because of its value, and against
+// one without a valid domain that affects others.
+BOOST_AUTO_TEST_CASE(
+    Evacuation_ValueOrKeyIsInvalid_ValueIsIgnoredAndKeyIsReported) {
   (void)Change("servers/a", Server("ready"));
   BOOST_TEST(Change("op/evacuate/z", std::string("\xff\x00", 2)).evacuations);
   for (const std::string& key :
        {std::string("op/evacuate/"), "op/evacuate/" + std::string(180, 'z')}) {
     BOOST_TEST(Change(key, "{}").unreadable.size() == 1U);
   }
-  BOOST_TEST(knowledge.Evacuations().size() == 1U);
-  BOOST_TEST(InUse() == 0U);
+  BOOST_TEST(discovery_state.Evacuations().size() == 1U);
+  BOOST_TEST(UsableTargets() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(Evacuation_IsWrittenAgain_SinceWhenStays) {
+BOOST_AUTO_TEST_CASE(Evacuation_IsWrittenAgain_StartTimeStays) {
   (void)Change("op/evacuate/z", "{}");
   const TimePoint first = now;
   now += seconds(3);
   BOOST_TEST(!Change("op/evacuate/z", "{}").evacuations);
-  BOOST_TEST((knowledge.Evacuations().front().since == first));
+  BOOST_TEST((discovery_state.Evacuations().front().since == first));
 }
 
-BOOST_AUTO_TEST_CASE(Target_TellsItsColdTime_IsColdForThatLong) {
+BOOST_AUTO_TEST_CASE(Target_ReportsColdTime_IsColdForThatLong) {
   (void)Change("servers/a", Server("ready", R"(,"coldRemainingMs":1500)"));
-  const TargetEntry entry = knowledge.Targets().front();
+  const TargetEntry entry = discovery_state.Targets().front();
   BOOST_TEST(entry.IsCold(now + milliseconds(1499)));
   BOOST_TEST(!entry.IsCold(now + milliseconds(1500)));
 }
 
-// Guards against a cold time that starts anew with each reading.
-BOOST_AUTO_TEST_CASE(Target_IsReadAgainWhileCold_ColdTimeGoesOn) {
+// Guards against a cold time that restarts with each full read.
+BOOST_AUTO_TEST_CASE(Target_IsReadAgainWhileCold_ColdTimeDoesNotRestart) {
   const std::string cold = Server("ready", R"(,"coldRemainingMs":1500)");
   (void)Change("servers/a", cold);
   const std::vector<StoreChange> items{{"servers/a", At(revision), cold}};
   const TimePoint warm = now + milliseconds(1500);
   now += milliseconds(1000);
-  (void)knowledge.OnReading(items, At(revision), now);
-  BOOST_TEST((knowledge.Targets().front().cold_until == warm));
+  (void)discovery_state.OnFullRead(items, At(revision), now);
+  BOOST_TEST((discovery_state.Targets().front().cold_until == warm));
 }
 
-// Guards against a crash by an entry with the revision of no write.
-BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsTaken) {
+// Guards against a crash on an entry with revision 0, which no write has.
+BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsApplied) {
   const StoreChange change{"servers/a", At(0), Server("ready")};
-  (void)knowledge.OnChanges({&change, 1}, now);
+  (void)discovery_state.OnChanges({&change, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
-// Guards against a target that is lost, or avoided for a day, for a cold time
-// that makes no sense.
-BOOST_AUTO_TEST_CASE(Target_ColdTimeMakesNoSense_IsToldAndUsedAsWarm) {
+// Guards against a target that is lost, or avoided for a day, because of an
+// invalid cold time.
+BOOST_AUTO_TEST_CASE(Target_ColdTimeIsInvalid_IsReportedAndTargetIsWarm) {
   for (const std::string value : {"-5", "\"soon\"", "86400000", "1e400"}) {
-    const KnowledgeChange change =
+    const DiscoveryChange change =
         Change("servers/a", Server("ready", ",\"coldRemainingMs\":" + value));
     BOOST_TEST(change.unreadable.size() == 1U);
     if (value != "1e400") {
       BOOST_REQUIRE_EQUAL(targets(), 1U);
-      BOOST_TEST(!knowledge.Targets().front().IsCold(now));
+      BOOST_TEST(!discovery_state.Targets().front().IsCold(now));
     }
   }
 }
 
-// Guards against a confirmed configuration that is taken back by an older copy
-// of the store, here and at hosts that start now.
-BOOST_AUTO_TEST_CASE(Restore_CopyHasAnOlderConfiguration_NewestStaysInForce) {
-  (void)Read({{"op/config", At(5), Config(4)}}, At(10));
+// Guards against a confirmed configuration that is reverted by an older backup
+// of the store, here and on hosts that start now.
+BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderConfiguration_NewestStaysInForce) {
+  (void)ReadAll({{"op/config", At(5), Config(4)}}, At(10));
   (void)Change("op/config", Config(7));
-  BOOST_TEST(!Read({{"op/config", At(5, 2), Config(4)}}, At(8, 2)).config);
-  BOOST_TEST(knowledge.config()->version() == 7U);
-  const auto carried = knowledge.CarriedConfig();
+  BOOST_TEST(!ReadAll({{"op/config", At(5, 2), Config(4)}}, At(8, 2)).config);
+  BOOST_TEST(discovery_state.config()->version() == 7U);
+  const auto carried = discovery_state.CarriedOverConfig();
   BOOST_REQUIRE(carried.has_value());
-  Knowledge starting(codec);
-  (void)starting.OnReading(
+  DiscoveryState starting(codec);
+  (void)starting.OnFullRead(
       std::vector<StoreChange>{{"op/config", At(5, 2), Config(4)}}, At(8, 2),
       now);
-  BOOST_TEST(starting.OnCarried({&*carried, 1}).config);
+  BOOST_TEST(starting.OnCarriedOver({&*carried, 1}).config);
   BOOST_TEST(starting.config()->version() == 7U);
-  BOOST_TEST(starting.CarriedConfig().has_value());
+  BOOST_TEST(starting.CarriedOverConfig().has_value());
   const StoreChange again{"op/config", At(9, 2), Config(7)};
-  (void)knowledge.OnChanges({&again, 1}, now);
-  BOOST_TEST(!knowledge.CarriedConfig().has_value());
+  (void)discovery_state.OnChanges({&again, 1}, now);
+  BOOST_TEST(!discovery_state.CarriedOverConfig().has_value());
 }
 
-// Guards against refusals for want of targets that live: they registered after
-// the copy was made.
-BOOST_AUTO_TEST_CASE(Restore_TargetIsNotInTheCopy_StaysUntilItCouldReturn) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+// Guards against refused requests because live targets are missing: they
+// registered after the backup was taken.
+BOOST_AUTO_TEST_CASE(
+    Restore_BackupLacksATarget_TargetStaysUntilReregistrationTimeEnds) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/b", Server("ready"));
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 2U);
-  now += RemovalHold::kReturnTime;
-  (void)knowledge.OnTimer(now);
+  now += RemovalHold::kReregistrationTime;
+  (void)discovery_state.OnTimer(now);
   BOOST_TEST(targets() == 1U);
 }
 
 // Guards against requests to an address that has a new owner: its target left
-// after the copy was made.
-BOOST_AUTO_TEST_CASE(Restore_TargetThatLeftIsInTheCopy_IsNotUsed) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+// after the backup was taken.
+BOOST_AUTO_TEST_CASE(Restore_BackupHasARemovedTarget_IsNotUsed) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
   BOOST_TEST(targets() == 0U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 0U);
   now += seconds(2);
   const StoreChange gone{"servers/a", At(9, 2), std::nullopt};
-  (void)knowledge.OnChanges({&gone, 1}, now);
+  (void)discovery_state.OnChanges({&gone, 1}, now);
   now += seconds(60);
-  (void)knowledge.OnTimer(now);
+  (void)discovery_state.OnTimer(now);
   BOOST_TEST(targets() == 0U);
 }
 
-// Guards against a live target that is never used again, as a copy was doubted.
-BOOST_AUTO_TEST_CASE(Restore_TargetThatLeftStaysInTheStore_IsUsedInTheEnd) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+// Guards against a live target that is never used again because its restored
+// entry was held back.
+BOOST_AUTO_TEST_CASE(
+    Restore_RemovedTargetStaysInTheStore_IsUsedAfterTheHoldTime) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   now += seconds(5);
-  BOOST_TEST((knowledge.NextTimer() <= now));
-  BOOST_TEST(knowledge.OnTimer(now).targets);
+  BOOST_TEST((discovery_state.NextTimer() <= now));
+  BOOST_TEST(discovery_state.OnTimer(now).targets);
   BOOST_TEST(targets() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Restore_TargetThatLeftIsWrittenAgain_IsUsedAtOnce) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+BOOST_AUTO_TEST_CASE(Restore_RemovedTargetIsWrittenAgain_IsUsedAtOnce) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   const StoreChange back{"servers/a", At(9, 2), Server("ready")};
-  (void)knowledge.OnChanges({&back, 1}, now);
+  (void)discovery_state.OnChanges({&back, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
-// Guards against requests to a leaving target that the copy gives as ready.
-BOOST_AUTO_TEST_CASE(Restore_TargetWasLeaving_StillIs) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+// Guards against requests to a draining target that is ready in the backup.
+BOOST_AUTO_TEST_CASE(Restore_TargetWasDraining_StaysDraining) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", Server("draining"));
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
-  BOOST_TEST(InUse() == 0U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(9, 2));
-  BOOST_TEST(InUse() == 0U);
-}
-
-// Guards against requests to an evacuated domain whose order the copy lacks.
-BOOST_AUTO_TEST_CASE(Restore_EvacuationIsNotInTheCopy_StaysForSomeSeconds) {
-  EvacuateAfterTheCopy();
-  BOOST_TEST(InUse() == 0U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
-  BOOST_TEST(InUse() == 0U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  BOOST_TEST(UsableTargets() == 0U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(9, 2));
+  BOOST_TEST(UsableTargets() == 0U);
+}
+
+// Guards against requests to an evacuated domain whose evacuation the backup
+// lacks.
+BOOST_AUTO_TEST_CASE(Restore_BackupLacksAnEvacuation_StaysForTheRewriteTime) {
+  EvacuateAfterBackup();
+  BOOST_TEST(UsableTargets() == 0U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  BOOST_TEST(UsableTargets() == 0U);
   now += seconds(5);
-  (void)knowledge.OnTimer(now);
-  BOOST_TEST(InUse() == 0U);
+  (void)discovery_state.OnTimer(now);
+  BOOST_TEST(UsableTargets() == 0U);
   now += seconds(5);
-  BOOST_TEST(knowledge.OnTimer(now).evacuations);
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(discovery_state.OnTimer(now).evacuations);
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(Restore_EvacuationIsWrittenAgain_Stays) {
-  EvacuateAfterTheCopy();
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  EvacuateAfterBackup();
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   const StoreChange again{"op/evacuate/z", At(9, 2), "{}"};
-  (void)knowledge.OnChanges({&again, 1}, now);
+  (void)discovery_state.OnChanges({&again, 1}, now);
   now += seconds(20);
-  (void)knowledge.OnTimer(now);
-  BOOST_TEST(InUse() == 0U);
+  (void)discovery_state.OnTimer(now);
+  BOOST_TEST(UsableTargets() == 0U);
 }
 
-// Guards against a domain that stays without work after its evacuation ended.
-BOOST_AUTO_TEST_CASE(Restore_EvacuationThatEndedIsInTheCopy_IsPutOff) {
+// Guards against a domain that gets no requests after its evacuation ended.
+BOOST_AUTO_TEST_CASE(Restore_BackupHasAnEndedEvacuation_IsHeldBack) {
   const StoreChange target{"servers/a", At(5), Server("ready")};
-  (void)Read({target, {"op/evacuate/z", At(6), "{}"}}, At(10));
+  (void)ReadAll({target, {"op/evacuate/z", At(6), "{}"}}, At(10));
   (void)Change("op/evacuate/z", std::nullopt);
-  BOOST_TEST(InUse() == 1U);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")},
-              {"op/evacuate/z", At(6, 2), "{}"}},
-             At(8, 2));
-  BOOST_TEST(InUse() == 1U);
+  BOOST_TEST(UsableTargets() == 1U);
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")},
+                 {"op/evacuate/z", At(6, 2), "{}"}},
+                At(8, 2));
+  BOOST_TEST(UsableTargets() == 1U);
 }
 
-// Guards against a typed schema that goes back to the copy's at once.
-BOOST_AUTO_TEST_CASE(Restore_CopyHasAnOlderSchema_IsPutOff) {
-  (void)Read({{"jacinthdeck/schema", At(5), "old"}}, At(10));
+// Guards against a typed schema that reverts to that of the backup at once.
+BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderSchema_IsHeldBack) {
+  (void)ReadAll({{"jacinthdeck/schema", At(5), "old"}}, At(10));
   (void)Change("jacinthdeck/schema", "new");
-  (void)Read({{"jacinthdeck/schema", At(5, 2), "old"}}, At(8, 2));
-  BOOST_TEST(knowledge.schema() == "new");
+  (void)ReadAll({{"jacinthdeck/schema", At(5, 2), "old"}}, At(8, 2));
+  BOOST_TEST(discovery_state.schema() == "new");
   now += seconds(9);
-  (void)knowledge.OnTimer(now);
-  BOOST_TEST(knowledge.schema() == "old");
+  (void)discovery_state.OnTimer(now);
+  BOOST_TEST(discovery_state.schema() == "old");
 }
 
-// Guards against a store that names its era only from its first restore on.
-BOOST_AUTO_TEST_CASE(Restore_EraBeforeWasNotNamed_IsARestoreAllTheSame) {
-  (void)Read({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
+// Guards against a restore that goes unnoticed because the store names its era
+// only from its first restore on.
+BOOST_AUTO_TEST_CASE(Restore_EarlierEraWasUnnamed_IsTreatedAsARestore) {
+  (void)ReadAll({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
   const StoreChange gone{"servers/a", At(11, 0), std::nullopt};
-  (void)knowledge.OnChanges({&gone, 1}, now);
+  (void)discovery_state.OnChanges({&gone, 1}, now);
   const StoreChange order{"op/evacuate/z", At(12, 0), "{}"};
-  (void)knowledge.OnChanges({&order, 1}, now);
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(8));
+  (void)discovery_state.OnChanges({&order, 1}, now);
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(8));
   BOOST_TEST(targets() == 0U);
-  BOOST_TEST(knowledge.Evacuations().size() == 1U);
+  BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
 
-// Guards against what the first copy left in doubt after a second restore.
-BOOST_AUTO_TEST_CASE(Restore_TwiceWithinSeconds_TargetThatLeftIsNotUsed) {
-  (void)Read({{"servers/a", At(5), Server("ready")}}, At(10));
+// Guards against entries that were held back after a first restore and are used
+// after a second one.
+BOOST_AUTO_TEST_CASE(Restore_TwiceWithinSeconds_RemovedTargetIsNotUsed) {
+  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)Read({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
   now += seconds(1);
-  (void)Read({{"servers/a", At(5, 3), Server("ready")}}, At(6, 3));
+  (void)ReadAll({{"servers/a", At(5, 3), Server("ready")}}, At(6, 3));
   BOOST_TEST(targets() == 0U);
 }
 
--- a/test/jacinthdeck/discovery/store_content_test.cc
+++ b/test/jacinthdeck/discovery/store_content_test.cc
@@ -1,4 +1,4 @@
-// Tests of content that arrives in any order.
+// Tests of StoreContent with changes and full content in any order.
 #include "jacinthdeck/discovery/store_content.h"
 
 #include <boost/test/unit_test.hpp>
@@ -9,9 +9,9 @@
 
 BOOST_AUTO_TEST_SUITE(StoreContentTest)
 
-// A target leaves; a feeder that lags hands its old entry on. It must not come
-// back, or requests go to an address that may have a new owner.
-BOOST_AUTO_TEST_CASE(Apply_OldWordAfterARemoval_IsNoNews) {
+// Guards against requests to an address that may have a new owner: a target
+// left, and a lagging feeder still sends its old entry.
+BOOST_AUTO_TEST_CASE(Apply_OlderChangeAfterARemoval_IsIgnored) {
   StoreContent content;
   (void)content.Apply(std::vector<StoreChange>{{"a", At(5), "1"}});
   (void)content.Apply(std::vector<StoreChange>{{"a", At(9), std::nullopt}});
@@ -35,7 +35,7 @@
   BOOST_TEST(items[1].key == "b");
 }
 
-BOOST_AUTO_TEST_CASE(Replace_NamesWhatWasRemovedLater_IsLeftOut) {
+BOOST_AUTO_TEST_CASE(Replace_ListsAKeyRemovedLater_IsLeftOut) {
   StoreContent content;
   (void)content.Apply(std::vector<StoreChange>{{"a", At(5), "1"}});
   (void)content.Apply(std::vector<StoreChange>{{"a", At(9), std::nullopt}});
@@ -43,9 +43,9 @@
                  .empty());
 }
 
-// A follower goes over to another feeder and says up to which revision it knows
-// all. It gets what was written and removed since, not the whole content.
-BOOST_AUTO_TEST_CASE(Since_AfterAReading_GivesWritesAndRemovals) {
+// A follower changes to another feeder and sends the position up to which it
+// knows all changes. It gets the writes and removals since, not full content.
+BOOST_AUTO_TEST_CASE(ChangesSince_AfterAFullRead_ReturnsWritesAndRemovals) {
   StoreContent content;
   (void)content.Replace(
       std::vector<StoreChange>{
@@ -53,55 +53,56 @@
       At(10));
   (void)content.Apply(std::vector<StoreChange>{{"b", At(11), std::nullopt},
                                                {"c", At(12), "1"}});
-  const auto changes = content.Since(At(10));
+  const auto changes = content.ChangesSince(At(10));
   BOOST_REQUIRE(changes.has_value());
   BOOST_REQUIRE_EQUAL(changes->size(), 2U);
   BOOST_TEST(changes->at(0).key == "b");
   BOOST_TEST(!changes->at(0).value.has_value());
   BOOST_TEST(changes->at(1).key == "c");
-  BOOST_TEST(content.Since(At(12))->empty());
+  BOOST_TEST(content.ChangesSince(At(12))->empty());
 }
 
-// What was removed before this host's first reading it cannot know; a follower
-// that is older than that needs the whole content.
-BOOST_AUTO_TEST_CASE(Since_BeforeTheFirstReading_GivesNothing) {
+// This host cannot know what was removed before its first full read, so a
+// follower with an older position needs full content.
+BOOST_AUTO_TEST_CASE(ChangesSince_BeforeTheFirstFullRead_ReturnsNothing) {
   StoreContent content;
-  BOOST_TEST(!content.Since(At(0)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(0)).has_value());
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3), "0"}}, At(10));
-  BOOST_TEST(!content.Since(At(9)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(9)).has_value());
 }
 
-// The store forgot its history and was read anew. A key that went in between is
-// told as removed to those that know only the first reading.
-BOOST_AUTO_TEST_CASE(Since_OverASecondReading_TellsWhatWentBetween) {
+// The store compacted its history and was read again. A key that disappeared
+// between the two full reads is reported as removed since the first one.
+BOOST_AUTO_TEST_CASE(
+    ChangesSince_AcrossASecondFullRead_ReturnsRemovalsInBetween) {
   StoreContent content;
   (void)content.Replace(
       std::vector<StoreChange>{{"a", At(3), "0"}, {"b", At(4), "0"}}, At(10));
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3), "0"}}, At(20));
-  const auto changes = content.Since(At(10));
+  const auto changes = content.ChangesSince(At(10));
   BOOST_REQUIRE(changes.has_value());
   BOOST_REQUIRE_EQUAL(changes->size(), 1U);
   BOOST_TEST(changes->front().key == "b");
   BOOST_TEST(!changes->front().value.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Since_TooManyRemovals_OldestAreNoLongerKnown) {
+BOOST_AUTO_TEST_CASE(ChangesSince_TooManyRemovals_OldestAreForgotten) {
   StoreContent content;
   (void)content.Replace({}, At(1));
   std::uint64_t revision = 1;
-  for (std::size_t i = 0; i <= StoreContent::kMostRemovals; ++i) {
+  for (std::size_t i = 0; i <= StoreContent::kMaxRemovals; ++i) {
     const std::string key = "k" + std::to_string(i);
     (void)content.Apply(std::vector<StoreChange>{{key, At(++revision), "0"}});
     (void)content.Apply(
         std::vector<StoreChange>{{key, At(++revision), std::nullopt}});
   }
-  BOOST_TEST(!content.Since(At(1)).has_value());
-  BOOST_TEST(content.Since(At(3)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(1)).has_value());
+  BOOST_TEST(content.ChangesSince(At(3)).has_value());
 }
 
-// Guards against news that is dropped, as a restored store gave its revision
-// out before.
-BOOST_AUTO_TEST_CASE(Replace_NewerEraAtALowerRevision_TakesThePlaceOfAll) {
+// Guards against new content that is ignored because a restored store has used
+// its revision before.
+BOOST_AUTO_TEST_CASE(Replace_NewerEraAtALowerRevision_ReplacesAllKeys) {
   StoreContent content;
   (void)content.Replace(
       std::vector<StoreChange>{{"a", At(80), "1"}, {"b", At(81), "1"}}, At(83));
@@ -113,8 +114,8 @@
   BOOST_TEST(items[0].value.value() == "2");
 }
 
-// Guards against contents of two eras that are mixed key by key.
-BOOST_AUTO_TEST_CASE(Apply_WordOfAnEndedEra_IsNoNews) {
+// Guards against a mix of entries of two eras.
+BOOST_AUTO_TEST_CASE(Apply_ChangeOfAnEndedEra_IsIgnored) {
   StoreContent content;
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3, 2), "2"}},
                         At(4, 2));
@@ -124,12 +125,12 @@
 }
 
 // Guards against a follower that gets changes after a revision of another era.
-BOOST_AUTO_TEST_CASE(Since_PositionOfAnotherEra_IsNothing) {
+BOOST_AUTO_TEST_CASE(ChangesSince_PositionOfAnotherEra_ReturnsNothing) {
   StoreContent content;
   (void)content.Replace(std::vector<StoreChange>{{"a", At(3, 2), "2"}},
                         At(4, 2));
-  BOOST_TEST(!content.Since(At(83, 1)).has_value());
-  BOOST_TEST(content.Since(At(4, 2)).has_value());
+  BOOST_TEST(!content.ChangesSince(At(83, 1)).has_value());
+  BOOST_TEST(content.ChangesSince(At(4, 2)).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -1,5 +1,5 @@
-// Tests of the store's client against the stand-in store, with real sockets and
-// short waits: what is asserted never depends on how fast something was.
+// Tests of StoreSession against the stand-in store, with real sockets and short
+// waits. No assertion depends on timing.
 #include "jacinthdeck/discovery/store_session.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 using std::chrono::seconds;
 
-struct HandedOn {
+struct ContentEvent {
   std::vector<StoreChange> changes;
   StorePosition position;
   bool whole = false;
@@ -41,7 +41,7 @@
   return host;
 }
 
-struct SessionFixture : KnowledgeObserver {
+struct SessionFixture : DiscoveryObserver {
   BoottimeClock clock;
   standins::StoreServer store{0, clock, {}, 1};
   platform::StoreCodec codec;
@@ -51,23 +51,23 @@
   int lost = 0;
   int regained = 0;
   int restored = 0;
-  std::vector<HandedOn> handed_on;
-  std::vector<StoreReading> readings;
+  std::vector<ContentEvent> content_events;
+  std::vector<FullRead> full_reads;
 
-  void OnKnowledge(const KnowledgeChange& /*change*/,
-                   const StorePosition& /*position*/) override {}
+  void OnDiscoveryChange(const DiscoveryChange& /*change*/,
+                         const StorePosition& /*position*/) override {}
   void OnContent(const std::vector<StoreChange>& changes,
                  const StorePosition& position,
                  bool whole) override {
-    handed_on.push_back({changes, position, whole});
+    content_events.push_back({changes, position, whole});
   }
   void OnStoreRestored(StoreEra /*before*/,
                        StoreEra /*era*/,
                        const StorePosition& /*known*/) override {
     ++restored;
   }
-  void OnStoreRead(const StoreReading& reading) override {
-    readings.push_back(reading);
+  void OnStoreRead(const FullRead& reading) override {
+    full_reads.push_back(reading);
   }
   void OnStoreLost(StoreStatus /*status*/,
                    const std::string& /*problem*/) override {
@@ -106,19 +106,20 @@
   }
 
   [[nodiscard]] std::uint64_t ConfigVersion() const {
-    const auto& config = session.knowledge().config();
+    const auto& config = session.discovery_state().config();
     return config == nullptr ? 0 : config->version();
   }
 
-  [[nodiscard]] bool HandedOnConfig(int version) const {
+  [[nodiscard]] bool PublishedConfig(int version) const {
     const std::string text = "\"version\":" + std::to_string(version) + ",";
-    return std::ranges::any_of(handed_on, [&](const HandedOn& content) {
-      return std::ranges::any_of(
-          content.changes, [&](const StoreChange& change) {
-            return change.key == "op/config" && change.value &&
-                   change.value->find(text) != std::string::npos;
-          });
-    });
+    return std::ranges::any_of(
+        content_events, [&](const ContentEvent& content) {
+          return std::ranges::any_of(
+              content.changes, [&](const StoreChange& change) {
+                return change.key == "op/config" && change.value &&
+                       change.value->find(text) != std::string::npos;
+              });
+        });
   }
 
   void SetOutage(standins::Outage outage) {
@@ -128,7 +129,7 @@
   }
 
   [[nodiscard]] std::size_t targets() const {
-    return session.knowledge().target_count();
+    return session.discovery_state().target_count();
   }
 };
 
@@ -136,23 +137,24 @@
 
 BOOST_FIXTURE_TEST_SUITE(StoreSessionTest, SessionFixture)
 
-// Callers of another host are refused, as it knows a third of the targets. This
-// host followed a fresh feeder, then a stale one, and handed the stale content
-// on under its own newer revision; whoever learned from it took the targets in
-// between for removed, and later words on them for old.
-BOOST_AUTO_TEST_CASE(Content_OfAnOlderReading_IsHandedOnWithAllThatIsKnown) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
-  session.TakeContent({Target("b", 6)}, At(6), false);
-  session.TakeContent({Target("a", 5), Target("c", 3)}, At(5), true);
-  const HandedOn& last = handed_on.back();
+// Guards against refused callers on a host that knew a third of the targets:
+// the host that it followed had followed a current feeder, then a lagging one,
+// and sent the old content under its own newer position. Its followers took the
+// targets in between for removed and ignored later changes of them as outdated.
+BOOST_AUTO_TEST_CASE(Content_OfAnOlderFullRead_IsPublishedWithAllKnownKeys) {
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("b", 6)}, At(6), false);
+  session.ApplyPeerContent({Target("a", 5), Target("c", 3)}, At(5), true);
+  const ContentEvent& last = content_events.back();
   BOOST_TEST(last.whole);
   BOOST_TEST(last.position == At(6));
   BOOST_TEST(last.changes.size() == 3U);
 }
 
-// The store forgets its history, and the host reads all again. Meanwhile it
-// finds a fresh host to follow and stops reading; changes from there count.
-BOOST_AUTO_TEST_CASE(Watch_StopsInTheMiddleOfAReading_TakesHandedOnChanges) {
+// The store compacts its history, and the host starts a full read. Meanwhile it
+// finds a current host to follow and stops reading. The changes that this host
+// sends must be applied.
+BOOST_AUTO_TEST_CASE(Watch_StopsDuringAFullRead_PeerChangesAreApplied) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -167,21 +169,21 @@
   Until([&] { return session.counters().reads > reads; });
   session.SetWatching(false);
   const std::size_t before = targets();
-  session.TakeContent({Target("z", 1000)}, At(1000), false);
+  session.ApplyPeerContent({Target("z", 1000)}, At(1000), false);
   BOOST_TEST(targets() == before + 1);
 }
 
-// Two hosts follow each other. A reading that tells nothing new must end at the
-// one that has it: handed on, it would go to and fro for ever.
-BOOST_AUTO_TEST_CASE(Content_ReadingWithoutNews_IsNotHandedOn) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
-  BOOST_TEST(handed_on.size() == 1U);
-  session.TakeContent({Target("a", 5)}, At(5), true);
-  session.TakeContent({Target("a", 5)}, At(6), false);
-  BOOST_TEST(handed_on.size() == 1U);
+// Guards against an endless exchange between two hosts that follow each other:
+// a full read without new content must not be sent on.
+BOOST_AUTO_TEST_CASE(Content_FullReadWithoutChanges_IsNotPublished) {
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
+  BOOST_TEST(content_events.size() == 1U);
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
+  session.ApplyPeerContent({Target("a", 5)}, At(6), false);
+  BOOST_TEST(content_events.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Start_EntriesAreThere_AreReadAndChangesFollow) {
+BOOST_AUTO_TEST_CASE(Start_StoreHasEntries_AreReadAndWatched) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -189,12 +191,12 @@
   Until([&] { return targets() == 2; });
 }
 
-// The store takes calls and answers none, on connections that stay open. Only
-// the call's own timeout shows it; afterwards the watch goes on from where it
-// was.
-BOOST_AUTO_TEST_CASE(Watch_StoreFallsSilent_IsNoticedAndCatchesUp) {
+// The store accepts calls and answers none, on connections that stay open. Only
+// the timeout of a call detects this. Afterwards the watch continues from its
+// last position.
+BOOST_AUTO_TEST_CASE(Watch_StoreStopsAnswering_IsDetectedAndCatchesUp) {
   session.SetWatching(true);
-  Until([&] { return session.last_well().has_value(); });
+  Until([&] { return session.last_contact().has_value(); });
   SetOutage(standins::Outage::kSilent);
   Until([&] { return lost == 1; });
   PutTarget("a");
@@ -202,26 +204,28 @@
   Until([&] { return regained == 1 && targets() == 1; });
 }
 
-// The store refuses this host alone. Another host heard it a moment ago and
-// tells that a target has left: the removal counts at once.
-BOOST_AUTO_TEST_CASE(Watch_OnlyThisHostIsTurnedAway_RemovalsCountAtOnce) {
+// Guards against requests to a target that has left: the store refuses only
+// this host, and another host that just reached the store reports the removal,
+// which must take effect at once.
+BOOST_AUTO_TEST_CASE(Watch_StoreRefusesOnlyThisHost_RemovalsApplyAtOnce) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
   SetOutage(standins::Outage::kBusy);
   Until([&] {
-    session.TakeAge(Duration::zero(), false);
+    session.ApplyPeerAge(Duration::zero(), false);
     return lost == 1;
   });
-  session.TakeAge(Duration::zero(), false);
-  BOOST_TEST(!session.knowledge().store_away());
-  session.TakeContent({{"servers/a", At(1000), std::nullopt}}, At(1000), false);
+  session.ApplyPeerAge(Duration::zero(), false);
+  BOOST_TEST(!session.discovery_state().store_away());
+  session.ApplyPeerContent({{"servers/a", At(1000), std::nullopt}}, At(1000),
+                           false);
   BOOST_TEST(targets() == 0U);
 }
 
-// The store forgets its history while the host waits. The host reads all again;
-// until then it keeps what it knows.
-BOOST_AUTO_TEST_CASE(Watch_HistoryIsForgotten_ReadsAllAgain) {
+// The store compacts its history while the host watches. The host reads all
+// keys again and keeps the known content until then.
+BOOST_AUTO_TEST_CASE(Watch_HistoryIsCompacted_ReadsAllAgain) {
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
@@ -234,9 +238,10 @@
   BOOST_TEST(session.counters().reads >= reads);
 }
 
-// Guards against hosts that keep an old configuration for seconds, as the store
-// came back from a copy and their feeder dropped what it wrote since.
-BOOST_AUTO_TEST_CASE(Watch_StoreIsRestoredFromACopy_ConfigurationIsHandedOn) {
+// Guards against hosts that keep an old configuration for seconds: the store
+// was restored from a backup and their feeder ignored what was written since.
+BOOST_AUTO_TEST_CASE(
+    Watch_StoreIsRestoredFromABackup_ConfigurationIsPublished) {
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
@@ -252,11 +257,11 @@
   SetOutage(standins::Outage::kNone);
   PutConfig(3);
   Until([&] { return ConfigVersion() == 3; });
-  BOOST_TEST(HandedOnConfig(3));
+  BOOST_TEST(PublishedConfig(3));
 }
 
-// Guards against changes that are missed, as the restored store has passed the
-// revision after which the host watches.
+// Guards against changes that are missed because the restored store has already
+// passed the revision after which the host watches.
 BOOST_AUTO_TEST_CASE(Watch_RestoredStorePassedTheKnownRevision_MissesNothing) {
   PutTarget("a");
   session.SetWatching(true);
@@ -276,36 +281,36 @@
   BOOST_TEST((session.position().era == StoreEra(2)));
 }
 
-// Guards against a feeder whose store has not come back yet, for this host, and
-// that hands on words of the era before.
-BOOST_AUTO_TEST_CASE(Content_OfAnEndedEra_IsDropped) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
+// Guards against changes of the previous era from a feeder that has not yet
+// noticed the restore.
+BOOST_AUTO_TEST_CASE(Content_OfAnEndedEra_IsIgnored) {
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 3);
   newer.position = At(3, 2);
-  session.TakeContent({newer}, At(3, 2), true);
-  BOOST_TEST(handed_on.back().position == At(3, 2));
-  const std::size_t before = handed_on.size();
-  session.TakeContent({Target("c", 90)}, At(90), true);
-  session.TakeContent({Target("d", 91)}, At(91), false);
-  BOOST_TEST(handed_on.size() == before);
+  session.ApplyPeerContent({newer}, At(3, 2), true);
+  BOOST_TEST(content_events.back().position == At(3, 2));
+  const std::size_t before = content_events.size();
+  session.ApplyPeerContent({Target("c", 90)}, At(90), true);
+  session.ApplyPeerContent({Target("d", 91)}, At(91), false);
+  BOOST_TEST(content_events.size() == before);
   BOOST_TEST(session.position() == At(3, 2));
 }
 
-// Guards against a host that takes single changes of an era whose content it
-// does not know.
-BOOST_AUTO_TEST_CASE(Content_ChangesOfANewEraWithoutItsContent_AreNotTaken) {
-  session.TakeContent({Target("a", 5)}, At(5), true);
+// Guards against a host that applies single changes of an era whose full
+// content it does not know.
+BOOST_AUTO_TEST_CASE(Content_ChangesOfANewEraWithoutItsContent_AreNotApplied) {
+  session.ApplyPeerContent({Target("a", 5)}, At(5), true);
   StoreChange newer = Target("b", 7);
   newer.position = At(7, 2);
-  session.TakeContent({newer}, At(7, 2), false);
+  session.ApplyPeerContent({newer}, At(7, 2), false);
   BOOST_TEST(targets() == 1U);
-  BOOST_TEST(!session.IsLeftBehind());
-  Until([&] { return session.IsLeftBehind(); });
+  BOOST_TEST(!session.IsNewEraOverdue());
+  Until([&] { return session.IsNewEraOverdue(); });
 }
 
 // Guards against a host that starts now and serves an older configuration than
-// the others, whose store came back without the newest.
-BOOST_AUTO_TEST_CASE(Content_ConfigurationIsNotInTheCopy_IsHandedOn) {
+// the others because the restored store lacks the newest one.
+BOOST_AUTO_TEST_CASE(Content_BackupLacksTheConfiguration_IsPublished) {
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
@@ -315,10 +320,10 @@
   BOOST_TEST(store.content().Restore());
   Until([&] { return session.position().era == StoreEra(2); });
   BOOST_TEST(ConfigVersion() == 2U);
-  handed_on.push_back({session.HandoverSince({}).changes, {}, true});
-  BOOST_TEST(HandedOnConfig(2));
-  // Also to a host that has read the copy itself.
-  const StoreHandover rest = session.HandoverSince(session.position());
+  content_events.push_back({session.UpdateSince({}).changes, {}, true});
+  BOOST_TEST(PublishedConfig(2));
+  // It is also sent to a host that has read the restored store itself.
+  const ContentUpdate rest = session.UpdateSince(session.position());
   BOOST_TEST(!rest.whole);
   BOOST_REQUIRE_EQUAL(rest.changes.size(), 1U);
   BOOST_TEST(rest.changes[0].key == "op/config");
@@ -326,26 +331,26 @@
   Until([&] { return ConfigVersion() == 3; });
 }
 
-// Guards against a host that read the copy itself and does not believe a newer
-// configuration of the era before, which the others serve.
-BOOST_AUTO_TEST_CASE(Content_ConfigurationOfTheEraBefore_IsTakenByItsVersion) {
+// Guards against a host that read the restored store itself and ignores a newer
+// configuration of the previous era, which the other hosts serve.
+BOOST_AUTO_TEST_CASE(Content_ConfigurationOfAnEarlierEra_IsComparedByVersion) {
   const auto config = [](int version, const StorePosition& position) {
     return StoreChange{"op/config", position,
                        R"({"version":)" + std::to_string(version) +
                            R"(,"routes":[],"services":[]})"};
   };
-  session.TakeContent({config(4, At(5, 2))}, At(8, 2), true);
-  session.TakeContent({config(7, At(83))}, At(8, 2), false);
+  session.ApplyPeerContent({config(4, At(5, 2))}, At(8, 2), true);
+  session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
   BOOST_TEST(ConfigVersion() == 7U);
-  BOOST_TEST(HandedOnConfig(7));
-  const std::size_t before = handed_on.size();
-  session.TakeContent({config(7, At(83))}, At(8, 2), false);
-  BOOST_TEST(handed_on.size() == before);
+  BOOST_TEST(PublishedConfig(7));
+  const std::size_t before = content_events.size();
+  session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
+  BOOST_TEST(content_events.size() == before);
 }
 
-// Guards against a fleet that stays without the lost writes: all hosts were
-// lost as well, and none that starts knows more than the copy.
-BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreTaken) {
+// Guards against a fleet that ignores repeated writes after a restore: all
+// hosts were lost as well, and none that starts knows more than the backup.
+BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreApplied) {
   PutConfig(1);
   PutTarget("left");
   store.content().KeepCopy();
@@ -366,7 +371,7 @@
   PutTarget("new");
   Until([&] { return ConfigVersion() == 2; });
   Until([&] {
-    const std::vector<TargetEntry> known = session.knowledge().Targets();
+    const std::vector<TargetEntry> known = session.discovery_state().Targets();
     return known.size() == 1 && known[0].id == TargetId("new");
   });
   Until([&] {
@@ -374,8 +379,8 @@
   });
 }
 
-// Guards against a host that nobody is sent to: its record is not in the copy,
-// and its lease's number is another host's.
+// Guards against a host that gets no callers: the backup lacks its record, and
+// the id of its lease belongs to another host.
 BOOST_AUTO_TEST_CASE(
     Register_StoreIsRestored_RecordIsWrittenWithALeaseOfItsOwn) {
   store.content().KeepCopy();
@@ -397,7 +402,7 @@
   session.SetWatching(true);
   session.Register(host);
   const auto is_known = [&] {
-    return session.knowledge().FindHost(host.name) != nullptr;
+    return session.discovery_state().FindHost(host.name) != nullptr;
   };
   Until(is_known);
   const std::uint64_t first =
@@ -411,9 +416,10 @@
   Until([&] { return !store.content().Get(codec.HostKey(host.name)); });
 }
 
-// A feeder writes the records of three followers in one call, with its own
-// lease. When one of them goes elsewhere and nobody writes it, the record goes.
-BOOST_AUTO_TEST_CASE(Members_ThreeCome_AreWrittenAtOnceAndGoWhenTheyLeave) {
+// A feeder writes the records of three members in one call, with its own lease.
+// When one of them leaves and no other host writes its record, it is removed.
+BOOST_AUTO_TEST_CASE(
+    Members_ThreeConnect_AreWrittenAtOnceAndRemovedWhenTheyLeave) {
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   const auto has = [&](const std::string& name) {
@@ -421,26 +427,28 @@
   };
   Until([&] { return has("h"); });
   for (const char* name : {"a", "b", "c"}) {
-    session.TakeMember(codec.WriteHost(MakeRecord(name)));
+    session.AddMember(codec.WriteHost(MakeRecord(name)));
   }
   const std::uint64_t writes = session.counters().writes;
   Until([&] { return has("a") && has("b") && has("c"); });
   BOOST_TEST(session.counters().writes == writes + 1);
-  session.DropMember(HostId("b"));
+  session.RemoveMember(HostId("b"));
   Until([&] { return !has("b"); });
   BOOST_TEST(has("a"));
 }
 
-// The feeder's lease is ended by the store, and with it all that it wrote. All
-// of it is back as soon as the feeder has a lease again.
+// The store ends the feeder's lease and with it all records that the feeder
+// wrote. They are written again as soon as the feeder has a new lease.
 BOOST_AUTO_TEST_CASE(Members_LeaseIsEndedByTheStore_AreWrittenAgain) {
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  session.TakeMember(codec.WriteHost(MakeRecord("a")));
+  session.AddMember(codec.WriteHost(MakeRecord("a")));
   const std::string key = codec.HostKey(HostId("a"));
   Until([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
-  Until([&] { return session.knowledge().FindHost(HostId("a")) != nullptr; });
+  Until([&] {
+    return session.discovery_state().FindHost(HostId("a")) != nullptr;
+  });
   BOOST_TEST(store.content().End(first));
   Until([&] {
     const auto item = store.content().Get(key);
@@ -448,14 +456,14 @@
   });
 }
 
-// Guards against hosts that nobody is sent to: their feeder wrote their records
-// after the copy was made, with a lease that is gone.
+// Guards against hosts that get no callers: their feeder wrote their records
+// after the backup was taken, with a lease that no longer exists.
 BOOST_AUTO_TEST_CASE(Members_StoreIsRestored_AreWrittenAgain) {
   const std::string key = codec.HostKey(HostId("a"));
   store.content().KeepCopy();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  session.TakeMember(codec.WriteHost(MakeRecord("a")));
+  session.AddMember(codec.WriteHost(MakeRecord("a")));
   Until([&] { return store.content().Get(key).has_value(); });
   BOOST_TEST(store.content().Restore());
   BOOST_TEST(!store.content().Get(key).has_value());
@@ -465,10 +473,10 @@
              store.content().Get(own)->lease);
 }
 
-// Guards against a host that removes another one's record: the former writer
-// waits to take out what it wrote, and the store comes back and gives the
-// revision of that out again.
-BOOST_AUTO_TEST_CASE(Members_RevisionIsGivenOutAgain_RecordOfItIsLeftAlone) {
+// Guards against the removal of a record of another writer: a former writer
+// waits to remove its orphaned record, and the store is restored and reuses the
+// revision of that record.
+BOOST_AUTO_TEST_CASE(Members_RevisionIsReused_RecordOfAnotherWriterStays) {
   const std::string key = codec.HostKey(HostId("a"));
   const auto put = [&](const std::string& writer) {
     HostRecord record = MakeRecord("a");
@@ -480,9 +488,13 @@
   store.content().KeepCopy();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  Until([&] { return session.knowledge().FindHost(HostId("h")) != nullptr; });
+  Until([&] {
+    return session.discovery_state().FindHost(HostId("h")) != nullptr;
+  });
   put("h");
-  Until([&] { return session.knowledge().FindHost(HostId("a")) != nullptr; });
+  Until([&] {
+    return session.discovery_state().FindHost(HostId("a")) != nullptr;
+  });
   session.SetWatching(false);
   const std::uint64_t revision = store.content().Get(key)->revision;
   BOOST_TEST(store.content().Restore());
@@ -497,9 +509,9 @@
   BOOST_TEST(store.content().Get(key).has_value());
 }
 
-// A host writes its own record, and a late write of its former feeder takes its
-// place before the host has seen its own. The feeder takes the record back some
-// seconds later, and callers would never be sent to the host again.
+// Guards against a host that never gets callers again: a late write of its
+// former feeder replaces its record before the host has seen its own, and the
+// feeder removes that record as orphaned some seconds later.
 BOOST_AUTO_TEST_CASE(Register_FormerFeederWritesLate_IsWrittenAgain) {
   const std::string key = codec.HostKey(HostId("h"));
   session.Register(MakeRecord("h"));
@@ -511,26 +523,26 @@
   store.Apply(control);
   session.SetWatching(true);
   Until([&] {
-    const HostRecord* held = session.knowledge().FindHost(HostId("h"));
-    return held != nullptr && held->writer == HostId("h");
+    const HostRecord* stored = session.discovery_state().FindHost(HostId("h"));
+    return stored != nullptr && stored->writer == HostId("h");
   });
 }
 
-// A host is stopped whose record its feeder wrote. It takes the record out
-// itself: callers would be sent to it for as long as the feeder lives.
-BOOST_AUTO_TEST_CASE(Unregister_RecordIsAnothersLease_IsTakenOut) {
+// Guards against callers that are sent to a stopped host for as long as its
+// feeder lives: the host removes the record that its feeder wrote.
+BOOST_AUTO_TEST_CASE(Unregister_RecordIsOnAnotherLease_IsRemoved) {
   const std::string key = codec.HostKey(HostId("h"));
   standins::StoreControl control;
   control.puts.push_back({key, codec.WriteHost(MakeRecord("h")), {}});
   store.Apply(control);
-  session.LeaveRecord();
+  session.DelegateRecord();
   session.Unregister();
   Until([&] { return !store.content().Get(key).has_value(); });
 }
 
-// Every write takes effect and loses its reply. The host goes on trying, and
-// its record stands once replies come again.
-BOOST_AUTO_TEST_CASE(Register_RepliesAreLost_RecordStandsInTheEnd) {
+// Every write takes effect but its reply is lost. The host keeps retrying, and
+// its record is present once replies arrive again.
+BOOST_AUTO_TEST_CASE(Register_RepliesAreLost_RecordIsWrittenEventually) {
   standins::StoreControl control;
   control.faults.lose_reply_share = 1;
   store.Apply(control);
--- a/test/jacinthdeck/peer/feed_choice_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -17,12 +17,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-[[nodiscard]] HostRecord MakeHost(int number, int domain, int strength = 250) {
+[[nodiscard]] HostRecord MakeHost(int number,
+                                  int domain,
+                                  int cpu_millicores = 250) {
   HostRecord host;
   host.name = HostId("h" + std::to_string(number));
   host.domain = FailureDomain("d" + std::to_string(domain));
   host.peers = "10.0.0." + std::to_string(number) + ":1";
-  host.strength = static_cast<std::uint32_t>(strength);
+  host.cpu_millicores = static_cast<std::uint32_t>(cpu_millicores);
   return host;
 }
 
@@ -123,7 +125,7 @@
 // The store stops answering one watcher alone while targets leave. That watcher
 // must learn of them from another watcher at once, and keep its own watch.
 BOOST_AUTO_TEST_CASE(Hosts_SelfIsStrongest_WatchesAndFollowsAnother) {
-  hosts[3].strength = 900;
+  hosts[3].cpu_millicores = 900;
   selector.OnHosts(hosts, now);
   BOOST_TEST(selector.is_watcher());
   const FeederActions actions = selector.Step(now);
