--- a/standins/loadgen/load_options.cc
+++ b/standins/loadgen/load_options.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Result<std::vector<Endpoint>> CheckLoad(const LoadOptions& options) {
+Result<std::vector<Endpoint>> CheckLoadOptions(const LoadOptions& options) {
   std::vector<Endpoint> entries;
   for (const std::string& text : options.entries) {
     BOOST_LEAF_AUTO(entry, Endpoint::Parse(text));
--- a/standins/loadgen/load_options.h
+++ b/standins/loadgen/load_options.h
@@ -41,7 +41,7 @@
  * \return The entries, at least one; kInvalidArgument for an address outside
  * 127.0.0.0/8 or a load above the bounds.
  */
-[[nodiscard]] Result<std::vector<Endpoint>> CheckLoad(
+[[nodiscard]] Result<std::vector<Endpoint>> CheckLoadOptions(
     const LoadOptions& options);
 
 }  // namespace jacinthdeck::standins
--- a/standins/loadgen/load_report.cc
+++ b/standins/loadgen/load_report.cc
@@ -16,27 +16,29 @@
 
 /*! \brief What adds up over the requests. */
 struct Totals {
-  std::array<std::uint64_t, kLoadEnds> ends{};
+  std::array<std::uint64_t, kLoadOutcomeCount> outcomes{};
   std::uint64_t attempts = 0;
-  std::uint64_t extra = 0;
+  std::uint64_t extra_attempts = 0;
   std::uint64_t resends = 0;
-  std::uint64_t broken_promises = 0;
+  std::uint64_t invalid_answers = 0;
   double coverage = 0;
   std::uint64_t answers = 0;
 };
 
 [[nodiscard]] bool IsAnswer(const Sample& sample) {
-  return sample.end == LoadEnd::kWhole || sample.end == LoadEnd::kPartial;
+  return sample.outcome == LoadOutcome::kWhole ||
+         sample.outcome == LoadOutcome::kPartial;
 }
 
-[[nodiscard]] Totals Sum(const std::vector<Sample>& samples) {
+[[nodiscard]] Totals SumTotals(const std::vector<Sample>& samples) {
   Totals totals;
   for (const Sample& sample : samples) {
-    ++totals.ends[static_cast<std::size_t>(sample.end)];
+    ++totals.outcomes[static_cast<std::size_t>(sample.outcome)];
     totals.attempts += sample.attempts;
-    totals.extra += sample.hedges + sample.retries;
+    totals.extra_attempts += sample.hedges + sample.retries;
     totals.resends += sample.resends;
-    totals.broken_promises += sample.mixed + sample.doubled > 0 ? 1U : 0U;
+    totals.invalid_answers +=
+        sample.mixed_version_hits + sample.duplicate_hits > 0 ? 1U : 0U;
     if (IsAnswer(sample)) {
       ++totals.answers;
       totals.coverage += sample.coverage;
@@ -76,36 +78,38 @@
 
 std::uint64_t PrintReport(const std::vector<Sample>& samples,
                           std::ostream& out) {
-  const Totals totals = Sum(samples);
+  const Totals totals = SumTotals(samples);
   const std::vector<Duration> latencies = Latencies(samples);
   out << std::fixed << std::setprecision(3) << "requests  " << samples.size()
       << "\nlatency of answers, from the due time\n  p50   "
       << Percentile(latencies, 0.5) << " ms\n  p99   "
       << Percentile(latencies, 0.99) << " ms\n  p99.9 "
       << Percentile(latencies, 0.999) << " ms\nends\n";
-  for (std::size_t end = 0; end < kLoadEnds; ++end) {
-    if (totals.ends[end] > 0) {
-      out << "  " << kLoadEndNames.names[end] << " " << totals.ends[end]
-          << "\n";
+  for (std::size_t outcome = 0; outcome < kLoadOutcomeCount; ++outcome) {
+    if (totals.outcomes[outcome] > 0) {
+      out << "  " << kLoadOutcomeNames.names[outcome] << " "
+          << totals.outcomes[outcome] << "\n";
     }
   }
   out << "coverage  " << PerAnswer(totals.coverage, totals)
       << " of the keys, mean of the answers\nattempts  "
       << PerAnswer(static_cast<double>(totals.attempts), totals)
       << " an answer, extra "
-      << PerAnswer(static_cast<double>(totals.extra), totals) << "\nresends   "
-      << totals.resends << "\nbroken    " << totals.broken_promises
-      << " answers with mixed versions or a hit twice" << std::endl;
-  return totals.broken_promises;
+      << PerAnswer(static_cast<double>(totals.extra_attempts), totals)
+      << "\nresends   " << totals.resends << "\nbroken    "
+      << totals.invalid_answers << " answers with mixed versions or a hit twice"
+      << std::endl;
+  return totals.invalid_answers;
 }
 
 void PrintHistogram(const std::vector<Sample>& samples, std::ostream& out) {
   namespace bh = boost::histogram;
   constexpr unsigned kBins = 16;
-  constexpr double kLow = 0.25;
-  constexpr double kHigh = 16384;
-  auto histogram = bh::make_histogram(
-      bh::axis::regular<double, bh::axis::transform::log>(kBins, kLow, kHigh));
+  constexpr double kLowestMs = 0.25;
+  constexpr double kHighestMs = 16384;
+  auto histogram =
+      bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(
+          kBins, kLowestMs, kHighestMs));
   for (const Sample& sample : samples) {
     histogram(ToMilliseconds(sample.latency));
   }
@@ -123,12 +127,12 @@
          "hedges,retries,coverage,resends,mixed,doubled\n";
   for (const Sample& sample : samples) {
     csv << sample.number << ',' << sample.due.count() << ','
-        << sample.latency.count() << ',' << kLoadEndNames.Name(sample.end)
-        << ',' << sample.status << ',' << sample.reason << ',' << sample.version
-        << ',' << sample.hits << ',' << sample.attempts << ',' << sample.hedges
-        << ',' << sample.retries << ',' << sample.coverage << ','
-        << sample.resends << ',' << sample.mixed << ',' << sample.doubled
-        << '\n';
+        << sample.latency.count() << ','
+        << kLoadOutcomeNames.Name(sample.outcome) << ',' << sample.status << ','
+        << sample.reason << ',' << sample.version << ',' << sample.hits << ','
+        << sample.attempts << ',' << sample.hedges << ',' << sample.retries
+        << ',' << sample.coverage << ',' << sample.resends << ','
+        << sample.mixed_version_hits << ',' << sample.duplicate_hits << '\n';
   }
   return csv.str();
 }
--- a/standins/loadgen/load_run.cc
+++ b/standins/loadgen/load_run.cc
@@ -14,10 +14,10 @@
 
 constexpr long kDefaultTimeoutMs = 10000;
 //! Time that a reply may take beyond the deadline before it counts as lost.
-constexpr long kGraceMs = 2000;
+constexpr long kReplyGraceMs = 2000;
 constexpr int kMaxPollMs = 20;
 
-size_t Append(char* data, size_t size, size_t count, void* body) {
+size_t AppendToString(char* data, size_t size, size_t count, void* body) {
   static_cast<std::string*>(body)->append(data, size * count);
   return size * count;
 }
@@ -26,7 +26,7 @@
 
 /*! \brief One request in flight; libcurl holds pointers into it. */
 struct LoadRun::Transfer {
-  Due due;
+  ScheduledSend due;
   std::string url;
   std::string body;
   std::string reply;
@@ -51,7 +51,7 @@
     curl_multi_remove_handle(m_multi, handle);
     curl_easy_cleanup(handle);
   }
-  for (CURL* handle : m_idle) {
+  for (CURL* handle : m_idle_handles) {
     curl_easy_cleanup(handle);
   }
   curl_multi_cleanup(m_multi);
@@ -62,42 +62,43 @@
   m_next_arrival = m_arrivals.Next();
   const auto last = std::chrono::seconds(m_options.seconds);
   while (true) {
-    const bool more = m_scheduled < m_options.count && m_next_arrival < last;
-    if (!more && m_due.empty() && m_transfers.empty()) {
+    const bool more =
+        m_scheduled_count < m_options.count && m_next_arrival < last;
+    if (!more && m_send_queue.empty() && m_transfers.empty()) {
       return std::move(m_samples);
     }
-    StartDue();
+    StartDueRequests();
     int running = 0;
     curl_multi_perform(m_multi, &running);
-    Collect();
-    curl_multi_poll(m_multi, nullptr, 0, PollMilliseconds(), nullptr);
+    CollectFinished();
+    curl_multi_poll(m_multi, nullptr, 0, PollTimeoutMs(), nullptr);
   }
 }
 
-void LoadRun::StartDue() {
+void LoadRun::StartDueRequests() {
   const auto last = std::chrono::seconds(m_options.seconds);
   const Duration now = Elapsed();
-  while (m_scheduled < m_options.count && m_next_arrival < last &&
+  while (m_scheduled_count < m_options.count && m_next_arrival < last &&
          m_next_arrival <= now) {
-    const std::uint64_t number = m_scheduled++;
-    m_due.push({m_next_arrival, number, m_next_arrival,
-                number % m_entries.size(), 0, NewId(number)});
+    const std::uint64_t number = m_scheduled_count++;
+    m_send_queue.push({m_next_arrival, number, m_next_arrival,
+                       number % m_entries.size(), 0, RequestId(number)});
     m_next_arrival = m_arrivals.Next();
   }
-  while (!m_due.empty() && m_due.top().at <= now &&
+  while (!m_send_queue.empty() && m_send_queue.top().at <= now &&
          m_transfers.size() < m_options.in_flight) {
-    const Due due = m_due.top();
-    m_due.pop();
-    Start(due);
+    const ScheduledSend due = m_send_queue.top();
+    m_send_queue.pop();
+    StartTransfer(due);
   }
 }
 
-void LoadRun::Start(const Due& due) {
+void LoadRun::StartTransfer(const ScheduledSend& due) {
   auto transfer = std::make_unique<Transfer>();
   transfer->due = due;
   transfer->url =
       "http://" + m_entries[due.entry].ToString() + "/v1/" + m_options.call;
-  transfer->body = Body(due.number);
+  transfer->body = RequestBody(due.number);
   const auto add = [&](const std::string& header) {
     transfer->headers = curl_slist_append(transfer->headers, header.c_str());
   };
@@ -111,11 +112,12 @@
   long timeout = kDefaultTimeoutMs;
   if (m_options.deadline_ms > 0) {
     add("X-Deadline-Ms: " + std::to_string(m_options.deadline_ms));
-    timeout = static_cast<long>(m_options.deadline_ms) + kGraceMs;
+    timeout = static_cast<long>(m_options.deadline_ms) + kReplyGraceMs;
   }
-  CURL* handle = m_idle.empty() ? curl_easy_init() : m_idle.back();
-  if (!m_idle.empty()) {
-    m_idle.pop_back();
+  CURL* handle =
+      m_idle_handles.empty() ? curl_easy_init() : m_idle_handles.back();
+  if (!m_idle_handles.empty()) {
+    m_idle_handles.pop_back();
     curl_easy_reset(handle);
   }
   curl_easy_setopt(handle, CURLOPT_URL, transfer->url.c_str());
@@ -123,7 +125,7 @@
   curl_easy_setopt(handle, CURLOPT_POSTFIELDS, transfer->body.c_str());
   curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE,
                    static_cast<long>(transfer->body.size()));
-  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &Append);
+  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &AppendToString);
   curl_easy_setopt(handle, CURLOPT_WRITEDATA, &transfer->reply);
   curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, timeout);
   curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
@@ -137,7 +139,7 @@
   m_transfers.emplace(handle, std::move(transfer));
 }
 
-void LoadRun::Collect() {
+void LoadRun::CollectFinished() {
   int left = 0;
   while (const CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
     if (message->msg != CURLMSG_DONE) {
@@ -151,40 +153,41 @@
     curl_multi_remove_handle(m_multi, handle);
     const std::unique_ptr<Transfer> transfer = std::move(found->second);
     m_transfers.erase(found);
-    m_idle.push_back(handle);
+    m_idle_handles.push_back(handle);
     Sample sample;
     if (code == CURLE_OK) {
       ReadAnswer(status, transfer->reply, sample);
     } else {
-      sample.end =
-          code == CURLE_COULDNT_CONNECT ? LoadEnd::kNotSent : LoadEnd::kLost;
+      sample.outcome = code == CURLE_COULDNT_CONNECT ? LoadOutcome::kNotSent
+                                                     : LoadOutcome::kLost;
       sample.reason = curl_easy_strerror(code);
     }
-    if (SendAgain(*transfer, sample)) {
+    if (ResendIfNotRun(*transfer, sample)) {
       continue;
     }
     sample.number = transfer->due.number;
-    sample.due = transfer->due.first;
-    sample.latency = Elapsed() - transfer->due.first;
+    sample.due = transfer->due.first_due;
+    sample.latency = Elapsed() - transfer->due.first_due;
     sample.resends = transfer->due.resends;
     m_samples.push_back(sample);
   }
 }
 
-bool LoadRun::SendAgain(const Transfer& transfer, const Sample& sample) {
-  const bool not_run =
-      sample.end == LoadEnd::kNotSent || sample.end == LoadEnd::kNotRun;
+bool LoadRun::ResendIfNotRun(const Transfer& transfer, const Sample& sample) {
+  const bool not_run = sample.outcome == LoadOutcome::kNotSent ||
+                       sample.outcome == LoadOutcome::kNotRun;
   if (!not_run || transfer.due.resends >= m_options.resends) {
     return false;
   }
-  Due again = transfer.due;
-  again.entry = (again.entry + 1) % m_entries.size();
-  ++again.resends;
-  const bool elsewhere =
-      sample.end == LoadEnd::kNotSent || sample.reason == "draining" ||
+  ScheduledSend resend = transfer.due;
+  resend.entry = (resend.entry + 1) % m_entries.size();
+  ++resend.resends;
+  const bool resend_at_once =
+      sample.outcome == LoadOutcome::kNotSent || sample.reason == "draining" ||
       sample.reason == "elsewhere" || sample.reason == "not_ready";
-  again.at = Elapsed() + (elsewhere ? Duration::zero() : sample.retry_after);
-  m_due.push(again);
+  resend.at =
+      Elapsed() + (resend_at_once ? Duration::zero() : sample.retry_after);
+  m_send_queue.push(resend);
   return true;
 }
 
@@ -193,30 +196,30 @@
                                               m_start);
 }
 
-int LoadRun::PollMilliseconds() const {
+int LoadRun::PollTimeoutMs() const {
   Duration wait = std::chrono::milliseconds(kMaxPollMs);
   const Duration now = Elapsed();
-  if (m_scheduled < m_options.count) {
+  if (m_scheduled_count < m_options.count) {
     wait = std::min(wait, m_next_arrival - now);
   }
-  if (!m_due.empty() && m_transfers.size() < m_options.in_flight) {
-    wait = std::min(wait, m_due.top().at - now);
+  if (!m_send_queue.empty() && m_transfers.size() < m_options.in_flight) {
+    wait = std::min(wait, m_send_queue.top().at - now);
   }
   // Rounded down: a due time is met by a short spin rather than missed.
   return static_cast<int>(std::max<Duration::rep>(0, wait.count() / 1000));
 }
 
-std::string LoadRun::Body(std::uint64_t number) const {
-  constexpr std::string_view kMark = "{n}";
+std::string LoadRun::RequestBody(std::uint64_t number) const {
+  constexpr std::string_view kNumberPlaceholder = "{n}";
   std::string body = m_options.request;
-  for (std::size_t at = body.find(kMark); at != body.npos;
-       at = body.find(kMark, at)) {
-    body.replace(at, kMark.size(), std::to_string(number));
+  for (std::size_t at = body.find(kNumberPlaceholder); at != body.npos;
+       at = body.find(kNumberPlaceholder, at)) {
+    body.replace(at, kNumberPlaceholder.size(), std::to_string(number));
   }
   return body;
 }
 
-std::string LoadRun::NewId(std::uint64_t number) const {
+std::string LoadRun::RequestId(std::uint64_t number) const {
   if (!m_options.request_ids) {
     return "";
   }
--- a/standins/loadgen/load_run.h
+++ b/standins/loadgen/load_run.h
@@ -46,38 +46,40 @@
  private:
   using Moment = std::chrono::steady_clock::time_point;
   struct Transfer;
-  struct Due {
+  struct ScheduledSend {
     Duration at;
     std::uint64_t number = 0;
-    //! Due time of the first sending.
-    Duration first;
+    //! ScheduledSend time of the first sending.
+    Duration first_due;
     std::size_t entry = 0;
     std::uint64_t resends = 0;
     std::string id;
-    [[nodiscard]] bool operator>(const Due& other) const {
+    [[nodiscard]] bool operator>(const ScheduledSend& other) const {
       return at > other.at;
     }
   };
 
-  void StartDue();
-  void Start(const Due& due);
-  void Collect();
-  [[nodiscard]] bool SendAgain(const Transfer& transfer, const Sample& sample);
+  void StartDueRequests();
+  void StartTransfer(const ScheduledSend& due);
+  void CollectFinished();
+  [[nodiscard]] bool ResendIfNotRun(const Transfer& transfer,
+                                    const Sample& sample);
   [[nodiscard]] Duration Elapsed() const;
-  [[nodiscard]] int PollMilliseconds() const;
-  [[nodiscard]] std::string Body(std::uint64_t number) const;
-  [[nodiscard]] std::string NewId(std::uint64_t number) const;
+  [[nodiscard]] int PollTimeoutMs() const;
+  [[nodiscard]] std::string RequestBody(std::uint64_t number) const;
+  [[nodiscard]] std::string RequestId(std::uint64_t number) const;
 
   LoadOptions m_options;
   std::vector<Endpoint> m_entries;
   Arrivals m_arrivals;
   CURLM* m_multi;
   Moment m_start;
-  std::uint64_t m_scheduled = 0;
+  std::uint64_t m_scheduled_count = 0;
   Duration m_next_arrival{};
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> m_due;
+  std::priority_queue<ScheduledSend, std::vector<ScheduledSend>, std::greater<>>
+      m_send_queue;
   std::unordered_map<CURL*, std::unique_ptr<Transfer>> m_transfers;
-  std::vector<CURL*> m_idle;
+  std::vector<CURL*> m_idle_handles;
   std::vector<Sample> m_samples;
 };
 
--- a/standins/loadgen/sample.h
+++ b/standins/loadgen/sample.h
@@ -12,7 +12,7 @@
 namespace jacinthdeck::standins {
 
 /*! \brief How a request ended for its caller. */
-enum class LoadEnd {
+enum class LoadOutcome {
   kWhole,
   kPartial,
   kNotRun,
@@ -24,13 +24,13 @@
   //! The connection ended, or time ran out, without a reply.
   kLost,
   //! A reply that is no answer.
-  kBroken,
+  kMalformed,
 };
 
-inline constexpr std::size_t kLoadEnds = 8;
+inline constexpr std::size_t kLoadOutcomeCount = 8;
 
 //! Names of the ends in reports.
-inline constexpr NameTable<LoadEnd, kLoadEnds> kLoadEndNames{
+inline constexpr NameTable<LoadOutcome, kLoadOutcomeCount> kLoadOutcomeNames{
     {"whole", "partial", "not_run", "unknown", "rejected", "not_sent", "lost",
      "broken"}};
 
@@ -41,7 +41,7 @@
   Duration due{};
   //! From due to the end.
   Duration latency{};
-  LoadEnd end = LoadEnd::kNotSent;
+  LoadOutcome outcome = LoadOutcome::kNotSent;
   long status = 0;
   std::string reason;
   std::uint64_t version = 0;
@@ -54,9 +54,9 @@
   //! Times that it moved to another entry.
   std::uint64_t resends = 0;
   //! Hits of another version than the answer's.
-  std::uint64_t mixed = 0;
+  std::uint64_t mixed_version_hits = 0;
   //! Hits whose id stands twice.
-  std::uint64_t doubled = 0;
+  std::uint64_t duplicate_hits = 0;
   //! When the entry asked to come back.
   Duration retry_after{};
 };
--- a/standins/loadgen_main.cc
+++ b/standins/loadgen_main.cc
@@ -11,24 +11,24 @@
 
 namespace {
 
-constexpr int kPromiseBroken = 3;
+constexpr int kExitInvalidAnswers = 3;
 
 int Load(const LoadOptions& options) {
-  const auto entries = Capture([&] { return CheckLoad(options); });
+  const auto entries = Capture([&] { return CheckLoadOptions(options); });
   if (const auto* error = std::get_if<Error>(&entries)) {
     std::cerr << error->subject << " " << error->message << "\n";
     return 2;
   }
   LoadRun run(options, std::get<0>(entries));
   const std::vector<Sample> samples = run.Run();
-  const std::uint64_t broken = PrintReport(samples, std::cout);
+  const std::uint64_t invalid_answers = PrintReport(samples, std::cout);
   if (options.histogram) {
     PrintHistogram(samples, std::cout);
   }
   if (!options.csv.empty()) {
     WriteFile(options.csv, ToCsv(samples));
   }
-  return broken == 0 ? 0 : kPromiseBroken;
+  return invalid_answers == 0 ? 0 : kExitInvalidAnswers;
 }
 
 }  // namespace
--- a/test/standins/load_run_test.cc
+++ b/test/standins/load_run_test.cc
@@ -50,7 +50,7 @@
   LoadRun run(Options(), {EndpointOf(entry)});
   const auto samples = run.Run();
   BOOST_REQUIRE(samples.size() == 2U);
-  BOOST_TEST((samples[0].end == LoadEnd::kWhole));
+  BOOST_TEST((samples[0].outcome == LoadOutcome::kWhole));
 }
 
 BOOST_AUTO_TEST_CASE(Run_EntryLeaves_RequestTurnsToTheNext) {
@@ -64,7 +64,7 @@
   LoadRun run(Options(), {EndpointOf(leaving), EndpointOf(entry)});
   std::uint64_t resends = 0;
   for (const Sample& sample : run.Run()) {
-    BOOST_TEST((sample.end == LoadEnd::kWhole));
+    BOOST_TEST((sample.outcome == LoadOutcome::kWhole));
     resends += sample.resends;
   }
   BOOST_TEST(resends == 1U);
@@ -85,7 +85,7 @@
   LoadRun run(options, {EndpointOf(entry)});
   const auto samples = run.Run();
   BOOST_REQUIRE(samples.size() == 1U);
-  BOOST_TEST((samples[0].end == LoadEnd::kLost));
+  BOOST_TEST((samples[0].outcome == LoadOutcome::kLost));
   BOOST_TEST(requests == 1);
 }
 
@@ -96,16 +96,16 @@
              R"("missing":[[1,4]],"hits":[{"id":"a","data":{"version":7}},)"
              R"({"id":"a","data":{"version":8}}]})",
              sample);
-  BOOST_TEST((sample.end == LoadEnd::kPartial));
-  BOOST_TEST(sample.mixed == 1U);
-  BOOST_TEST(sample.doubled == 1U);
+  BOOST_TEST((sample.outcome == LoadOutcome::kPartial));
+  BOOST_TEST(sample.mixed_version_hits == 1U);
+  BOOST_TEST(sample.duplicate_hits == 1U);
   BOOST_TEST(sample.coverage == 0.25);
 }
 
 BOOST_AUTO_TEST_CASE(CheckLoad_OutsideLoopbackOrBounds_IsRefused) {
   LoadOptions options = Options();
   const auto accepted = [&] {
-    return Capture([&] { return CheckLoad(options); }).index() == 0;
+    return Capture([&] { return CheckLoadOptions(options); }).index() == 0;
   };
   options.entries = {"127.0.0.1:4000"};
   BOOST_TEST(accepted());
