--- a/standins/store/kv_store.cc
+++ b/standins/store/kv_store.cc
@@ -9,34 +9,34 @@
 namespace {
 
 //! Keys of one page.
-constexpr std::size_t kPageItems = 500;
+constexpr std::size_t kPageSize = 500;
 //! Changes that are remembered.
-constexpr std::size_t kMostHistory = 20000;
+constexpr std::size_t kMaxHistory = 20000;
 
 }  // namespace
 
 std::optional<KeyValue> KvStore::Get(const std::string& key) {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
+  ExpireLeases();
   const auto found = m_entries.find(key);
   return found == m_entries.end() ? std::nullopt : std::optional(found->second);
 }
 
 std::uint64_t KvStore::revision() {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
+  ExpireLeases();
   return m_revision;
 }
 
 KeyPage KvStore::Range(const std::string& prefix, const std::string& after) {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
+  ExpireLeases();
   KeyPage page;
   page.revision = m_revision;
   auto at = after.empty() ? m_entries.lower_bound(prefix)
                           : m_entries.upper_bound(after);
   for (; at != m_entries.end() && at->first.starts_with(prefix); ++at) {
-    if (page.items.size() == kPageItems) {
+    if (page.items.size() == kPageSize) {
       page.has_more = true;
       break;
     }
@@ -45,26 +45,27 @@
   return page;
 }
 
-ChangeEnd KvStore::Apply(const Transaction& transaction,
-                         std::uint64_t& revision) {
+TransactionOutcome KvStore::Apply(const Transaction& transaction,
+                                  std::uint64_t& revision) {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
+  ExpireLeases();
   const bool leases_live =
       std::ranges::all_of(transaction.puts, [&](const PutItem& put) {
         return put.lease == 0 || m_leases.contains(put.lease);
       });
   if (!leases_live) {
-    return ChangeEnd::kNoLease;
+    return TransactionOutcome::kNoLease;
   }
-  if (!Holds(transaction)) {
-    return ChangeEnd::kConflict;
+  if (!ConditionsHold(transaction)) {
+    return TransactionOutcome::kConflict;
   }
   ++m_revision;
   for (const PutItem& put : transaction.puts) {
     const auto known = m_entries.find(put.key);
-    const std::uint64_t created =
-        known == m_entries.end() ? m_revision : known->second.created;
-    const KeyValue item{put.key, put.value, m_revision, created, put.lease};
+    const std::uint64_t created_revision =
+        known == m_entries.end() ? m_revision : known->second.created_revision;
+    const KeyValue item{put.key, put.value, m_revision, created_revision,
+                        put.lease};
     m_entries[put.key] = item;
     Record(item);
   }
@@ -74,18 +75,18 @@
     }
   }
   revision = m_revision;
-  return ChangeEnd::kDone;
+  return TransactionOutcome::kApplied;
 }
 
 std::uint64_t KvStore::Grant(Duration ttl) {
   const std::scoped_lock lock(m_mutex);
-  m_leases[++m_last_lease] = Lease{ttl, m_clock.Now() + ttl};
-  return m_last_lease;
+  m_leases[++m_last_lease_id] = Lease{ttl, m_clock.Now() + ttl};
+  return m_last_lease_id;
 }
 
 std::optional<Duration> KvStore::Renew(std::uint64_t lease) {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
+  ExpireLeases();
   const auto found = m_leases.find(lease);
   if (found == m_leases.end()) {
     return std::nullopt;
@@ -94,19 +95,20 @@
   return found->second.ttl;
 }
 
-bool KvStore::Touch(const std::string& key, const std::string& value) {
+bool KvStore::RenewLeaseIfUnchanged(const std::string& key,
+                                    const std::string& value) {
   const auto held = Get(key);
   return held && held->value == value && held->lease != 0 &&
          Renew(held->lease).has_value();
 }
 
-bool KvStore::End(std::uint64_t lease) {
+bool KvStore::Revoke(std::uint64_t lease) {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
+  ExpireLeases();
   if (m_leases.erase(lease) == 0) {
     return false;
   }
-  RemoveOrphans();
+  RemoveKeysWithoutLease();
   return true;
 }
 
@@ -115,12 +117,12 @@
                            Duration wait) {
   const auto end = std::chrono::steady_clock::now() + wait;
   std::unique_lock lock(m_mutex);
-  const std::uint64_t interrupts = m_interrupts;
+  const std::uint64_t interrupt_count = m_interrupt_count;
   WatchResult result;
   while (true) {
-    DropLapsed();
+    ExpireLeases();
     result.revision = m_revision;
-    result.compacted = after < m_compacted || after > m_revision;
+    result.compacted = after < m_compacted_revision || after > m_revision;
     for (const KeyValue& change : m_history) {
       if (change.revision > after && change.key.starts_with(prefix)) {
         result.events.push_back(change);
@@ -128,37 +130,37 @@
     }
     const auto now = std::chrono::steady_clock::now();
     if (result.compacted || !result.events.empty() || now >= end ||
-        interrupts != m_interrupts) {
+        interrupt_count != m_interrupt_count) {
       return result;
     }
-    m_changed.wait_until(lock, std::min(end, now + UntilNextLapse()));
+    m_changed.wait_until(lock, std::min(end, now + TimeToNextExpiry()));
   }
 }
 
-void KvStore::KeepCopy() {
+void KvStore::TakeSnapshot() {
   const std::scoped_lock lock(m_mutex);
-  DropLapsed();
-  m_copy = Copy{m_entries, m_leases, m_revision, m_last_lease};
+  ExpireLeases();
+  m_snapshot = Snapshot{m_entries, m_leases, m_revision, m_last_lease_id};
 }
 
 bool KvStore::Restore() {
   const std::scoped_lock lock(m_mutex);
-  if (!m_copy) {
+  if (!m_snapshot) {
     return false;
   }
-  m_entries = m_copy->entries;
-  m_leases = m_copy->leases;
+  m_entries = m_snapshot->entries;
+  m_leases = m_snapshot->leases;
   for (auto& [id, lease] : m_leases) {
     lease.expires = m_clock.Now() + lease.ttl;
   }
-  m_revision = m_copy->revision;
-  m_last_lease = m_copy->last_lease;
-  m_compacted = std::min(m_compacted, m_revision);
+  m_revision = m_snapshot->revision;
+  m_last_lease_id = m_snapshot->last_lease_id;
+  m_compacted_revision = std::min(m_compacted_revision, m_revision);
   std::erase_if(m_history, [&](const KeyValue& change) {
     return change.revision > m_revision;
   });
   ++m_era;
-  ++m_interrupts;
+  ++m_interrupt_count;
   m_changed.notify_all();
   return true;
 }
@@ -171,28 +173,28 @@
 void KvStore::Compact() {
   const std::scoped_lock lock(m_mutex);
   m_history.clear();
-  m_compacted = m_revision;
-  ++m_interrupts;
+  m_compacted_revision = m_revision;
+  ++m_interrupt_count;
   m_changed.notify_all();
 }
 
 void KvStore::InterruptWatches() {
   const std::scoped_lock lock(m_mutex);
-  ++m_interrupts;
+  ++m_interrupt_count;
   m_changed.notify_all();
 }
 
-void KvStore::DropLapsed() {
+void KvStore::ExpireLeases() {
   const TimePoint now = m_clock.Now();
-  const auto lapsed = [&](const auto& item) {
+  const auto expired = [&](const auto& item) {
     return item.second.expires <= now;
   };
-  if (std::erase_if(m_leases, lapsed) > 0) {
-    RemoveOrphans();
+  if (std::erase_if(m_leases, expired) > 0) {
+    RemoveKeysWithoutLease();
   }
 }
 
-void KvStore::RemoveOrphans() {
+void KvStore::RemoveKeysWithoutLease() {
   for (auto at = m_entries.begin(); at != m_entries.end();) {
     const std::uint64_t lease = at->second.lease;
     if (lease == 0 || m_leases.contains(lease)) {
@@ -206,14 +208,14 @@
 
 void KvStore::Record(const KeyValue& change) {
   m_history.push_back(change);
-  if (m_history.size() > kMostHistory) {
-    m_compacted = m_history.front().revision;
+  if (m_history.size() > kMaxHistory) {
+    m_compacted_revision = m_history.front().revision;
     m_history.pop_front();
   }
   m_changed.notify_all();
 }
 
-bool KvStore::Holds(const Transaction& transaction) const {
+bool KvStore::ConditionsHold(const Transaction& transaction) const {
   return std::ranges::all_of(
       transaction.conditions, [&](const Condition& condition) {
         const auto found = m_entries.find(condition.key);
@@ -223,7 +225,7 @@
       });
 }
 
-Duration KvStore::UntilNextLapse() const {
+Duration KvStore::TimeToNextExpiry() const {
   constexpr Duration kShortestWait = std::chrono::milliseconds(1);
   Duration wait = std::chrono::minutes(1);
   const TimePoint now = m_clock.Now();
--- a/standins/store/kv_store.h
+++ b/standins/store/kv_store.h
@@ -22,7 +22,7 @@
   std::optional<std::string> value;
   //! Of the last change.
   std::uint64_t revision = 0;
-  std::uint64_t created = 0;
+  std::uint64_t created_revision = 0;
   //! 0 for none.
   std::uint64_t lease = 0;
 };
@@ -63,7 +63,7 @@
 };
 
 /*! \brief How a change ended. */
-enum class ChangeEnd { kDone, kConflict, kNoLease };
+enum class TransactionOutcome { kApplied, kConflict, kNoLease };
 
 /**
  * \brief Keys and values in memory, safe to use from many threads.
@@ -87,8 +87,8 @@
                               const std::string& after);
 
   /*! \brief Makes a change. */
-  [[nodiscard]] ChangeEnd Apply(const Transaction& transaction,
-                                std::uint64_t& revision);
+  [[nodiscard]] TransactionOutcome Apply(const Transaction& transaction,
+                                         std::uint64_t& revision);
 
   /*! \brief Makes a lease that lapses unless it is renewed. */
   [[nodiscard]] std::uint64_t Grant(Duration ttl);
@@ -98,10 +98,11 @@
 
   /*! \brief Prolongs the lease of a key that has this value; false, with
    * nothing done, if it has another one or no lease. */
-  [[nodiscard]] bool Touch(const std::string& key, const std::string& value);
+  [[nodiscard]] bool RenewLeaseIfUnchanged(const std::string& key,
+                                           const std::string& value);
 
   /*! \brief Ends a lease with its keys; false if there is none. */
-  [[nodiscard]] bool End(std::uint64_t lease);
+  [[nodiscard]] bool Revoke(std::uint64_t lease);
 
   /**
    * \brief Waits for changes after a revision.
@@ -112,7 +113,7 @@
                                   Duration wait);
 
   /*! \brief Keeps a copy of what is there now, in place of the one before. */
-  void KeepCopy();
+  void TakeSnapshot();
 
   /**
    * \brief Comes back from the copy: all changes since are gone, leases too,
@@ -138,18 +139,18 @@
   };
 
   //! What Restore() goes back to.
-  struct Copy {
+  struct Snapshot {
     std::map<std::string, KeyValue> entries;
     std::map<std::uint64_t, Lease> leases;
     std::uint64_t revision = 0;
-    std::uint64_t last_lease = 0;
+    std::uint64_t last_lease_id = 0;
   };
 
-  void DropLapsed();
-  void RemoveOrphans();
+  void ExpireLeases();
+  void RemoveKeysWithoutLease();
   void Record(const KeyValue& change);
-  [[nodiscard]] bool Holds(const Transaction& transaction) const;
-  [[nodiscard]] Duration UntilNextLapse() const;
+  [[nodiscard]] bool ConditionsHold(const Transaction& transaction) const;
+  [[nodiscard]] Duration TimeToNextExpiry() const;
 
   const Clock& m_clock;
   mutable std::mutex m_mutex;
@@ -159,12 +160,12 @@
   //! Changes in order.
   std::deque<KeyValue> m_history;
   //! History up to here is gone.
-  std::uint64_t m_compacted = 0;
+  std::uint64_t m_compacted_revision = 0;
   std::uint64_t m_revision = 0;
-  std::uint64_t m_last_lease = 0;
+  std::uint64_t m_last_lease_id = 0;
   std::uint64_t m_era = 1;
-  std::optional<Copy> m_copy;
-  std::uint64_t m_interrupts = 0;
+  std::optional<Snapshot> m_snapshot;
+  std::uint64_t m_interrupt_count = 0;
 };
 
 }  // namespace jacinthdeck::standins
--- a/standins/store/rate_limit.h
+++ b/standins/store/rate_limit.h
@@ -17,9 +17,9 @@
 
   /*! \brief Takes a token; false when none is left. */
   [[nodiscard]] bool Take(TimePoint now) noexcept {
-    const double seconds = ToMilliseconds(now - m_filled) / 1000.0;
+    const double seconds = ToMilliseconds(now - m_last_refill) / 1000.0;
     m_tokens = std::min(m_per_second, m_tokens + seconds * m_per_second);
-    m_filled = now;
+    m_last_refill = now;
     if (m_tokens < 1) {
       return false;
     }
@@ -34,7 +34,7 @@
   double m_per_second;
   //! Between 0 and m_per_second.
   double m_tokens;
-  TimePoint m_filled{};
+  TimePoint m_last_refill{};
 };
 
 }  // namespace jacinthdeck::standins
--- a/standins/store/restore_drill.cc
+++ b/standins/store/restore_drill.cc
@@ -22,25 +22,25 @@
   return !stop.stop_requested();
 }
 
-void Play(StoreServer& server,
-          const RestoreTimes& times,
-          const std::stop_token& stop) {
-  const Moment begin = std::chrono::steady_clock::now();
-  if (!WaitUntil(begin + times.copy, stop)) {
+void RunDrill(StoreServer& server,
+              const RestoreTimes& times,
+              const std::stop_token& stop) {
+  const Moment start = std::chrono::steady_clock::now();
+  if (!WaitUntil(start + times.snapshot, stop)) {
     return;
   }
-  StoreControl copy;
-  copy.faults = server.faults();
-  copy.keep_copy = true;
-  server.Apply(copy);
-  if (!WaitUntil(begin + std::min(times.silent, times.restore), stop)) {
+  StoreControl snapshot;
+  snapshot.faults = server.faults();
+  snapshot.take_snapshot = true;
+  server.Apply(snapshot);
+  if (!WaitUntil(start + std::min(times.silent, times.restore), stop)) {
     return;
   }
-  StoreControl silence;
-  silence.faults = server.faults();
-  silence.faults.outage = Outage::kSilent;
-  server.Apply(silence);
-  if (!WaitUntil(begin + times.restore, stop)) {
+  StoreControl outage;
+  outage.faults = server.faults();
+  outage.faults.outage = Outage::kSilent;
+  server.Apply(outage);
+  if (!WaitUntil(start + times.restore, stop)) {
     return;
   }
   StoreControl restore;
@@ -54,7 +54,7 @@
 
 RestoreDrill::RestoreDrill(StoreServer& server, const RestoreTimes& times)
     : m_thread([&server, times](const std::stop_token& stop) {
-        Play(server, times, stop);
+        RunDrill(server, times, stop);
       }) {}
 
 }  // namespace jacinthdeck::standins
--- a/standins/store/restore_drill.h
+++ b/standins/store/restore_drill.h
@@ -12,7 +12,7 @@
 /*! \brief Times from the start of a drill. */
 struct RestoreTimes {
   //! A copy is kept.
-  Duration copy{};
+  Duration snapshot{};
   //! The store answers nobody from then on; at the restore at the latest.
   Duration silent{};
   //! The store comes back from the copy.
--- a/standins/store/store_control.cc
+++ b/standins/store/store_control.cc
@@ -49,7 +49,7 @@
     }
   }
   if (message.Has("copy")) {
-    BOOST_LEAF_ASSIGN(control.keep_copy, message.Bool("copy"));
+    BOOST_LEAF_ASSIGN(control.take_snapshot, message.Bool("copy"));
   }
   if (message.Has("restore")) {
     BOOST_LEAF_ASSIGN(control.restore, message.Bool("restore"));
--- a/standins/store/store_control.h
+++ b/standins/store/store_control.h
@@ -26,7 +26,7 @@
   std::optional<double> writes;
   bool compact = false;
   //! Keep a copy of what is there before the puts and removes.
-  bool keep_copy = false;
+  bool take_snapshot = false;
   //! Come back from the copy, before all else.
   bool restore = false;
   std::vector<ControlPut> puts;
--- a/standins/store/store_server.cc
+++ b/standins/store/store_server.cc
@@ -23,18 +23,18 @@
 
 constexpr std::size_t kMaxConnections = 2000;
 constexpr std::uint64_t kMaxWatchMs = 30000;
-constexpr std::uint64_t kMostNumber = std::numeric_limits<std::int64_t>::max();
-constexpr std::string_view kOwnedByOthers[] = {"op/", "servers/"};
+constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
+constexpr std::string_view kReadOnlyPrefixes[] = {"op/", "servers/"};
 constexpr std::string_view kRenewPrefix = "/-/kv-keep/";
-constexpr std::string_view kEndPrefix = "/-/kv-lease-end/";
+constexpr std::string_view kRevokePrefix = "/-/kv-lease-end/";
 
-[[nodiscard]] HttpReply Json(unsigned int status, json_t* value) {
+[[nodiscard]] HttpReply ReplyWithJson(unsigned int status, json_t* value) {
   const JsonPtr owned(value);
   return HttpReply{status, DumpJson(*owned), false};
 }
 
-[[nodiscard]] HttpReply Problem(unsigned int status, const char* text) {
-  return Json(status, json_pack("{s:s}", "error", text));
+[[nodiscard]] HttpReply ErrorReply(unsigned int status, const char* text) {
+  return ReplyWithJson(status, json_pack("{s:s}", "error", text));
 }
 
 [[nodiscard]] json_t* ToJson(const KeyValue& item) {
@@ -46,7 +46,7 @@
   }
   const std::string text = platform::EncodeBase64(*item.value);
   json_object_set_new(json, "value", json_string(text.c_str()));
-  json_object_set_new(json, "created", JsonNumber(item.created));
+  json_object_set_new(json, "created", JsonNumber(item.created_revision));
   json_object_set_new(json, "leaseId", JsonNumber(item.lease));
   return json;
 }
@@ -65,8 +65,8 @@
   return found == request.parameters.end() ? "" : found->second;
 }
 
-[[nodiscard]] std::uint64_t LeaseIn(const HttpRequest& request,
-                                    std::string_view prefix) {
+[[nodiscard]] std::uint64_t ParseLeaseId(const HttpRequest& request,
+                                         std::string_view prefix) {
   std::uint64_t lease = 0;
   const std::string& path = request.path;
   (void)std::from_chars(path.data() + prefix.size(), path.data() + path.size(),
@@ -80,7 +80,7 @@
   BOOST_LEAF_AUTO(text, item.String("value"));
   BOOST_LEAF_ASSIGN(put.value, platform::DecodeBase64(text));
   if (item.Has("leaseId")) {
-    BOOST_LEAF_ASSIGN(put.lease, item.Unsigned("leaseId", kMostNumber));
+    BOOST_LEAF_ASSIGN(put.lease, item.Unsigned("leaseId", kMaxNumber));
   }
   return put;
 }
@@ -95,7 +95,7 @@
       Condition condition;
       BOOST_LEAF_ASSIGN(condition.key, row.String("key"));
       BOOST_LEAF_ASSIGN(condition.revision,
-                        row.Unsigned("revision", kMostNumber));
+                        row.Unsigned("revision", kMaxNumber));
       transaction.conditions.push_back(condition);
     }
   }
@@ -116,17 +116,17 @@
   return transaction;
 }
 
-[[nodiscard]] bool IsOwnedByOthers(const std::string& key) {
-  return std::ranges::any_of(kOwnedByOthers, [&](std::string_view prefix) {
+[[nodiscard]] bool IsReadOnlyKey(const std::string& key) {
+  return std::ranges::any_of(kReadOnlyPrefixes, [&](std::string_view prefix) {
     return key.starts_with(prefix);
   });
 }
 
-[[nodiscard]] bool TouchesOthers(const Transaction& transaction) {
+[[nodiscard]] bool WritesReadOnlyKey(const Transaction& transaction) {
   return std::ranges::any_of(
              transaction.puts,
-             [](const PutItem& put) { return IsOwnedByOthers(put.key); }) ||
-         std::ranges::any_of(transaction.removes, IsOwnedByOthers);
+             [](const PutItem& put) { return IsReadOnlyKey(put.key); }) ||
+         std::ranges::any_of(transaction.removes, IsReadOnlyKey);
 }
 
 }  // namespace
@@ -180,12 +180,13 @@
   if (control.restore) {
     (void)m_content.Restore();
   }
-  if (control.keep_copy) {
-    m_content.KeepCopy();
+  if (control.take_snapshot) {
+    m_content.TakeSnapshot();
   }
   Transaction transaction;
   for (const ControlPut& put : control.puts) {
-    if (put.ttl > Duration::zero() && m_content.Touch(put.key, put.value)) {
+    if (put.ttl > Duration::zero() &&
+        m_content.RenewLeaseIfUnchanged(put.key, put.value)) {
       continue;
     }
     const std::uint64_t lease =
@@ -209,12 +210,12 @@
   if (request.path == "/control") {
     return request.verb == "POST" ? Control(request) : Counts();
   }
-  HttpReply reply = Answer(request);
+  HttpReply reply = AnswerWithFaults(request);
   reply.headers.insert_or_assign("Store-Era", std::to_string(m_content.era()));
   return reply;
 }
 
-HttpReply StoreServer::Answer(const HttpRequest& request) {
+HttpReply StoreServer::AnswerWithFaults(const HttpRequest& request) {
   const StoreFaults present = faults();
   if (present.delay > Duration::zero()) {
     std::this_thread::sleep_for(present.delay);
@@ -231,7 +232,7 @@
   }
   // A connection on which a reply was due stays without one.
   return present.outage == Outage::kBusy
-             ? Problem(http_status::kUnavailable, "busy")
+             ? ErrorReply(http_status::kUnavailable, "busy")
              : DropConnection();
 }
 
@@ -249,38 +250,40 @@
        true, &StoreServer::Grant},
       {"POST", kRenewPrefix, &StoreCounts::renewals, &StoreServer::m_reads,
        true, &StoreServer::Renew},
-      {"DELETE", kEndPrefix, &StoreCounts::writes, &StoreServer::m_writes, true,
-       &StoreServer::End},
+      {"DELETE", kRevokePrefix, &StoreCounts::writes, &StoreServer::m_writes,
+       true, &StoreServer::Revoke},
   }};
-  const auto route = std::ranges::find_if(kRoutes, [&](const Route& one) {
-    return one.verb == request.verb && request.path.starts_with(one.prefix);
+  const auto route = std::ranges::find_if(kRoutes, [&](const Route& candidate) {
+    return candidate.verb == request.verb &&
+           request.path.starts_with(candidate.prefix);
   });
   if (route == kRoutes.end()) {
-    return Problem(http_status::kNotFound, "unknown call");
+    return ErrorReply(http_status::kNotFound, "unknown call");
   }
   if (!Admit(*route)) {
-    return Problem(http_status::kTooManyRequests, "rate");
+    return ErrorReply(http_status::kTooManyRequests, "rate");
   }
   HttpReply reply = (this->*route->handler)(request);
-  return route->writes && LoseReply() ? DropConnection() : reply;
+  return route->writes && ShouldLoseReply() ? DropConnection() : reply;
 }
 
 HttpReply StoreServer::Get(const HttpRequest& request) {
   const auto item = m_content.Get(Parameter(request, "key"));
   if (!item) {
-    return Problem(http_status::kNotFound, "no such key");
+    return ErrorReply(http_status::kNotFound, "no such key");
   }
   json_t* json = ToJson(*item);
   json_object_set_new(json, "readRev", JsonNumber(m_content.revision()));
-  return Json(200, json);
+  return ReplyWithJson(200, json);
 }
 
 HttpReply StoreServer::Range(const HttpRequest& request) {
   const KeyPage page = m_content.Range(Parameter(request, "prefix"),
                                        Parameter(request, "after"));
-  return Json(200, json_pack("{s:o, s:b, s:o}", "items", ToJson(page.items),
-                             "hasMore", page.has_more ? 1 : 0, "readRev",
-                             JsonNumber(page.revision)));
+  return ReplyWithJson(
+      200,
+      json_pack("{s:o, s:b, s:o}", "items", ToJson(page.items), "hasMore",
+                page.has_more ? 1 : 0, "readRev", JsonNumber(page.revision)));
 }
 
 HttpReply StoreServer::Watch(const HttpRequest& request) {
@@ -294,28 +297,30 @@
     return DropConnection();
   }
   if (result.compacted) {
-    return Problem(http_status::kGone, "history is gone");
+    return ErrorReply(http_status::kGone, "history is gone");
   }
-  return Json(200, json_pack("{s:o, s:o}", "events", ToJson(result.events),
-                             "readRev", JsonNumber(result.revision)));
+  return ReplyWithJson(
+      200, json_pack("{s:o, s:o}", "events", ToJson(result.events), "readRev",
+                     JsonNumber(result.revision)));
 }
 
 HttpReply StoreServer::Write(const HttpRequest& request) {
   const auto read = Capture([&] { return ReadTransaction(request.body); });
   if (const auto* error = std::get_if<Error>(&read)) {
-    return Problem(http_status::kBadRequest, error->message.c_str());
+    return ErrorReply(http_status::kBadRequest, error->message.c_str());
   }
   const auto& transaction = std::get<0>(read);
-  if (TouchesOthers(transaction)) {
-    return Problem(http_status::kForbidden, "key of another owner");
+  if (WritesReadOnlyKey(transaction)) {
+    return ErrorReply(http_status::kForbidden, "key of another owner");
   }
   std::uint64_t revision = 0;
   switch (m_content.Apply(transaction, revision)) {
-    case ChangeEnd::kDone:
-      return Json(200, json_pack("{s:o}", "revision", JsonNumber(revision)));
-    case ChangeEnd::kNoLease:
-      return Problem(http_status::kNotFound, "no such lease");
-    case ChangeEnd::kConflict:
+    case TransactionOutcome::kApplied:
+      return ReplyWithJson(
+          200, json_pack("{s:o}", "revision", JsonNumber(revision)));
+    case TransactionOutcome::kNoLease:
+      return ErrorReply(http_status::kNotFound, "no such lease");
+    case TransactionOutcome::kConflict:
       break;
   }
   std::vector<KeyValue> present;
@@ -324,8 +329,8 @@
       present.push_back(*item);
     }
   }
-  return Json(http_status::kPreconditionFailed,
-              json_pack("{s:o}", "items", ToJson(present)));
+  return ReplyWithJson(http_status::kPreconditionFailed,
+                       json_pack("{s:o}", "items", ToJson(present)));
 }
 
 HttpReply StoreServer::Grant(const HttpRequest& request) {
@@ -334,30 +339,31 @@
     return JsonReader(json.get(), "lease").Unsigned("ttlMs", 600000);
   });
   if (const auto* error = std::get_if<Error>(&read)) {
-    return Problem(http_status::kBadRequest, error->message.c_str());
+    return ErrorReply(http_status::kBadRequest, error->message.c_str());
   }
   const std::uint64_t ttl = std::get<0>(read);
   const std::uint64_t lease = m_content.Grant(std::chrono::milliseconds(ttl));
-  return Json(200, json_pack("{s:o, s:o}", "leaseId", JsonNumber(lease),
-                             "ttlMs", JsonNumber(ttl)));
+  return ReplyWithJson(
+      200, json_pack("{s:o, s:o}", "leaseId", JsonNumber(lease), "ttlMs",
+                     JsonNumber(ttl)));
 }
 
 HttpReply StoreServer::Renew(const HttpRequest& request) {
-  const auto ttl = m_content.Renew(LeaseIn(request, kRenewPrefix));
+  const auto ttl = m_content.Renew(ParseLeaseId(request, kRenewPrefix));
   if (!ttl) {
-    return Problem(http_status::kNotFound, "no such lease");
+    return ErrorReply(http_status::kNotFound, "no such lease");
   }
   constexpr int kMicrosecondsPerMillisecond = 1000;
-  return Json(200,
-              json_pack("{s:o}", "ttlMs",
-                        JsonNumber(static_cast<std::uint64_t>(ttl->count()) /
-                                   kMicrosecondsPerMillisecond)));
+  return ReplyWithJson(
+      200, json_pack("{s:o}", "ttlMs",
+                     JsonNumber(static_cast<std::uint64_t>(ttl->count()) /
+                                kMicrosecondsPerMillisecond)));
 }
 
-HttpReply StoreServer::End(const HttpRequest& request) {
-  return m_content.End(LeaseIn(request, kEndPrefix))
-             ? Json(200, json_object())
-             : Problem(http_status::kNotFound, "no such lease");
+HttpReply StoreServer::Revoke(const HttpRequest& request) {
+  return m_content.Revoke(ParseLeaseId(request, kRevokePrefix))
+             ? ReplyWithJson(200, json_object())
+             : ErrorReply(http_status::kNotFound, "no such lease");
 }
 
 HttpReply StoreServer::Control(const HttpRequest& request) {
@@ -365,16 +371,16 @@
       Capture([&] { return ParseStoreControl(request.body, faults()); });
   if (const auto* error = std::get_if<Error>(&read)) {
     const std::string text = error->subject + " " + error->message;
-    return Problem(http_status::kBadRequest, text.c_str());
+    return ErrorReply(http_status::kBadRequest, text.c_str());
   }
   Apply(std::get<0>(read));
-  return Json(200,
-              json_pack("{s:o}", "revision", JsonNumber(m_content.revision())));
+  return ReplyWithJson(
+      200, json_pack("{s:o}", "revision", JsonNumber(m_content.revision())));
 }
 
 HttpReply StoreServer::Counts() const {
   const StoreCounts now = counts();
-  return Json(
+  return ReplyWithJson(
       200,
       json_pack("{s:o, s:o, s:o, s:o, s:o, s:o, s:o}", "reads",
                 JsonNumber(now.reads), "watches", JsonNumber(now.watches),
@@ -394,7 +400,7 @@
   return false;
 }
 
-bool StoreServer::LoseReply() {
+bool StoreServer::ShouldLoseReply() {
   const std::scoped_lock lock(m_mutex);
   const bool lost = m_faults.lose_reply_share > 0 &&
                     m_random.Unit() < m_faults.lose_reply_share;
--- a/standins/store/store_server.h
+++ b/standins/store/store_server.h
@@ -55,7 +55,7 @@
   struct Route;
 
   [[nodiscard]] HttpReply Handle(const HttpRequest& request);
-  [[nodiscard]] HttpReply Answer(const HttpRequest& request);
+  [[nodiscard]] HttpReply AnswerWithFaults(const HttpRequest& request);
   [[nodiscard]] HttpReply Dispatch(const HttpRequest& request);
   [[nodiscard]] HttpReply Get(const HttpRequest& request);
   [[nodiscard]] HttpReply Range(const HttpRequest& request);
@@ -63,11 +63,11 @@
   [[nodiscard]] HttpReply Write(const HttpRequest& request);
   [[nodiscard]] HttpReply Grant(const HttpRequest& request);
   [[nodiscard]] HttpReply Renew(const HttpRequest& request);
-  [[nodiscard]] HttpReply End(const HttpRequest& request);
+  [[nodiscard]] HttpReply Revoke(const HttpRequest& request);
   [[nodiscard]] HttpReply Control(const HttpRequest& request);
   [[nodiscard]] HttpReply Counts() const;
   [[nodiscard]] bool Admit(const Route& route);
-  [[nodiscard]] bool LoseReply();
+  [[nodiscard]] bool ShouldLoseReply();
 
   const Clock& m_clock;
   KvStore m_content;
--- a/standins/store_main.cc
+++ b/standins/store_main.cc
@@ -17,7 +17,7 @@
 struct StoreOptions {
   StoreRates rates;
   std::uint64_t seed = 1;
-  std::uint64_t copy_after_ms = 0;
+  std::uint64_t snapshot_after_ms = 0;
   std::uint64_t silent_after_ms = 0;
   //! 0: no restore.
   std::uint64_t restore_after_ms = 0;
@@ -28,7 +28,7 @@
   StoreServer server(port, clock, options.rates, options.seed);
   std::optional<RestoreDrill> drill;
   if (options.restore_after_ms > 0) {
-    drill.emplace(server, RestoreTimes{milliseconds(options.copy_after_ms),
+    drill.emplace(server, RestoreTimes{milliseconds(options.snapshot_after_ms),
                                        milliseconds(options.silent_after_ms),
                                        milliseconds(options.restore_after_ms)});
   }
@@ -54,7 +54,7 @@
       "writes and lease calls above are answered 429")(
       "seed", po::value(&store.seed)->default_value(store.seed),
       "seed of the random faults")(
-      "copy-after-ms", po::value(&store.copy_after_ms)->default_value(0),
+      "copy-after-ms", po::value(&store.snapshot_after_ms)->default_value(0),
       "time from the start until a copy is kept")(
       "silent-after-ms", po::value(&store.silent_after_ms)->default_value(0),
       "time from the start until the store answers nobody")(
--- a/test/daemons/ctl_test.cc
+++ b/test/daemons/ctl_test.cc
@@ -146,7 +146,7 @@
 // Guards against an operator who takes a drill for done while a host serves by
 // the history before.
 BOOST_AUTO_TEST_CASE(Era_OneHostIsBehindAndOneIsDown_BothAreNamed) {
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   BOOST_TEST(store.content().Restore());
   const auto answer = [](const std::string& era) {
     return [era](const standins::HttpRequest&) {
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -240,7 +240,7 @@
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   for (const char* id : {"a", "b", "c"}) {
     PutTarget(id);
   }
@@ -261,7 +261,7 @@
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   PutTarget("b");
   Until([&] { return targets() == 2; });
   SetOutage(standins::Outage::kDrop);
@@ -309,7 +309,7 @@
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   PutConfig(2);
   Until([&] { return ConfigVersion() == 2; });
   BOOST_TEST(store.content().Restore());
@@ -348,7 +348,7 @@
 BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreTaken) {
   PutConfig(1);
   PutTarget("left");
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   PutConfig(2);
   standins::StoreControl leaves;
   leaves.removes.emplace_back("servers/left");
@@ -378,7 +378,7 @@
 // and its lease's number is another host's.
 BOOST_AUTO_TEST_CASE(
     Register_StoreIsRestored_RecordIsWrittenWithALeaseOfItsOwn) {
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   session.Register(MakeRecord("h"));
   const std::string key = codec.HostKey(NodeId("h"));
   Until([&] { return store.content().Get(key).has_value(); });
@@ -452,7 +452,7 @@
 // after the copy was made, with a lease that is gone.
 BOOST_AUTO_TEST_CASE(Members_StoreIsRestored_AreWrittenAgain) {
   const std::string key = codec.HostKey(NodeId("a"));
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   session.TakeMember(codec.WriteHost(MakeRecord("a")));
@@ -477,7 +477,7 @@
     control.puts.push_back({key, codec.WriteHost(record), {}});
     store.Apply(control);
   };
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   Until([&] { return session.knowledge().FindHost(NodeId("h")) != nullptr; });
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -121,7 +121,7 @@
 BOOST_AUTO_TEST_CASE(Beat_IsOfAnEraBefore_StoreIsAsked) {
   Begin();
   session.TakeContent({}, At(1, 2), true);
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   BOOST_REQUIRE(store.content().Restore());
   BOOST_TEST(CallsWhenSettled() > 0U);
 }
--- a/test/standins/kv_store_test.cc
+++ b/test/standins/kv_store_test.cc
@@ -18,9 +18,9 @@
   KvStore store{clock};
   std::uint64_t revision = 0;
 
-  ChangeEnd Put(const std::string& key,
-                const std::string& value,
-                std::uint64_t lease = 0) {
+  TransactionOutcome Put(const std::string& key,
+                         const std::string& value,
+                         std::uint64_t lease = 0) {
     return store.Apply({{}, {{key, value, lease}}, {}}, revision);
   }
 };
@@ -30,16 +30,17 @@
 BOOST_FIXTURE_TEST_SUITE(KvStoreTest, KvFixture)
 
 BOOST_AUTO_TEST_CASE(Apply_ConditionFails_ChangesNothing) {
-  BOOST_TEST((Put("a", "1") == ChangeEnd::kDone));
+  BOOST_TEST((Put("a", "1") == TransactionOutcome::kApplied));
   const Transaction transaction{{{"a", 0}}, {{"b", "2", 0}}, {"a"}};
-  BOOST_TEST((store.Apply(transaction, revision) == ChangeEnd::kConflict));
+  BOOST_TEST(
+      (store.Apply(transaction, revision) == TransactionOutcome::kConflict));
   BOOST_TEST(store.Get("a").has_value());
   BOOST_TEST(!store.Get("b").has_value());
 }
 
 BOOST_AUTO_TEST_CASE(Lease_Lapses_ItsKeysGoAndTheWatchTells) {
   const std::uint64_t lease = store.Grant(seconds(1));
-  BOOST_TEST((Put("a", "1", lease) == ChangeEnd::kDone));
+  BOOST_TEST((Put("a", "1", lease) == TransactionOutcome::kApplied));
   clock.Advance(milliseconds(600));
   BOOST_TEST(store.Renew(lease).has_value());
   clock.Advance(milliseconds(600));
@@ -49,7 +50,7 @@
   BOOST_REQUIRE_EQUAL(result.events.size(), 1U);
   BOOST_TEST(!result.events[0].value.has_value());
   BOOST_TEST(!store.Renew(lease).has_value());
-  BOOST_TEST((Put("b", "1", lease) == ChangeEnd::kNoLease));
+  BOOST_TEST((Put("b", "1", lease) == TransactionOutcome::kNoLease));
 }
 
 BOOST_AUTO_TEST_CASE(Watch_HistoryIsForgotten_SaysSo) {
@@ -79,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(Restore_AfterChanges_GivesRevisionsOutAgain) {
   (void)Put("a", "1");
   const std::uint64_t copied = revision;
-  store.KeepCopy();
+  store.TakeSnapshot();
   (void)Put("a", "2");
   (void)Put("b", "1");
   const std::uint64_t before = revision;
@@ -95,11 +96,11 @@
 
 BOOST_AUTO_TEST_CASE(Touch_SameValue_ProlongsTheLeaseWithoutAChange) {
   const std::uint64_t lease = store.Grant(seconds(1));
-  BOOST_TEST((Put("a", "1", lease) == ChangeEnd::kDone));
+  BOOST_TEST((Put("a", "1", lease) == TransactionOutcome::kApplied));
   clock.Advance(milliseconds(600));
-  BOOST_TEST(store.Touch("a", "1"));
-  BOOST_TEST(!store.Touch("a", "2"));
-  BOOST_TEST(!store.Touch("b", "1"));
+  BOOST_TEST(store.RenewLeaseIfUnchanged("a", "1"));
+  BOOST_TEST(!store.RenewLeaseIfUnchanged("a", "2"));
+  BOOST_TEST(!store.RenewLeaseIfUnchanged("b", "1"));
   clock.Advance(milliseconds(600));
   BOOST_TEST(store.revision() == revision);
   BOOST_TEST(store.Get("a").has_value());
