--- a/standins/store/store_control.cc
+++ b/standins/store/store_control.cc
@@ -80,10 +80,12 @@
                       message.Number("lose_reply_share"));
   }
   if (message.Has("reads_per_second")) {
-    BOOST_LEAF_ASSIGN(control.reads, message.Number("reads_per_second"));
+    BOOST_LEAF_ASSIGN(control.reads_per_second,
+                      message.Number("reads_per_second"));
   }
   if (message.Has("writes_per_second")) {
-    BOOST_LEAF_ASSIGN(control.writes, message.Number("writes_per_second"));
+    BOOST_LEAF_ASSIGN(control.writes_per_second,
+                      message.Number("writes_per_second"));
   }
   BOOST_LEAF_CHECK(ReadChanges(message, control));
   return control;
--- a/standins/store/store_control.h
+++ b/standins/store/store_control.h
@@ -22,8 +22,8 @@
 /*! \brief What a control message asks for. */
 struct StoreControl {
   StoreFaults faults;
-  std::optional<double> reads;
-  std::optional<double> writes;
+  std::optional<double> reads_per_second;
+  std::optional<double> writes_per_second;
   bool compact = false;
   //! Keep a copy of what is there before the puts and removes.
   bool take_snapshot = false;
--- a/standins/store/store_faults.h
+++ b/standins/store/store_faults.h
@@ -35,8 +35,8 @@
 
 /*! \brief Limits of the store, calls a second. */
 struct StoreRates {
-  double reads = 2000;
-  double writes = 400;
+  double reads_per_second = 2000;
+  double writes_per_second = 400;
 };
 
 /*! \brief Calls so far. */
--- a/standins/store/store_server.cc
+++ b/standins/store/store_server.cc
@@ -149,8 +149,8 @@
                          std::uint64_t seed)
     : m_clock(clock),
       m_content(clock),
-      m_reads(rates.reads),
-      m_writes(rates.writes),
+      m_reads(rates.reads_per_second),
+      m_writes(rates.writes_per_second),
       m_random(seed),
       m_server({.port = port, .max_connections = kMaxConnections},
                [this](const HttpRequest& request) { return Handle(request); }) {
@@ -170,11 +170,11 @@
   {
     const std::scoped_lock lock(m_mutex);
     m_faults = control.faults;
-    if (control.reads) {
-      m_reads.set_rate(*control.reads);
+    if (control.reads_per_second) {
+      m_reads.set_rate(*control.reads_per_second);
     }
-    if (control.writes) {
-      m_writes.set_rate(*control.writes);
+    if (control.writes_per_second) {
+      m_writes.set_rate(*control.writes_per_second);
     }
   }
   if (control.restore) {
--- a/standins/store_main.cc
+++ b/standins/store_main.cc
@@ -45,12 +45,13 @@
   using jacinthdeck::standins::StoreOptions;
   StoreOptions store;
   po::options_description options("Store");
-  options.add_options()(
-      "reads-per-second",
-      po::value(&store.rates.reads)->default_value(store.rates.reads),
-      "reads and watches above are answered 429")(
+  options.add_options()("reads-per-second",
+                        po::value(&store.rates.reads_per_second)
+                            ->default_value(store.rates.reads_per_second),
+                        "reads and watches above are answered 429")(
       "writes-per-second",
-      po::value(&store.rates.writes)->default_value(store.rates.writes),
+      po::value(&store.rates.writes_per_second)
+          ->default_value(store.rates.writes_per_second),
       "writes and lease calls above are answered 429")(
       "seed", po::value(&store.seed)->default_value(store.seed),
       "seed of the random faults")(
