--- a/standins/http/http_message.cc
+++ b/standins/http/http_message.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::optional<std::uint64_t> HttpRequest::Number(
+std::optional<std::uint64_t> HttpRequest::ParameterNumber(
     const std::string& name) const {
   return FindNumber(parameters, name);
 }
--- a/standins/http/http_message.h
+++ b/standins/http/http_message.h
@@ -24,7 +24,7 @@
   bool first_on_connection = false;
 
   /*! \brief Reads a query parameter as a whole number. */
-  [[nodiscard]] std::optional<std::uint64_t> Number(
+  [[nodiscard]] std::optional<std::uint64_t> ParameterNumber(
       const std::string& name) const;
 
   /*! \brief Reads a header as a whole number; the name is in lower case. */
@@ -38,7 +38,7 @@
   //! JSON text; may be empty.
   std::string body;
   //! Close the connection without a reply.
-  bool drop = false;
+  bool drop_connection = false;
   //! Beside those of the body.
   std::map<std::string, std::string> headers = {};
 };
--- a/standins/http/http_server.cc
+++ b/standins/http/http_server.cc
@@ -63,7 +63,7 @@
   return lower;
 }
 
-[[nodiscard]] HttpRequest Convert(const _u_request& request) {
+[[nodiscard]] HttpRequest ConvertRequest(const _u_request& request) {
   HttpRequest converted;
   converted.verb = request.http_verb;
   converted.path = request.http_url;
@@ -96,11 +96,11 @@
                        void* state) {
     auto& self = *static_cast<State*>(state);
     const std::uint16_t client = PortOf(request->client_address);
-    HttpRequest converted = Convert(*request);
+    HttpRequest converted = ConvertRequest(*request);
     converted.first_on_connection = self.connections.BeginRequest(client);
     const HttpReply reply = self.handler(converted);
     self.connections.EndRequest(client);
-    if (reply.drop) {
+    if (reply.drop_connection) {
       self.connections.Close(client);
       return U_CALLBACK_COMPLETE;
     }
--- a/standins/process/process.cc
+++ b/standins/process/process.cc
@@ -17,7 +17,7 @@
 
 namespace po = boost::program_options;
 
-[[nodiscard]] sigset_t EndSignals() {
+[[nodiscard]] sigset_t TerminationSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -26,8 +26,8 @@
 }
 
 //! Blocked before the first thread starts, so that only sigwait() sees them.
-void BlockEndSignals() {
-  const sigset_t signals = EndSignals();
+void BlockTerminationSignals() {
+  const sigset_t signals = TerminationSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 }
@@ -65,7 +65,7 @@
               const char* const* argv,
               const po::options_description& options,
               const std::function<int(std::uint16_t)>& body) {
-  BlockEndSignals();
+  BlockTerminationSignals();
   std::uint16_t port = 0;
   po::options_description all = options;
   all.add_options()("port", po::value(&port)->default_value(0),
@@ -75,7 +75,7 @@
 
 void ServeUntilSignal(std::uint16_t port) {
   std::cout << "listening 127.0.0.1:" << port << std::endl;
-  const sigset_t signals = EndSignals();
+  const sigset_t signals = TerminationSignals();
   int signal = 0;
   sigwait(&signals, &signal);
 }
--- a/standins/store/store_server.cc
+++ b/standins/store/store_server.cc
@@ -288,10 +288,11 @@
 
 HttpReply StoreServer::Watch(const HttpRequest& request) {
   const std::uint64_t wait =
-      std::min(request.Number("waitMs").value_or(0), kMaxWatchMs);
-  const WatchResult result = m_content.Watch(
-      Parameter(request, "prefix"), request.Number("after").value_or(0),
-      std::chrono::milliseconds(wait));
+      std::min(request.ParameterNumber("waitMs").value_or(0), kMaxWatchMs);
+  const WatchResult result =
+      m_content.Watch(Parameter(request, "prefix"),
+                      request.ParameterNumber("after").value_or(0),
+                      std::chrono::milliseconds(wait));
   const Outage outage = faults().outage;
   if (outage != Outage::kNone || m_stopping) {
     return DropConnection();
