--- a/standins/loadgen/load_run.h
+++ b/standins/loadgen/load_run.h
@@ -44,12 +44,12 @@
   [[nodiscard]] std::vector<Sample> Run();
 
  private:
-  using Moment = std::chrono::steady_clock::time_point;
+  using SteadyTimePoint = std::chrono::steady_clock::time_point;
   struct Transfer;
   struct ScheduledSend {
     Duration at;
     std::uint64_t number = 0;
-    //! ScheduledSend time of the first sending.
+    //! Due time of the first sending.
     Duration first_due;
     std::size_t entry = 0;
     std::uint64_t resends = 0;
@@ -73,7 +73,7 @@
   std::vector<Endpoint> m_entries;
   Arrivals m_arrivals;
   CURLM* m_multi;
-  Moment m_start;
+  SteadyTimePoint m_start;
   std::uint64_t m_scheduled_count = 0;
   Duration m_next_arrival{};
   std::priority_queue<ScheduledSend, std::vector<ScheduledSend>, std::greater<>>
--- a/standins/store/restore_drill.cc
+++ b/standins/store/restore_drill.cc
@@ -11,10 +11,11 @@
 
 namespace {
 
-using Moment = std::chrono::steady_clock::time_point;
+using SteadyTimePoint = std::chrono::steady_clock::time_point;
 
 //! False if the drill is stopped before.
-[[nodiscard]] bool WaitUntil(Moment moment, const std::stop_token& stop) {
+[[nodiscard]] bool WaitUntil(SteadyTimePoint moment,
+                             const std::stop_token& stop) {
   std::mutex mutex;
   std::unique_lock lock(mutex);
   std::condition_variable_any stopped;
@@ -25,7 +26,7 @@
 void RunDrill(StoreServer& server,
               const RestoreTimes& times,
               const std::stop_token& stop) {
-  const Moment start = std::chrono::steady_clock::now();
+  const SteadyTimePoint start = std::chrono::steady_clock::now();
   if (!WaitUntil(start + times.snapshot, stop)) {
     return;
   }
--- a/standins/target/behaviour.cc
+++ b/standins/target/behaviour.cc
@@ -12,13 +12,15 @@
 namespace {
 
 constexpr std::uint64_t kMaxMicroseconds = 600'000'000;
-constexpr std::uint64_t kMaxQueue = 100000;
+constexpr std::uint64_t kMaxQueueLimit = 100000;
 
-using Read = Result<bool> (*)(const JsonReader&, const char*, Behaviour&);
+using FieldReader = Result<bool> (*)(const JsonReader&,
+                                     const char*,
+                                     Behaviour&);
 
 struct Field {
   const char* name;
-  Read read;
+  FieldReader read;
 };
 
 template <Duration Behaviour::*Member, int Scale>
@@ -54,43 +56,44 @@
   return true;
 }
 
-Result<bool> ReadShape(const JsonReader& changes,
-                       const char* name,
-                       Behaviour& behaviour) {
+Result<bool> ReadDistribution(const JsonReader& changes,
+                              const char* name,
+                              Behaviour& behaviour) {
   BOOST_LEAF_AUTO(text, changes.String(name));
-  const auto shape = kServiceShapeNames.Find(text);
-  if (!shape) {
+  const auto distribution = kServiceTimeDistributionNames.Find(text);
+  if (!distribution) {
     return Fail(ErrorCode::kCorrupt, name,
                 "is '" + text +
                     "', expected constant, exponential or "
                     "lognormal");
   }
-  behaviour.shape = *shape;
+  behaviour.distribution = *distribution;
   return true;
 }
 
-Result<bool> ReadQueue(const JsonReader& changes,
-                       const char* name,
-                       Behaviour& behaviour) {
-  BOOST_LEAF_AUTO(queue, changes.Unsigned(name, kMaxQueue));
-  behaviour.queue = static_cast<std::uint32_t>(queue);
+Result<bool> ReadQueueLimit(const JsonReader& changes,
+                            const char* name,
+                            Behaviour& behaviour) {
+  BOOST_LEAF_AUTO(queue_limit, changes.Unsigned(name, kMaxQueueLimit));
+  behaviour.queue_limit = static_cast<std::uint32_t>(queue_limit);
   return true;
 }
 
 //! A negative load ends the lie.
-Result<bool> ReadLoadLie(const JsonReader& changes,
-                         const char* name,
-                         Behaviour& behaviour) {
+Result<bool> ReadLoadOverride(const JsonReader& changes,
+                              const char* name,
+                              Behaviour& behaviour) {
   BOOST_LEAF_AUTO(load, changes.Number(name));
-  behaviour.load_lie = load < 0 ? std::nullopt : std::optional<double>(load);
+  behaviour.load_override =
+      load < 0 ? std::nullopt : std::optional<double>(load);
   return true;
 }
 
-constexpr int kMilli = 1000;
+constexpr int kMicrosecondsPerMillisecond = 1000;
 
 constexpr std::array<Field, 18> kFields{{
-    {"shape", &ReadShape},
-    {"service_us", &ReadTime<&Behaviour::service_mean, 1>},
+    {"shape", &ReadDistribution},
+    {"service_us", &ReadTime<&Behaviour::mean_service_time, 1>},
     {"sigma", &ReadNumber<&Behaviour::sigma>},
     {"straggler_share", &ReadNumber<&Behaviour::straggler_share>},
     {"straggler_factor", &ReadNumber<&Behaviour::straggler_factor>},
@@ -99,14 +102,17 @@
     {"shed_share", &ReadNumber<&Behaviour::shed_share>},
     {"mute", &ReadBool<&Behaviour::mute>},
     {"draining", &ReadBool<&Behaviour::draining>},
-    {"queue", &ReadQueue},
-    {"cold_ms", &ReadTime<&Behaviour::cold_for, kMilli>},
+    {"queue", &ReadQueueLimit},
+    {"cold_ms", &ReadTime<&Behaviour::cold_for, kMicrosecondsPerMillisecond>},
     {"crash_on", &ReadText<&Behaviour::crash_on>},
-    {"restart_ms", &ReadTime<&Behaviour::restart, kMilli>},
-    {"idle_close_ms", &ReadTime<&Behaviour::idle_close, kMilli>},
-    {"report_lag_ms", &ReadTime<&Behaviour::report_lag, kMilli>},
-    {"load_lie", &ReadLoadLie},
-    {"health_lie", &ReadText<&Behaviour::health_lie>},
+    {"restart_ms",
+     &ReadTime<&Behaviour::restart_time, kMicrosecondsPerMillisecond>},
+    {"idle_close_ms",
+     &ReadTime<&Behaviour::idle_close, kMicrosecondsPerMillisecond>},
+    {"report_lag_ms",
+     &ReadTime<&Behaviour::report_lag, kMicrosecondsPerMillisecond>},
+    {"load_lie", &ReadLoadOverride},
+    {"health_lie", &ReadText<&Behaviour::state_override>},
 }};
 
 }  // namespace
--- a/standins/target/behaviour.h
+++ b/standins/target/behaviour.h
@@ -17,17 +17,17 @@
 namespace jacinthdeck::standins {
 
 /*! \brief Shape of the service times. */
-enum class ServiceShape { kConstant, kExponential, kLognormal };
+enum class ServiceTimeDistribution { kConstant, kExponential, kLognormal };
 
 //! Names of the shapes in control messages.
-inline constexpr NameTable<ServiceShape, 3> kServiceShapeNames{
-    {"constant", "exponential", "lognormal"}};
+inline constexpr NameTable<ServiceTimeDistribution, 3>
+    kServiceTimeDistributionNames{{"constant", "exponential", "lognormal"}};
 
 /*! \brief Everything about a target that can be changed while it runs. */
 struct Behaviour {
-  ServiceShape shape = ServiceShape::kExponential;
+  ServiceTimeDistribution distribution = ServiceTimeDistribution::kExponential;
   //! Mean time in a slot.
-  Duration service_mean = std::chrono::milliseconds(4);
+  Duration mean_service_time = std::chrono::milliseconds(4);
   //! Standard deviation of the logarithm, for kLognormal.
   double sigma = 0.5;
   //! Share of requests that take straggler_factor times as long.
@@ -43,21 +43,21 @@
   bool mute = false;
   bool draining = false;
   //! Requests that may wait for a slot; above, they are shed.
-  std::uint32_t queue = 24;
+  std::uint32_t queue_limit = 24;
   //! While cold, requests are refused.
   Duration cold_for{};
   //! Requests whose JSON contains this text crash the target; empty: none.
   std::string crash_on;
   //! Time a crashed target stays down.
-  Duration restart = std::chrono::seconds(1);
+  Duration restart_time = std::chrono::seconds(1);
   //! Connections without a request for so long are closed; 0: never.
   Duration idle_close{};
   //! Age of the health and load that are reported.
   Duration report_lag{};
   //! Load that is reported whatever the truth.
-  std::optional<double> load_lie;
+  std::optional<double> load_override;
   //! State that is reported whatever the truth.
-  std::string health_lie;
+  std::string state_override;
 };
 
 /**
--- a/standins/target/dataset.cc
+++ b/standins/target/dataset.cc
@@ -20,11 +20,12 @@
 //! One item in so many matches a search.
 constexpr std::uint64_t kMatchOneIn = 4;
 
-[[nodiscard]] std::string Data(IndexVersion version) {
+[[nodiscard]] std::string HitData(IndexVersion version) {
   return R"({"version":)" + std::to_string(version.raw()) + "}";
 }
 
-[[nodiscard]] std::optional<std::string> WantedId(const JsonReader& request) {
+[[nodiscard]] std::optional<std::string> RequestedId(
+    const JsonReader& request) {
   for (const std::string& name : request.Names()) {
     const json_t* member =
         json_object_get(request.raw(), std::string(name).c_str());
@@ -35,14 +36,14 @@
   return std::nullopt;
 }
 
-[[nodiscard]] std::size_t Limit(const json_t& request) {
+[[nodiscard]] std::size_t HitLimit(const json_t& request) {
   const json_t* limit = json_object_get(&request, "limit");
   const json_int_t value =
       json_is_integer(limit) ? json_integer_value(limit) : json_int_t{0};
   return value > 0 ? static_cast<std::size_t>(value) : kDefaultLimit;
 }
 
-[[nodiscard]] bool Before(const Hit& left, const Hit& right) {
+[[nodiscard]] bool RanksHigher(const Hit& left, const Hit& right) {
   return left.score != right.score ? left.score > right.score
                                    : left.id < right.id;
 }
@@ -68,8 +69,8 @@
                             IndexVersion version,
                             const json_t& request) const {
   ShardAnswer answer;
-  if (const auto id = WantedId(JsonReader(&request, "request"))) {
-    answer.hits.push_back({*id, 1, Data(version)});
+  if (const auto id = RequestedId(JsonReader(&request, "request"))) {
+    answer.hits.push_back({*id, 1, HitData(version)});
     answer.count = 1;
     return answer;
   }
@@ -86,11 +87,11 @@
         static_cast<double>(hash / kMatchOneIn %
                             static_cast<std::uint64_t>(kScoreSteps)) /
         kScoreSteps;
-    answer.hits.push_back({item->id, score, Data(version)});
+    answer.hits.push_back({item->id, score, HitData(version)});
   }
   answer.count = answer.hits.size();
-  std::ranges::sort(answer.hits, Before);
-  answer.hits.resize(std::min(answer.hits.size(), Limit(request)));
+  std::ranges::sort(answer.hits, RanksHigher);
+  answer.hits.resize(std::min(answer.hits.size(), HitLimit(request)));
   return answer;
 }
 
--- a/standins/target/run_log.cc
+++ b/standins/target/run_log.cc
@@ -24,10 +24,10 @@
   if (!added) {
     return;
   }
-  m_order.push_back(key);
-  if (m_order.size() > kMaxRequests) {
-    m_requests.erase(m_order.front());
-    m_order.pop_front();
+  m_insertion_order.push_back(key);
+  if (m_insertion_order.size() > kMaxRequests) {
+    m_requests.erase(m_insertion_order.front());
+    m_insertion_order.pop_front();
   }
 }
 
--- a/standins/target/run_log.h
+++ b/standins/target/run_log.h
@@ -43,7 +43,7 @@
   mutable std::mutex m_mutex;
   std::map<std::string, RequestRuns> m_requests;
   //! Keys of m_requests, oldest first.
-  std::deque<std::string> m_order;
+  std::deque<std::string> m_insertion_order;
   std::uint64_t m_total = 0;
 };
 
--- a/standins/target/holdings.h
+++ b/standins/target/served_ranges.h
@@ -1,6 +1,6 @@
 // Which key ranges one target serves in which versions.
-#ifndef JACINTHDECK_STANDINS_TARGET_HOLDINGS_H_
-#define JACINTHDECK_STANDINS_TARGET_HOLDINGS_H_
+#ifndef JACINTHDECK_STANDINS_TARGET_SERVED_RANGES_H_
+#define JACINTHDECK_STANDINS_TARGET_SERVED_RANGES_H_
 
 #include <map>
 #include <vector>
@@ -13,15 +13,15 @@
 
 /*! \brief Ranges by version; a version is here also when the target holds none
  * of it. */
-using Holdings = std::map<IndexVersion, std::vector<KeyRange>>;
+using ServedRanges = std::map<IndexVersion, std::vector<KeyRange>>;
 
 /*! \brief Picks what a target holds from the maps of its service. */
-[[nodiscard]] inline Holdings HoldingsOf(
+[[nodiscard]] inline ServedRanges ServedRangesOf(
     const TargetId& target,
     const std::vector<PartitionMap>& maps) {
-  Holdings holdings;
+  ServedRanges served_ranges;
   for (const PartitionMap& map : maps) {
-    std::vector<KeyRange>& ranges = holdings[map.version];
+    std::vector<KeyRange>& ranges = served_ranges[map.version];
     for (const Shard& shard : map.shards) {
       for (const TargetId& replica : shard.replicas) {
         if (replica == target) {
@@ -30,9 +30,9 @@
       }
     }
   }
-  return holdings;
+  return served_ranges;
 }
 
 }  // namespace jacinthdeck::standins
 
-#endif  // JACINTHDECK_STANDINS_TARGET_HOLDINGS_H_
+#endif  // JACINTHDECK_STANDINS_TARGET_SERVED_RANGES_H_
--- a/standins/target/target.cc
+++ b/standins/target/target.cc
@@ -17,9 +17,9 @@
 
 namespace {
 
-[[nodiscard]] json_t* VersionList(const Holdings& holdings) {
+[[nodiscard]] json_t* VersionsToJson(const ServedRanges& served_ranges) {
   json_t* versions = json_array();
-  for (const auto& [version, ranges] : holdings) {
+  for (const auto& [version, ranges] : served_ranges) {
     json_array_append_new(versions,
                           json_integer(static_cast<json_int_t>(version.raw())));
   }
@@ -31,8 +31,8 @@
                    "data", json_loads(hit.data.c_str(), 0, nullptr));
 }
 
-[[nodiscard]] bool Holds(const std::vector<KeyRange>& ranges,
-                         const KeyRange& wanted) {
+[[nodiscard]] bool ContainsRange(const std::vector<KeyRange>& ranges,
+                                 const KeyRange& wanted) {
   return std::ranges::any_of(ranges, [&](const KeyRange& range) {
     return range.begin <= wanted.begin && wanted.end <= range.end;
   });
@@ -68,9 +68,9 @@
   return m_counts;
 }
 
-void Target::SetHoldings(Holdings holdings) {
+void Target::SetServedRanges(ServedRanges served_ranges) {
   const std::scoped_lock lock(m_mutex);
-  m_holdings = std::move(holdings);
+  m_served_ranges = std::move(served_ranges);
 }
 
 void Target::SetBehaviour(const Behaviour& behaviour) {
@@ -83,7 +83,7 @@
   {
     const std::scoped_lock lock(m_mutex);
     ++m_counts.crashes;
-    m_down_until = std::chrono::steady_clock::now() + m_behaviour.restart;
+    m_down_until = std::chrono::steady_clock::now() + m_behaviour.restart_time;
     m_cold_until = m_down_until + m_behaviour.cold_for;
   }
   m_server.connections().CloseAll();
@@ -132,100 +132,101 @@
   }
   const auto& query = std::get<TargetQuery>(parsed);
   const Behaviour now = behaviour();
-  if (const char* refusal = Refusal(now)) {
-    return Shed(refusal);
+  if (const char* refusal = RefusalReason(now)) {
+    return ReplyShed(refusal);
   }
-  const HttpReply held = CheckHoldings(query);
-  return held.status == 200 ? RunQuery(query, now) : held;
+  const HttpReply check = CheckServedRanges(query);
+  return check.status == 200 ? RunQuery(query, now) : check;
 }
 
-const char* Target::Refusal(const Behaviour& behaviour) {
+const char* Target::RefusalReason(const Behaviour& behaviour) {
   if (behaviour.draining) {
     return "draining";
   }
-  if (Draw(behaviour.shed_share)) {
+  if (DrawWithProbability(behaviour.shed_share)) {
     return "shed";
   }
   const std::scoped_lock lock(m_mutex);
   return std::chrono::steady_clock::now() < m_cold_until ? "cold" : nullptr;
 }
 
-HttpReply Target::CheckHoldings(const TargetQuery& query) const {
+HttpReply Target::CheckServedRanges(const TargetQuery& query) const {
   const std::scoped_lock lock(m_mutex);
-  const auto ranges = m_holdings.find(query.version);
-  if (ranges == m_holdings.end()) {
+  const auto ranges = m_served_ranges.find(query.version);
+  if (ranges == m_served_ranges.end()) {
     return JsonReply(http_status::kGone,
                      json_pack("{s:s,s:o}", "error", "version_gone", "versions",
-                               VersionList(m_holdings)));
+                               VersionsToJson(m_served_ranges)));
   }
-  if (!Holds(ranges->second, query.range)) {
+  if (!ContainsRange(ranges->second, query.range)) {
     return JsonReply(http_status::kConflict,
                      json_pack("{s:s,s:o}", "error", "wrong_range", "versions",
-                               VersionList(m_holdings)));
+                               VersionsToJson(m_served_ranges)));
   }
   return HttpReply{};
 }
 
 HttpReply Target::RunQuery(const TargetQuery& query,
                            const Behaviour& behaviour) {
-  const WorkEnd taken =
-      m_work.Take(query.attempt, behaviour.queue, query.deadline);
-  if (taken == WorkEnd::kCrashed) {
+  const WorkOutcome slot_outcome =
+      m_work.AcquireSlot(query.attempt, behaviour.queue_limit, query.deadline);
+  if (slot_outcome == WorkOutcome::kCrashed) {
     return DropConnection();
   }
-  if (taken != WorkEnd::kDone) {
-    return Shed("shed");
+  if (slot_outcome != WorkOutcome::kDone) {
+    return ReplyShed("shed");
   }
   m_log.Record(query.method, query.request_text, {m_info.id, query.attempt});
-  Count(&TargetCounts::runs);
+  Increment(&TargetCounts::runs);
   if (!behaviour.crash_on.empty() &&
       query.request_text.find(behaviour.crash_on) != std::string::npos) {
-    m_work.Release(query.attempt);
+    m_work.ReleaseSlot(query.attempt);
     Crash();
     return DropConnection();
   }
-  const Moment until = behaviour.mute ? Moment::max()
-                                      : std::chrono::steady_clock::now() +
-                                            DrawServiceTime(behaviour);
-  const WorkEnd end = m_work.Work(query.attempt, until, query.deadline);
-  m_work.Release(query.attempt);
-  return Finish(query, behaviour, end);
+  const SteadyTimePoint until =
+      behaviour.mute
+          ? SteadyTimePoint::max()
+          : std::chrono::steady_clock::now() + DrawServiceTime(behaviour);
+  const WorkOutcome outcome = m_work.Work(query.attempt, until, query.deadline);
+  m_work.ReleaseSlot(query.attempt);
+  return FinishQuery(query, behaviour, outcome);
 }
 
-HttpReply Target::Finish(const TargetQuery& query,
-                         const Behaviour& behaviour,
-                         WorkEnd end) {
-  if (end == WorkEnd::kCrashed || behaviour.mute) {
+HttpReply Target::FinishQuery(const TargetQuery& query,
+                              const Behaviour& behaviour,
+                              WorkOutcome outcome) {
+  if (outcome == WorkOutcome::kCrashed || behaviour.mute) {
     return DropConnection();
   }
-  if (end == WorkEnd::kCancelled) {
-    Count(&TargetCounts::cancelled);
+  if (outcome == WorkOutcome::kCancelled) {
+    Increment(&TargetCounts::cancelled);
     return JsonReply(http_status::kInternalError,
                      json_pack("{s:s}", "error", "cancelled"));
   }
-  if (end == WorkEnd::kDeadline) {
-    Count(&TargetCounts::past_deadline);
+  if (outcome == WorkOutcome::kDeadlineExceeded) {
+    Increment(&TargetCounts::past_deadline);
     return JsonReply(http_status::kInternalError,
                      json_pack("{s:s}", "error", "deadline"));
   }
-  if (Draw(behaviour.failure_share)) {
+  if (DrawWithProbability(behaviour.failure_share)) {
     return JsonReply(http_status::kInternalError,
                      json_pack("{s:s}", "error", "internal"));
   }
-  return Answer(query);
+  return ReplyWithHits(query);
 }
 
-HttpReply Target::Shed(const char* reason) {
-  Count(&TargetCounts::shed);
+HttpReply Target::ReplyShed(const char* reason) {
+  Increment(&TargetCounts::shed);
   return JsonReply(
       http_status::kUnavailable,
       json_pack("{s:s,s:f}", "error", reason, "load", CurrentReport().load));
 }
 
-HttpReply Target::Answer(const TargetQuery& query) {
+HttpReply Target::ReplyWithHits(const TargetQuery& query) {
   const ShardAnswer answer =
       m_dataset->Answer(query.range, query.version, *query.request);
-  Count(&TargetCounts::answered);
+  Increment(&TargetCounts::answered);
   json_t* hits = json_array();
   for (const Hit& hit : answer.hits) {
     json_array_append_new(hits, ToJson(hit));
@@ -243,7 +244,7 @@
   const std::string state = CurrentReport().state;
   const std::scoped_lock lock(m_mutex);
   return JsonReply(200, json_pack("{s:s,s:o}", "state", state.c_str(),
-                                  "versions", VersionList(m_holdings)));
+                                  "versions", VersionsToJson(m_served_ranges)));
 }
 
 HttpReply Target::Load() {
@@ -254,24 +255,25 @@
 
 Duration Target::DrawServiceTime(const Behaviour& behaviour) {
   const std::scoped_lock lock(m_mutex);
-  const double mean = static_cast<double>(behaviour.service_mean.count());
+  const double mean = static_cast<double>(behaviour.mean_service_time.count());
   double time = mean;
-  if (behaviour.shape == ServiceShape::kExponential) {
+  if (behaviour.distribution == ServiceTimeDistribution::kExponential) {
     time = -mean * std::log(1 - m_random.Unit());
-  } else if (behaviour.shape == ServiceShape::kLognormal) {
+  } else if (behaviour.distribution == ServiceTimeDistribution::kLognormal) {
     const double radius = std::sqrt(-2 * std::log(1 - m_random.Unit()));
     const double normal =
         radius * std::cos(2 * std::numbers::pi * m_random.Unit());
-    // Shifted so that the mean is service_mean whatever sigma is.
+    // Shifted so that the mean is mean_service_time whatever sigma is.
     const double shift = behaviour.sigma * behaviour.sigma / 2;
     time = mean * std::exp(behaviour.sigma * normal - shift);
   }
-  const bool straggles = m_random.Unit() < behaviour.straggler_share;
-  time *= behaviour.slow_factor * (straggles ? behaviour.straggler_factor : 1);
+  const bool is_straggler = m_random.Unit() < behaviour.straggler_share;
+  time *=
+      behaviour.slow_factor * (is_straggler ? behaviour.straggler_factor : 1);
   return Duration(static_cast<Duration::rep>(time));
 }
 
-bool Target::Draw(double share) {
+bool Target::DrawWithProbability(double share) {
   const std::scoped_lock lock(m_mutex);
   return share > 0 && m_random.Unit() < share;
 }
@@ -279,7 +281,7 @@
 Target::Report Target::CurrentReport() {
   const WorkCounts work = m_work.counts();
   const std::scoped_lock lock(m_mutex);
-  const Moment now = std::chrono::steady_clock::now();
+  const SteadyTimePoint now = std::chrono::steady_clock::now();
   if (now - m_report.taken >= m_behaviour.report_lag) {
     const double demand = static_cast<double>(work.running + work.waiting);
     m_report.load = std::min(1.0, demand / (2.0 * m_info.slots));
@@ -287,9 +289,9 @@
     m_report.taken = now;
   }
   Report report = m_report;
-  report.load = m_behaviour.load_lie.value_or(report.load);
-  if (!m_behaviour.health_lie.empty()) {
-    report.state = m_behaviour.health_lie;
+  report.load = m_behaviour.load_override.value_or(report.load);
+  if (!m_behaviour.state_override.empty()) {
+    report.state = m_behaviour.state_override;
   }
   return report;
 }
@@ -299,7 +301,7 @@
   return std::chrono::steady_clock::now() < m_down_until;
 }
 
-void Target::Count(std::uint64_t TargetCounts::*counter) {
+void Target::Increment(std::uint64_t TargetCounts::*counter) {
   const std::scoped_lock lock(m_mutex);
   ++(m_counts.*counter);
 }
--- a/standins/target/target.h
+++ b/standins/target/target.h
@@ -14,8 +14,8 @@
 #include "jacinthdeck/routing/target_info.h"
 #include "target/behaviour.h"
 #include "target/dataset.h"
-#include "target/holdings.h"
 #include "target/run_log.h"
+#include "target/served_ranges.h"
 #include "target/target_query.h"
 #include "target/work_queue.h"
 
@@ -61,7 +61,7 @@
   }
 
   /*! \brief Replaces what the target serves. */
-  void SetHoldings(Holdings holdings);
+  void SetServedRanges(ServedRanges served_ranges);
 
   /*! \brief Replaces the behaviour; a cold time starts now. */
   void SetBehaviour(const Behaviour& behaviour);
@@ -75,33 +75,34 @@
   void CloseIdle();
 
  private:
-  using Moment = std::chrono::steady_clock::time_point;
+  using SteadyTimePoint = std::chrono::steady_clock::time_point;
   struct Report {
     double load = 0;
     std::string state;
-    Moment taken;
+    SteadyTimePoint taken;
   };
 
   [[nodiscard]] HttpReply Handle(const HttpRequest& request);
   [[nodiscard]] HttpReply Query(const HttpRequest& request);
   [[nodiscard]] HttpReply RunQuery(const TargetQuery& query,
                                    const Behaviour& behaviour);
-  [[nodiscard]] HttpReply Finish(const TargetQuery& query,
-                                 const Behaviour& behaviour,
-                                 WorkEnd end);
-  [[nodiscard]] HttpReply Shed(const char* reason);
-  [[nodiscard]] HttpReply Answer(const TargetQuery& query);
+  [[nodiscard]] HttpReply FinishQuery(const TargetQuery& query,
+                                      const Behaviour& behaviour,
+                                      WorkOutcome outcome);
+  [[nodiscard]] HttpReply ReplyShed(const char* reason);
+  [[nodiscard]] HttpReply ReplyWithHits(const TargetQuery& query);
   [[nodiscard]] HttpReply Health();
   [[nodiscard]] HttpReply Load();
   //! Why new work is refused now; null when it is not.
-  [[nodiscard]] const char* Refusal(const Behaviour& behaviour);
-  //! Refusal for a version or range that is not served; status 200 when it is.
-  [[nodiscard]] HttpReply CheckHoldings(const TargetQuery& query) const;
+  [[nodiscard]] const char* RefusalReason(const Behaviour& behaviour);
+  //! Refusal for a version or range that is not served; status 200 when
+  //! it is.
+  [[nodiscard]] HttpReply CheckServedRanges(const TargetQuery& query) const;
   [[nodiscard]] Duration DrawServiceTime(const Behaviour& behaviour);
-  [[nodiscard]] bool Draw(double share);
+  [[nodiscard]] bool DrawWithProbability(double share);
   [[nodiscard]] Report CurrentReport();
   [[nodiscard]] bool IsDown() const;
-  void Count(std::uint64_t TargetCounts::*counter);
+  void Increment(std::uint64_t TargetCounts::*counter);
 
   TargetInfo m_info;
   std::shared_ptr<const Dataset> m_dataset;
@@ -109,11 +110,11 @@
   WorkQueue m_work;
   mutable std::mutex m_mutex;
   Behaviour m_behaviour;
-  Holdings m_holdings;
+  ServedRanges m_served_ranges;
   TargetCounts m_counts;
   Random m_random;
-  Moment m_down_until;
-  Moment m_cold_until;
+  SteadyTimePoint m_down_until;
+  SteadyTimePoint m_cold_until;
   Report m_report;
   //! Last: it calls the members above from its first moment on.
   HttpServer m_server;
--- a/standins/target/target_group.cc
+++ b/standins/target/target_group.cc
@@ -47,8 +47,8 @@
 }
 
 //! Selectors that a message does not name match every target.
-[[nodiscard]] Result<bool> Selects(const JsonReader& message,
-                                   const TargetInfo& info) {
+[[nodiscard]] Result<bool> MatchesSelectors(const JsonReader& message,
+                                            const TargetInfo& info) {
   if (message.Has("target")) {
     BOOST_LEAF_AUTO(id, message.String("target"));
     if (id != info.id.raw()) {
@@ -70,12 +70,12 @@
 
 }  // namespace
 
-TargetGroup::TargetGroup(const std::vector<TargetInfo>& hosts,
+TargetGroup::TargetGroup(const std::vector<TargetInfo>& target_infos,
                          const TargetGroupOptions& options)
     : m_server({.port = options.port},
                [this](const HttpRequest& request) { return Handle(request); }) {
   std::map<ServiceId, std::shared_ptr<const Dataset>> datasets;
-  for (const TargetInfo& info : hosts) {
+  for (const TargetInfo& info : target_infos) {
     std::shared_ptr<const Dataset>& dataset = datasets[info.service];
     if (dataset == nullptr) {
       dataset = std::make_shared<const Dataset>(
@@ -106,7 +106,8 @@
   for (const auto& target : m_targets) {
     const auto versions = maps.find(target->info().service);
     if (versions != maps.end()) {
-      target->SetHoldings(HoldingsOf(target->info().id, versions->second));
+      target->SetServedRanges(
+          ServedRangesOf(target->info().id, versions->second));
     }
   }
   return maps.size();
@@ -147,8 +148,8 @@
   }
   std::size_t selected = 0;
   for (const auto& target : m_targets) {
-    BOOST_LEAF_AUTO(selects, Selects(message, target->info()));
-    if (!selects) {
+    BOOST_LEAF_AUTO(matches, MatchesSelectors(message, target->info()));
+    if (!matches) {
       continue;
     }
     ++selected;
--- a/standins/target/target_group.h
+++ b/standins/target/target_group.h
@@ -23,7 +23,8 @@
 struct TargetGroupOptions {
   //! Port of the control server; 0 lets the kernel pick.
   std::uint16_t port = 0;
-  //! Take the targets' ports from the host list in place of the kernel's.
+  //! Take the targets' ports from the host list in place of the
+  //! kernel's.
   bool listed_ports = false;
   std::size_t items_per_service = 2000;
   std::uint64_t seed = 1;
@@ -35,10 +36,10 @@
  public:
   /**
    * \brief Opens the targets and the control server.
-   * \param hosts Targets to open.
+   * \param target_infos Targets to open.
    * \param options How to open them.
    */
-  TargetGroup(const std::vector<TargetInfo>& hosts,
+  TargetGroup(const std::vector<TargetInfo>& target_infos,
               const TargetGroupOptions& options);
   TargetGroup(const TargetGroup&) = delete;
   TargetGroup& operator=(const TargetGroup&) = delete;
--- a/standins/target/target_list.cc
+++ b/standins/target/target_list.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxPerTarget = 100000;
+constexpr std::uint64_t kMaxSlotsOrConnections = 100000;
 constexpr std::uint64_t kMaxOpenMicroseconds = 60'000'000;
 
 [[nodiscard]] bool IsIpNumber(const std::string& address) noexcept {
@@ -77,17 +77,17 @@
   BOOST_LEAF_AUTO(
       port,
       ReadPositive(host, "port", std::numeric_limits<std::uint16_t>::max()));
-  BOOST_LEAF_AUTO(slots, ReadPositive(host, "slots", kMaxPerTarget));
+  BOOST_LEAF_AUTO(slots, ReadPositive(host, "slots", kMaxSlotsOrConnections));
   BOOST_LEAF_AUTO(connections,
-                  ReadPositive(host, "connections", kMaxPerTarget));
-  BOOST_LEAF_AUTO(open, host.Unsigned("open_us", kMaxOpenMicroseconds));
+                  ReadPositive(host, "connections", kMaxSlotsOrConnections));
+  BOOST_LEAF_AUTO(open_us, host.Unsigned("open_us", kMaxOpenMicroseconds));
   info.id = TargetId(std::move(id));
   info.service = ServiceId(std::move(service));
   info.domain = FailureDomain(std::move(domain));
   info.port = static_cast<std::uint16_t>(port);
   info.slots = static_cast<std::uint32_t>(slots);
   info.connections = static_cast<std::uint32_t>(connections);
-  info.open_cost = Duration(static_cast<Duration::rep>(open));
+  info.open_cost = Duration(static_cast<Duration::rep>(open_us));
   return info;
 }
 
--- a/standins/target/target_query.cc
+++ b/standins/target/target_query.cc
@@ -29,14 +29,14 @@
 Result<TargetQuery> ReadTargetQuery(const HttpRequest& request) {
   TargetQuery query;
   const auto attempt = request.headers.find("x-attempt");
-  const auto left = request.HeaderNumber("x-deadline-ms");
-  if (attempt == request.headers.end() || !left) {
+  const auto remaining_ms = request.HeaderNumber("x-deadline-ms");
+  if (attempt == request.headers.end() || !remaining_ms) {
     return Fail(ErrorCode::kCorrupt, "headers",
                 "lack X-Attempt or X-Deadline-Ms");
   }
   query.attempt = attempt->second;
-  query.deadline =
-      std::chrono::steady_clock::now() + std::chrono::milliseconds(*left);
+  query.deadline = std::chrono::steady_clock::now() +
+                   std::chrono::milliseconds(*remaining_ms);
   BOOST_LEAF_AUTO(json, ParseJson(request.body, "query"));
   const JsonReader body(json.get(), "query");
   BOOST_LEAF_ASSIGN(query.method, body.String("method"));
@@ -45,9 +45,9 @@
       version,
       body.Unsigned("version", std::numeric_limits<std::int64_t>::max()));
   query.version = IndexVersion(version);
-  BOOST_LEAF_AUTO(inner, body.Object("request"));
-  query.request_text = DumpJson(*inner.raw());
-  query.request.reset(json_deep_copy(inner.raw()));
+  BOOST_LEAF_AUTO(request_json, body.Object("request"));
+  query.request_text = DumpJson(*request_json.raw());
+  query.request.reset(json_deep_copy(request_json.raw()));
   return query;
 }
 
--- a/standins/target/work_queue.cc
+++ b/standins/target/work_queue.cc
@@ -10,55 +10,57 @@
   return m_counts;
 }
 
-WorkEnd WorkQueue::Take(const std::string& attempt,
-                        std::uint32_t queue,
-                        Moment deadline) {
+WorkOutcome WorkQueue::AcquireSlot(const std::string& attempt,
+                                   std::uint32_t queue_limit,
+                                   SteadyTimePoint deadline) {
   std::unique_lock lock(m_mutex);
-  if (m_counts.running >= m_slots && m_counts.waiting >= queue) {
-    return WorkEnd::kFull;
+  if (m_counts.running >= m_slots && m_counts.waiting >= queue_limit) {
+    return WorkOutcome::kQueueFull;
   }
-  m_open.insert(attempt);
+  m_active.insert(attempt);
   ++m_counts.waiting;
-  WorkEnd end = WorkEnd::kDone;
+  WorkOutcome outcome = WorkOutcome::kDone;
   const std::uint64_t crashes = m_crashes;
   const bool woken = m_changed.wait_until(lock, deadline, [&] {
-    return Stopped(attempt, crashes, end) || m_counts.running < m_slots;
+    return IsStopped(attempt, crashes, outcome) || m_counts.running < m_slots;
   });
   --m_counts.waiting;
   if (!woken) {
-    end = WorkEnd::kDeadline;
+    outcome = WorkOutcome::kDeadlineExceeded;
   }
-  if (end == WorkEnd::kDone) {
+  if (outcome == WorkOutcome::kDone) {
     ++m_counts.running;
-    return end;
+    return outcome;
   }
-  m_open.erase(m_open.find(attempt));
+  m_active.erase(m_active.find(attempt));
   m_cancelled.erase(attempt);
-  return end;
+  return outcome;
 }
 
-WorkEnd WorkQueue::Work(const std::string& attempt,
-                        Moment until,
-                        Moment deadline) {
+WorkOutcome WorkQueue::Work(const std::string& attempt,
+                            SteadyTimePoint until,
+                            SteadyTimePoint deadline) {
   std::unique_lock lock(m_mutex);
-  WorkEnd end = WorkEnd::kDone;
+  WorkOutcome outcome = WorkOutcome::kDone;
   const std::uint64_t crashes = m_crashes;
   m_changed.wait_until(lock, std::min(until, deadline),
-                       [&] { return Stopped(attempt, crashes, end); });
-  return end == WorkEnd::kDone && deadline < until ? WorkEnd::kDeadline : end;
+                       [&] { return IsStopped(attempt, crashes, outcome); });
+  return outcome == WorkOutcome::kDone && deadline < until
+             ? WorkOutcome::kDeadlineExceeded
+             : outcome;
 }
 
-void WorkQueue::Release(const std::string& attempt) {
+void WorkQueue::ReleaseSlot(const std::string& attempt) {
   const std::scoped_lock lock(m_mutex);
   --m_counts.running;
-  m_open.erase(m_open.find(attempt));
+  m_active.erase(m_active.find(attempt));
   m_cancelled.erase(attempt);
   m_changed.notify_all();
 }
 
 void WorkQueue::Cancel(const std::string& attempt) {
   const std::scoped_lock lock(m_mutex);
-  if (m_open.contains(attempt)) {
+  if (m_active.contains(attempt)) {
     m_cancelled.insert(attempt);
     m_changed.notify_all();
   }
@@ -70,15 +72,15 @@
   m_changed.notify_all();
 }
 
-bool WorkQueue::Stopped(const std::string& attempt,
-                        std::uint64_t crashes,
-                        WorkEnd& end) const {
+bool WorkQueue::IsStopped(const std::string& attempt,
+                          std::uint64_t crashes,
+                          WorkOutcome& outcome) const {
   if (crashes != m_crashes) {
-    end = WorkEnd::kCrashed;
+    outcome = WorkOutcome::kCrashed;
   } else if (m_cancelled.contains(attempt)) {
-    end = WorkEnd::kCancelled;
+    outcome = WorkOutcome::kCancelled;
   }
-  return end != WorkEnd::kDone;
+  return outcome != WorkOutcome::kDone;
 }
 
 }  // namespace jacinthdeck::standins
--- a/standins/target/work_queue.h
+++ b/standins/target/work_queue.h
@@ -14,7 +14,13 @@
 namespace jacinthdeck::standins {
 
 /*! \brief How taking a slot, or working in one, ended. */
-enum class WorkEnd { kDone, kFull, kDeadline, kCancelled, kCrashed };
+enum class WorkOutcome {
+  kDone,
+  kQueueFull,
+  kDeadlineExceeded,
+  kCancelled,
+  kCrashed
+};
 
 /*! \brief Requests in work and waiting now. */
 struct WorkCounts {
@@ -28,7 +34,7 @@
  */
 class WorkQueue {
  public:
-  using Moment = std::chrono::steady_clock::time_point;
+  using SteadyTimePoint = std::chrono::steady_clock::time_point;
 
   explicit WorkQueue(std::uint32_t slots) noexcept : m_slots(slots) {}
 
@@ -37,22 +43,22 @@
   /**
    * \brief Waits for a slot.
    * \param attempt Attempt that is to run.
-   * \param queue Requests that may wait at once.
+   * \param queue_limit Requests that may wait at once.
    * \param deadline Longest wait.
-   * \return kDone once the slot is taken; Release() gives it back.
+   * \return kDone once the slot is taken; ReleaseSlot() gives it back.
    */
-  [[nodiscard]] WorkEnd Take(const std::string& attempt,
-                             std::uint32_t queue,
-                             Moment deadline);
+  [[nodiscard]] WorkOutcome AcquireSlot(const std::string& attempt,
+                                        std::uint32_t queue_limit,
+                                        SteadyTimePoint deadline);
 
   /*! \brief Works in a slot until a moment, a deadline, a cancellation or a
    * crash, whichever comes first. */
-  [[nodiscard]] WorkEnd Work(const std::string& attempt,
-                             Moment until,
-                             Moment deadline);
+  [[nodiscard]] WorkOutcome Work(const std::string& attempt,
+                                 SteadyTimePoint until,
+                                 SteadyTimePoint deadline);
 
   /*! \brief Gives a slot back. */
-  void Release(const std::string& attempt);
+  void ReleaseSlot(const std::string& attempt);
 
   /*! \brief Ends an attempt early, whether it works or waits. */
   void Cancel(const std::string& attempt);
@@ -61,9 +67,9 @@
   void Crash();
 
  private:
-  [[nodiscard]] bool Stopped(const std::string& attempt,
-                             std::uint64_t crashes,
-                             WorkEnd& end) const;
+  [[nodiscard]] bool IsStopped(const std::string& attempt,
+                               std::uint64_t crashes,
+                               WorkOutcome& outcome) const;
 
   mutable std::mutex m_mutex;
   std::condition_variable m_changed;
@@ -71,7 +77,7 @@
   WorkCounts m_counts;
   std::set<std::string> m_cancelled;
   //! Attempts that wait or work; only these can be cancelled.
-  std::multiset<std::string> m_open;
+  std::multiset<std::string> m_active;
   std::uint64_t m_crashes = 0;
 };
 
--- a/standins/target_main.cc
+++ b/standins/target_main.cc
@@ -30,7 +30,7 @@
 };
 
 template <typename Operation>
-auto OrThrow(Operation&& operation) {
+auto ValueOrThrow(Operation&& operation) {
   auto result = Capture(std::forward<Operation>(operation));
   if (const auto* error = std::get_if<Error>(&result)) {
     throw std::runtime_error(error->subject + " " + error->message);
@@ -38,10 +38,10 @@
   return std::get<0>(std::move(result));
 }
 
-std::vector<TargetInfo> LoadHosts(const TargetOptions& options) {
+std::vector<TargetInfo> LoadTargetInfos(const TargetOptions& options) {
   const std::string text = ReadFile(options.hosts);
   std::vector<TargetInfo> hosts =
-      OrThrow([&] { return ReadHostList(text, options.hosts); });
+      ValueOrThrow([&] { return ReadHostList(text, options.hosts); });
   std::erase_if(hosts, [&](const TargetInfo& info) {
     return !options.service.empty() && info.service.raw() != options.service;
   });
@@ -49,32 +49,34 @@
 }
 
 //! What a target says of itself in the store.
-[[nodiscard]] std::string EntryOf(const Target& target, std::uint64_t beat) {
+[[nodiscard]] std::string RegistrationValue(const Target& target,
+                                            std::uint64_t heartbeat) {
   const TargetInfo& info = target.info();
   const std::string address = Endpoint{"127.0.0.1", target.port()}.ToString();
-  const JsonPtr json(
-      json_pack("{s:s, s:s, s:s, s:s, s:I, s:s, s:i, s:I}", "service",
-                info.service.raw().c_str(), "address", address.c_str(), "zone",
-                info.domain.raw().c_str(), "version", "v1", "slots",
-                static_cast<json_int_t>(info.slots), "state", "ready",
-                "coldRemainingMs", 0, "seq", static_cast<json_int_t>(beat)));
+  const JsonPtr json(json_pack(
+      "{s:s, s:s, s:s, s:s, s:I, s:s, s:i, s:I}", "service",
+      info.service.raw().c_str(), "address", address.c_str(), "zone",
+      info.domain.raw().c_str(), "version", "v1", "slots",
+      static_cast<json_int_t>(info.slots), "state", "ready", "coldRemainingMs",
+      0, "seq", static_cast<json_int_t>(heartbeat)));
   return DumpJson(*json);
 }
 
 //! Registers all targets again and again, as their heartbeats would.
-void Beat(const TargetGroup& group,
-          const Endpoint& store,
-          const std::stop_token& stop) {
+void SendHeartbeats(const TargetGroup& group,
+                    const Endpoint& store,
+                    const std::stop_token& stop) {
   constexpr std::chrono::milliseconds kPeriod{1000};
-  constexpr int kLifeMs = 4000;
+  constexpr int kTtlMs = 4000;
   constexpr Duration kTimeout = std::chrono::seconds(2);
-  for (std::uint64_t beat = 1; !stop.stop_requested(); ++beat) {
+  for (std::uint64_t heartbeat = 1; !stop.stop_requested(); ++heartbeat) {
     json_t* puts = json_array();
     for (const auto& target : group.targets()) {
       const std::string key = "servers/" + target->info().id.raw();
       json_array_append_new(
           puts, json_pack("{s:s, s:s, s:i}", "key", key.c_str(), "value",
-                          EntryOf(*target, beat).c_str(), "ttl_ms", kLifeMs));
+                          RegistrationValue(*target, heartbeat).c_str(),
+                          "ttl_ms", kTtlMs));
     }
     const JsonPtr message(json_pack("{s:o}", "put", puts));
     const ClientRequest request{"POST", "/control", DumpJson(*message)};
@@ -91,25 +93,27 @@
   options.group.port = port;
   if (!options.behaviour.empty()) {
     const JsonPtr json =
-        OrThrow([&] { return ParseJson(options.behaviour, "behaviour"); });
-    options.group.behaviour = OrThrow(
+        ValueOrThrow([&] { return ParseJson(options.behaviour, "behaviour"); });
+    options.group.behaviour = ValueOrThrow(
         [&] { return ReadBehaviour(JsonReader(json.get(), "behaviour"), {}); });
   }
-  TargetGroup group(LoadHosts(options), options.group);
+  TargetGroup group(LoadTargetInfos(options), options.group);
   const std::string text = ReadFile(options.index);
-  const JsonPtr index = OrThrow([&] { return ParseJson(text, options.index); });
-  const std::size_t services = OrThrow(
+  const JsonPtr index =
+      ValueOrThrow([&] { return ParseJson(text, options.index); });
+  const std::size_t services = ValueOrThrow(
       [&] { return group.LoadIndex(JsonReader(index.get(), options.index)); });
   if (services == 0) {
     throw std::runtime_error(options.index + " names no service");
   }
-  std::jthread beats;
+  std::jthread heartbeat_thread;
   if (!options.store.empty()) {
     const Endpoint store =
-        OrThrow([&] { return Endpoint::Parse(options.store); });
-    beats = std::jthread([&group, store](const std::stop_token& stop) {
-      Beat(group, store, stop);
-    });
+        ValueOrThrow([&] { return Endpoint::Parse(options.store); });
+    heartbeat_thread =
+        std::jthread([&group, store](const std::stop_token& stop) {
+          SendHeartbeats(group, store, stop);
+        });
   }
   ServeUntilSignal(group.port());
   return 0;
--- a/test/standins/target_test.cc
+++ b/test/standins/target_test.cc
@@ -11,8 +11,8 @@
 
 struct TargetFixture {
   TargetFixture() {
-    target.SetHoldings({{IndexVersion(7), {KeyRange{0, kKeySpaceEnd / 2}}},
-                        {IndexVersion(8), {}}});
+    target.SetServedRanges({{IndexVersion(7), {KeyRange{0, kKeySpaceEnd / 2}}},
+                            {IndexVersion(8), {}}});
     target.SetBehaviour(fast);
   }
 
@@ -77,7 +77,7 @@
 BOOST_AUTO_TEST_CASE(Query_CrashingRequest_RunsOnceAndTakesTheTargetDown) {
   Behaviour fragile = fast;
   fragile.crash_on = "poison";
-  fragile.restart = std::chrono::hours(1);
+  fragile.restart_time = std::chrono::hours(1);
   target.SetBehaviour(fragile);
   BOOST_TEST(Query(R"({"text":"poison"})") == 0);
   BOOST_TEST(Query(R"({"text":"innocent"})") == 0);
