--- a/test/standins/dataset_test.cc
+++ b/test/standins/dataset_test.cc
@@ -23,11 +23,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(DatasetTest, DatasetFixture)
 
-BOOST_AUTO_TEST_CASE(Answer_AnySplitOfTheKeySpace_HoldsTheSameItemsOnce) {
+BOOST_AUTO_TEST_CASE(Answer_SplitKeySpace_ReturnsEachItemOnce) {
   const ShardAnswer whole = Answer(0, kKeySpaceEnd);
-  const std::uint64_t cut = kKeySpaceEnd / 3;
-  const ShardAnswer low = Answer(0, cut);
-  const ShardAnswer high = Answer(cut, kKeySpaceEnd);
+  const std::uint64_t boundary = kKeySpaceEnd / 3;
+  const ShardAnswer low = Answer(0, boundary);
+  const ShardAnswer high = Answer(boundary, kKeySpaceEnd);
   std::set<std::string> ids;
   for (const ShardAnswer* part : {&low, &high}) {
     for (const Hit& hit : part->hits) {
@@ -39,7 +39,7 @@
   BOOST_TEST(low.count + high.count == whole.count);
 }
 
-BOOST_AUTO_TEST_CASE(Answer_RequestWithAnId_IsThatItem) {
+BOOST_AUTO_TEST_CASE(Answer_RequestWithId_ReturnsThatItem) {
   const JsonPtr keyed(json_pack("{s:s}", "ticket_id", "t5"));
   const ShardAnswer answer = dataset.Answer({0, 10}, IndexVersion(7), *keyed);
   BOOST_REQUIRE(answer.hits.size() == 1U);
--- a/test/standins/deployments_test.cc
+++ b/test/standins/deployments_test.cc
@@ -38,7 +38,7 @@
     return {std::istreambuf_iterator<char>(in), {}};
   }
 
-  [[nodiscard]] static std::map<TargetId, TargetInfo> Hosts(
+  [[nodiscard]] static std::map<TargetId, TargetInfo> ReadTargets(
       const std::string& name) {
     const std::string text = Text(name, "hosts.json");
     std::map<TargetId, TargetInfo> hosts;
@@ -49,7 +49,7 @@
     return hosts;
   }
 
-  [[nodiscard]] static std::map<ServiceId, PartitionMap> Maps(
+  [[nodiscard]] static std::map<ServiceId, PartitionMap> ReadLatestMaps(
       const std::string& name) {
     const std::string text = Text(name, "index.json");
     const JsonPtr json = ValueOf([&] { return ParseJson(text, "index.json"); });
@@ -69,11 +69,11 @@
 BOOST_FIXTURE_TEST_SUITE(DeploymentsTest, DeploymentFixture)
 
 BOOST_AUTO_TEST_CASE(
-    Deployment_EveryReplica_IsAHostOfItsServiceInItsOwnDomain) {
+    Deployment_EveryReplica_IsInHostListOfItsServiceAndInOwnDomain) {
   for (const std::string& name : names) {
-    const auto hosts = Hosts(name);
+    const auto hosts = ReadTargets(name);
     std::set<TargetId> used;
-    for (const auto& [service, map] : Maps(name)) {
+    for (const auto& [service, map] : ReadLatestMaps(name)) {
       for (const Shard& shard : map.shards) {
         std::set<FailureDomain> domains;
         for (const TargetId& replica : shard.replicas) {
@@ -95,7 +95,7 @@
   for (const std::string& name : names) {
     const Schema schema =
         ValueOf([&] { return Schema::Parse(Text(name, "schema.fbs")); });
-    const auto maps = Maps(name);
+    const auto maps = ReadLatestMaps(name);
     std::set<ServiceId> declared;
     for (const auto& method : schema.methods()) {
       declared.insert(method->service);
--- a/test/standins/kv_store_test.cc
+++ b/test/standins/kv_store_test.cc
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct KvFixture {
+struct KvStoreFixture {
   ManualClock clock;
   KvStore store{clock};
   std::uint64_t revision = 0;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(KvStoreTest, KvFixture)
+BOOST_FIXTURE_TEST_SUITE(KvStoreTest, KvStoreFixture)
 
 BOOST_AUTO_TEST_CASE(Apply_ConditionFails_ChangesNothing) {
   BOOST_TEST((Put("a", "1") == TransactionOutcome::kApplied));
@@ -38,7 +38,7 @@
   BOOST_TEST(!store.Get("b").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Lease_Lapses_ItsKeysGoAndTheWatchTells) {
+BOOST_AUTO_TEST_CASE(Lease_Expires_RemovesItsKeysAndNotifiesWatch) {
   const std::uint64_t lease = store.Grant(seconds(1));
   BOOST_TEST((Put("a", "1", lease) == TransactionOutcome::kApplied));
   clock.Advance(milliseconds(600));
@@ -53,7 +53,7 @@
   BOOST_TEST((Put("b", "1", lease) == TransactionOutcome::kNoLease));
 }
 
-BOOST_AUTO_TEST_CASE(Watch_HistoryIsForgotten_SaysSo) {
+BOOST_AUTO_TEST_CASE(Watch_HistoryCompacted_ReportsCompaction) {
   (void)Put("a", "1");
   const std::uint64_t before = revision;
   (void)Put("a", "2");
@@ -62,7 +62,7 @@
   BOOST_TEST(!store.Watch("", revision, milliseconds(0)).compacted);
 }
 
-BOOST_AUTO_TEST_CASE(Range_MoreThanAPage_GoesOnAfterTheLastKey) {
+BOOST_AUTO_TEST_CASE(Range_MoreThanOnePage_ContinuesAfterLastKey) {
   Transaction transaction;
   for (int i = 1000; i < 1700; ++i) {
     transaction.puts.push_back({"k" + std::to_string(i), "v", 0});
@@ -77,9 +77,9 @@
 
 // A drill comes back from a copy: what was written since is gone, and a watch
 // from a revision that is not there again must not wait for it.
-BOOST_AUTO_TEST_CASE(Restore_AfterChanges_GivesRevisionsOutAgain) {
+BOOST_AUTO_TEST_CASE(Restore_AfterChanges_ReusesRevisions) {
   (void)Put("a", "1");
-  const std::uint64_t copied = revision;
+  const std::uint64_t snapshot_revision = revision;
   store.TakeSnapshot();
   (void)Put("a", "2");
   (void)Put("b", "1");
@@ -90,11 +90,13 @@
   BOOST_TEST(!store.Get("b").has_value());
   BOOST_TEST(store.Watch("", before, milliseconds(0)).compacted);
   (void)Put("c", "1");
-  BOOST_TEST(revision == copied + 1);
-  BOOST_TEST(store.Watch("", copied, milliseconds(0)).events.size() == 1U);
+  BOOST_TEST(revision == snapshot_revision + 1);
+  BOOST_TEST(
+      store.Watch("", snapshot_revision, milliseconds(0)).events.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Touch_SameValue_ProlongsTheLeaseWithoutAChange) {
+BOOST_AUTO_TEST_CASE(
+    RenewLeaseIfUnchanged_SameValue_RenewsLeaseWithoutRevision) {
   const std::uint64_t lease = store.Grant(seconds(1));
   BOOST_TEST((Put("a", "1", lease) == TransactionOutcome::kApplied));
   clock.Advance(milliseconds(600));
--- a/test/standins/load_run_test.cc
+++ b/test/standins/load_run_test.cc
@@ -11,7 +11,7 @@
 
 namespace jacinthdeck::standins {
 
-struct LoadFixture {
+struct LoadRunFixture {
   const std::string whole =
       R"({"outcome":"whole","reason":"none","version":7,"attempts":3,)"
       R"("covered":[[0,4294967296]],"missing":[],)"
@@ -31,12 +31,12 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(LoadRunTest, LoadFixture)
+BOOST_FIXTURE_TEST_SUITE(LoadRunTest, LoadRunFixture)
 
 // The report shows a stall. The first request is held until the second has
 // arrived: a generator that waits for a reply before it sends again would never
 // send the second, and would hide the stall.
-BOOST_AUTO_TEST_CASE(Run_FirstRequestStalls_SecondIsSentAllTheSame) {
+BOOST_AUTO_TEST_CASE(Run_FirstRequestStalls_SecondIsSentOnSchedule) {
   std::mutex mutex;
   std::condition_variable arrived;
   int requests = 0;
@@ -53,15 +53,15 @@
   BOOST_TEST((samples[0].outcome == LoadOutcome::kWhole));
 }
 
-BOOST_AUTO_TEST_CASE(Run_EntryLeaves_RequestTurnsToTheNext) {
-  const HttpServer leaving({}, [](const HttpRequest&) {
+BOOST_AUTO_TEST_CASE(Run_EntryIsDraining_ResendsToNextEntry) {
+  const HttpServer draining({}, [](const HttpRequest&) {
     return HttpReply{503, R"({"outcome":"not_run","reason":"draining"})",
                      false};
   });
   const HttpServer entry({}, [&](const HttpRequest&) {
     return HttpReply{200, whole, false};
   });
-  LoadRun run(Options(), {EndpointOf(leaving), EndpointOf(entry)});
+  LoadRun run(Options(), {EndpointOf(draining), EndpointOf(entry)});
   std::uint64_t resends = 0;
   for (const Sample& sample : run.Run()) {
     BOOST_TEST((sample.outcome == LoadOutcome::kWhole));
@@ -72,7 +72,7 @@
 
 // The report counts a lost request. The connection ends without a reply, so the
 // request may have run; sending it again would hide that.
-BOOST_AUTO_TEST_CASE(Run_NoReply_IsLostAndNotSentAgain) {
+BOOST_AUTO_TEST_CASE(Run_NoReply_CountsLostAndDoesNotResend) {
   std::mutex mutex;
   int requests = 0;
   const HttpServer entry({}, [&](const HttpRequest&) {
@@ -89,7 +89,7 @@
   BOOST_TEST(requests == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ReadAnswer_MixedVersionsAndDoubledHit_AreCounted) {
+BOOST_AUTO_TEST_CASE(ReadAnswer_MixedVersionsAndDuplicateHit_CountsBoth) {
   Sample sample;
   ReadAnswer(200,
              R"({"outcome":"partial","version":7,"covered":[[0,1]],)"
@@ -102,7 +102,7 @@
   BOOST_TEST(sample.coverage == 0.25);
 }
 
-BOOST_AUTO_TEST_CASE(CheckLoad_OutsideLoopbackOrBounds_IsRefused) {
+BOOST_AUTO_TEST_CASE(CheckLoadOptions_OutsideLoopbackOrBounds_Fails) {
   LoadOptions options = Options();
   const auto accepted = [&] {
     return Capture([&] { return CheckLoadOptions(options); }).index() == 0;
@@ -116,7 +116,7 @@
   BOOST_TEST(!accepted());
 }
 
-BOOST_AUTO_TEST_CASE(Arrivals_SameSeed_GiveTheSameRate) {
+BOOST_AUTO_TEST_CASE(Next_SameSeed_GivesSameTimesAtRequestedRate) {
   Arrivals first(100, true, 7);
   Arrivals second(100, true, 7);
   Duration last{};
--- a/test/standins/restore_drill_test.cc
+++ b/test/standins/restore_drill_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::hours;
 using std::chrono::milliseconds;
 
-struct DrillFixture {
+struct RestoreDrillFixture {
   SteadyClock clock;
   StoreServer server{0, clock, {}, 1};
 
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(RestoreDrillTest, DrillFixture)
+BOOST_FIXTURE_TEST_SUITE(RestoreDrillTest, RestoreDrillFixture)
 
-BOOST_AUTO_TEST_CASE(Drill_IsOver_StoreIsBackWithTheCopy) {
+BOOST_AUTO_TEST_CASE(Drill_Completes_StoreServesTheSnapshot) {
   Put("before");
   RestoreDrill drill(server, {{}, {}, milliseconds(200)});
   while (server.faults().outage != Outage::kSilent) {
@@ -43,7 +43,7 @@
   BOOST_TEST(!server.content().Get("after").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Drill_IsEndedBefore_NothingIsRestored) {
+BOOST_AUTO_TEST_CASE(Drill_DestroyedBeforeRestore_RestoresNothing) {
   Put("before");
   { const RestoreDrill drill(server, {hours(1), hours(1), hours(1)}); }
   BOOST_TEST(server.content().era() == 1U);
--- a/test/standins/target_list_test.cc
+++ b/test/standins/target_list_test.cc
@@ -28,9 +28,9 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(HostListReaderTest, HostListFixture)
+BOOST_FIXTURE_TEST_SUITE(ReadHostListTest, HostListFixture)
 
-BOOST_AUTO_TEST_CASE(ReadHostList_OneHost_GivesItsTarget) {
+BOOST_AUTO_TEST_CASE(ReadHostList_OneHost_ReturnsItsTarget) {
   const auto read = Read(host);
   BOOST_REQUIRE(read.index() == 0U);
   const TargetInfo expected{.id = TargetId("a"),
@@ -45,7 +45,7 @@
   BOOST_TEST((std::get<0>(read).at(0) == expected));
 }
 
-BOOST_AUTO_TEST_CASE(ReadHostList_WrongMember_IsCorruptAndNamed) {
+BOOST_AUTO_TEST_CASE(ReadHostList_InvalidMember_FailsAndNamesIt) {
   for (const auto& [from, to, member] :
        std::initializer_list<std::array<std::string, 3>>{
            {R"("a")", R"("")", "id"},
@@ -68,7 +68,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ReadHostList_IdStandsTwice_IsRefused) {
+BOOST_AUTO_TEST_CASE(ReadHostList_DuplicateId_Fails) {
   BOOST_TEST(Read(host + "," + host).index() == 1U);
 }
 
--- a/test/standins/target_test.cc
+++ b/test/standins/target_test.cc
@@ -48,13 +48,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(TargetTest, TargetFixture)
 
-BOOST_AUTO_TEST_CASE(Query_HeldRange_IsAnsweredAndLogged) {
+BOOST_AUTO_TEST_CASE(Query_ServedRange_IsAnsweredAndLogged) {
   BOOST_TEST(Query(R"({"text":"x"})") == 200);
   BOOST_REQUIRE(log.Find("M").size() == 1U);
   BOOST_TEST(log.Find("M")[0].runs.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Query_RangeOrVersionNotHeld_IsRefusedAndNotRun) {
+BOOST_AUTO_TEST_CASE(Query_RangeOrVersionNotServed_IsRefusedAndNotRun) {
   BOOST_TEST(Query("{}", 8) == 409);
   BOOST_TEST(Query("{}", 6) == 410);
   BOOST_TEST(log.total() == 0U);
@@ -74,11 +74,11 @@
 
 // The caller sees a connection that ends without a reply. The request runs,
 // brings the target down, and the target takes nothing until it has restarted.
-BOOST_AUTO_TEST_CASE(Query_CrashingRequest_RunsOnceAndTakesTheTargetDown) {
-  Behaviour fragile = fast;
-  fragile.crash_on = "poison";
-  fragile.restart_time = std::chrono::hours(1);
-  target.SetBehaviour(fragile);
+BOOST_AUTO_TEST_CASE(Query_CrashingRequest_RunsOnceAndCrashesTarget) {
+  Behaviour crashing = fast;
+  crashing.crash_on = "poison";
+  crashing.restart_time = std::chrono::hours(1);
+  target.SetBehaviour(crashing);
   BOOST_TEST(Query(R"({"text":"poison"})") == 0);
   BOOST_TEST(Query(R"({"text":"innocent"})") == 0);
   BOOST_TEST(log.total() == 1U);
--- a/test/standins/work_queue_test.cc
+++ b/test/standins/work_queue_test.cc
@@ -16,14 +16,14 @@
 
 BOOST_FIXTURE_TEST_SUITE(WorkQueueTest, WorkQueueFixture)
 
-BOOST_AUTO_TEST_CASE(Take_NoSlotAndNoQueue_IsFull) {
+BOOST_AUTO_TEST_CASE(AcquireSlot_NoSlotAndNoQueue_ReturnsQueueFull) {
   BOOST_TEST((work.AcquireSlot("1", 0, future) == WorkOutcome::kDone));
   BOOST_TEST((work.AcquireSlot("2", 0, future) == WorkOutcome::kQueueFull));
   work.ReleaseSlot("1");
   BOOST_TEST((work.AcquireSlot("2", 0, future) == WorkOutcome::kDone));
 }
 
-BOOST_AUTO_TEST_CASE(Take_NoSlotBeforeTheDeadline_EndsByIt) {
+BOOST_AUTO_TEST_CASE(AcquireSlot_NoSlotBeforeDeadline_ReturnsDeadlineExceeded) {
   BOOST_TEST((work.AcquireSlot("1", 0, future) == WorkOutcome::kDone));
   BOOST_TEST(
       (work.AcquireSlot("2", 1, past) == WorkOutcome::kDeadlineExceeded));
@@ -36,12 +36,12 @@
   BOOST_TEST((work.Work("1", future, future) == WorkOutcome::kCancelled));
 }
 
-BOOST_AUTO_TEST_CASE(Work_PastDeadline_EndsByIt) {
+BOOST_AUTO_TEST_CASE(Work_PastDeadline_ReturnsDeadlineExceeded) {
   BOOST_TEST((work.AcquireSlot("1", 0, future) == WorkOutcome::kDone));
   BOOST_TEST((work.Work("1", future, past) == WorkOutcome::kDeadlineExceeded));
 }
 
-BOOST_AUTO_TEST_CASE(Cancel_UnknownAttempt_LeavesNoTrace) {
+BOOST_AUTO_TEST_CASE(Cancel_UnknownAttempt_DoesNotCancelItLater) {
   work.Cancel("1");
   BOOST_TEST((work.AcquireSlot("1", 0, future) == WorkOutcome::kDone));
   BOOST_TEST((work.Work("1", past, future) == WorkOutcome::kDone));
