--- a/standins/loadgen/load_report.cc
+++ b/standins/loadgen/load_report.cc
@@ -61,11 +61,11 @@
 
 //! Nearest rank.
 [[nodiscard]] double Percentile(const std::vector<Duration>& sorted,
-                                double share) {
+                                double fraction) {
   if (sorted.empty()) {
     return 0;
   }
-  const double rank = std::ceil(share * static_cast<double>(sorted.size()));
+  const double rank = std::ceil(fraction * static_cast<double>(sorted.size()));
   const auto index = static_cast<std::size_t>(std::max(rank, 1.0)) - 1;
   return ToMilliseconds(sorted[std::min(index, sorted.size() - 1)]);
 }
--- a/standins/loadgen/load_run.cc
+++ b/standins/loadgen/load_run.cc
@@ -60,11 +60,11 @@
 std::vector<Sample> LoadRun::Run() {
   m_start = std::chrono::steady_clock::now();
   m_next_arrival = m_arrivals.Next();
-  const auto last = std::chrono::seconds(m_options.seconds);
+  const auto schedule_end = std::chrono::seconds(m_options.seconds);
   while (true) {
-    const bool more =
-        m_scheduled_count < m_options.count && m_next_arrival < last;
-    if (!more && m_send_queue.empty() && m_transfers.empty()) {
+    const bool more_arrivals =
+        m_scheduled_count < m_options.count && m_next_arrival < schedule_end;
+    if (!more_arrivals && m_send_queue.empty() && m_transfers.empty()) {
       return std::move(m_samples);
     }
     StartDueRequests();
@@ -76,9 +76,9 @@
 }
 
 void LoadRun::StartDueRequests() {
-  const auto last = std::chrono::seconds(m_options.seconds);
+  const auto schedule_end = std::chrono::seconds(m_options.seconds);
   const Duration now = Elapsed();
-  while (m_scheduled_count < m_options.count && m_next_arrival < last &&
+  while (m_scheduled_count < m_options.count && m_next_arrival < schedule_end &&
          m_next_arrival <= now) {
     const std::uint64_t number = m_scheduled_count++;
     m_send_queue.push({m_next_arrival, number, m_next_arrival,
@@ -99,19 +99,19 @@
   transfer->url =
       "http://" + m_entries[due.entry].ToString() + "/v1/" + m_options.call;
   transfer->body = RequestBody(due.number);
-  const auto add = [&](const std::string& header) {
+  const auto add_header = [&](const std::string& header) {
     transfer->headers = curl_slist_append(transfer->headers, header.c_str());
   };
-  add("Content-Type: application/json");
+  add_header("Content-Type: application/json");
   if (!m_options.tenant.empty()) {
-    add("X-Tenant: " + m_options.tenant);
+    add_header("X-Tenant: " + m_options.tenant);
   }
   if (!due.id.empty()) {
-    add("X-Request-Id: " + due.id);
+    add_header("X-Request-Id: " + due.id);
   }
   long timeout = kDefaultTimeoutMs;
   if (m_options.deadline_ms > 0) {
-    add("X-Deadline-Ms: " + std::to_string(m_options.deadline_ms));
+    add_header("X-Deadline-Ms: " + std::to_string(m_options.deadline_ms));
     timeout = static_cast<long>(m_options.deadline_ms) + kReplyGraceMs;
   }
   CURL* handle =
@@ -140,8 +140,9 @@
 }
 
 void LoadRun::CollectFinished() {
-  int left = 0;
-  while (const CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
+  int messages_left = 0;
+  while (const CURLMsg* message =
+             curl_multi_info_read(m_multi, &messages_left)) {
     if (message->msg != CURLMSG_DONE) {
       continue;
     }
--- a/standins/store/store_control.cc
+++ b/standins/store/store_control.cc
@@ -63,11 +63,11 @@
 }  // namespace
 
 Result<StoreControl> ParseStoreControl(const std::string& text,
-                                       const StoreFaults& now) {
+                                       const StoreFaults& current_faults) {
   BOOST_LEAF_AUTO(json, ParseJson(text, "control"));
   const JsonReader message(json.get(), "control");
   StoreControl control;
-  control.faults = now;
+  control.faults = current_faults;
   if (message.Has("outage")) {
     BOOST_LEAF_ASSIGN(control.faults.outage, ReadOutage(message));
   }
--- a/standins/store/store_control.h
+++ b/standins/store/store_control.h
@@ -36,10 +36,11 @@
 /**
  * \brief Reads a control message.
  * \param text JSON; absent members keep what is.
- * \param now Faults in force.
+ * \param current_faults Faults in force.
  */
-[[nodiscard]] Result<StoreControl> ParseStoreControl(const std::string& text,
-                                                     const StoreFaults& now);
+[[nodiscard]] Result<StoreControl> ParseStoreControl(
+    const std::string& text,
+    const StoreFaults& current_faults);
 
 }  // namespace jacinthdeck::standins
 
--- a/standins/store/store_server.cc
+++ b/standins/store/store_server.cc
@@ -149,8 +149,8 @@
                          std::uint64_t seed)
     : m_clock(clock),
       m_content(clock),
-      m_reads(rates.reads_per_second),
-      m_writes(rates.writes_per_second),
+      m_read_limit(rates.reads_per_second),
+      m_write_limit(rates.writes_per_second),
       m_random(seed),
       m_server({.port = port, .max_connections = kMaxConnections},
                [this](const HttpRequest& request) { return Handle(request); }) {
@@ -171,10 +171,10 @@
     const std::scoped_lock lock(m_mutex);
     m_faults = control.faults;
     if (control.reads_per_second) {
-      m_reads.set_rate(*control.reads_per_second);
+      m_read_limit.set_rate(*control.reads_per_second);
     }
     if (control.writes_per_second) {
-      m_writes.set_rate(*control.writes_per_second);
+      m_write_limit.set_rate(*control.writes_per_second);
     }
   }
   if (control.restore) {
@@ -216,11 +216,11 @@
 }
 
 HttpReply StoreServer::AnswerWithFaults(const HttpRequest& request) {
-  const StoreFaults present = faults();
-  if (present.delay > Duration::zero()) {
-    std::this_thread::sleep_for(present.delay);
+  const StoreFaults current = faults();
+  if (current.delay > Duration::zero()) {
+    std::this_thread::sleep_for(current.delay);
   }
-  if (present.outage == Outage::kNone) {
+  if (current.outage == Outage::kNone) {
     return Dispatch(request);
   }
   {
@@ -231,27 +231,27 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   // A connection on which a reply was due stays without one.
-  return present.outage == Outage::kBusy
+  return current.outage == Outage::kBusy
              ? ErrorReply(http_status::kUnavailable, "busy")
              : DropConnection();
 }
 
 HttpReply StoreServer::Dispatch(const HttpRequest& request) {
   static constexpr std::array<Route, 7> kRoutes{{
-      {"GET", "/-/kv-key", &StoreCounts::reads, &StoreServer::m_reads, false,
-       &StoreServer::Get},
-      {"GET", "/-/kv-range", &StoreCounts::reads, &StoreServer::m_reads, false,
-       &StoreServer::Range},
-      {"GET", "/-/kv-watch", &StoreCounts::watches, &StoreServer::m_reads,
+      {"GET", "/-/kv-key", &StoreCounts::reads, &StoreServer::m_read_limit,
+       false, &StoreServer::Get},
+      {"GET", "/-/kv-range", &StoreCounts::reads, &StoreServer::m_read_limit,
+       false, &StoreServer::Range},
+      {"GET", "/-/kv-watch", &StoreCounts::watches, &StoreServer::m_read_limit,
        false, &StoreServer::Watch},
-      {"POST", "/-/kv-txn", &StoreCounts::writes, &StoreServer::m_writes, true,
-       &StoreServer::Write},
-      {"POST", "/-/kv-lease", &StoreCounts::writes, &StoreServer::m_writes,
+      {"POST", "/-/kv-txn", &StoreCounts::writes, &StoreServer::m_write_limit,
+       true, &StoreServer::Write},
+      {"POST", "/-/kv-lease", &StoreCounts::writes, &StoreServer::m_write_limit,
        true, &StoreServer::Grant},
-      {"POST", kRenewPrefix, &StoreCounts::renewals, &StoreServer::m_reads,
+      {"POST", kRenewPrefix, &StoreCounts::renewals, &StoreServer::m_read_limit,
        true, &StoreServer::Renew},
-      {"DELETE", kRevokePrefix, &StoreCounts::writes, &StoreServer::m_writes,
-       true, &StoreServer::Revoke},
+      {"DELETE", kRevokePrefix, &StoreCounts::writes,
+       &StoreServer::m_write_limit, true, &StoreServer::Revoke},
   }};
   const auto route = std::ranges::find_if(kRoutes, [&](const Route& candidate) {
     return candidate.verb == request.verb &&
@@ -306,11 +306,11 @@
 }
 
 HttpReply StoreServer::Write(const HttpRequest& request) {
-  const auto read = Capture([&] { return ReadTransaction(request.body); });
-  if (const auto* error = std::get_if<Error>(&read)) {
+  const auto parsed = Capture([&] { return ReadTransaction(request.body); });
+  if (const auto* error = std::get_if<Error>(&parsed)) {
     return ErrorReply(http_status::kBadRequest, error->message.c_str());
   }
-  const auto& transaction = std::get<0>(read);
+  const auto& transaction = std::get<0>(parsed);
   if (WritesReadOnlyKey(transaction)) {
     return ErrorReply(http_status::kForbidden, "key of another owner");
   }
@@ -324,25 +324,25 @@
     case TransactionOutcome::kConflict:
       break;
   }
-  std::vector<KeyValue> present;
+  std::vector<KeyValue> current;
   for (const Condition& condition : transaction.conditions) {
     if (const auto item = m_content.Get(condition.key)) {
-      present.push_back(*item);
+      current.push_back(*item);
     }
   }
   return ReplyWithJson(http_status::kPreconditionFailed,
-                       json_pack("{s:o}", "items", ToJson(present)));
+                       json_pack("{s:o}", "items", ToJson(current)));
 }
 
 HttpReply StoreServer::Grant(const HttpRequest& request) {
-  const auto read = Capture([&]() -> Result<std::uint64_t> {
+  const auto parsed = Capture([&]() -> Result<std::uint64_t> {
     BOOST_LEAF_AUTO(json, ParseJson(request.body, "lease"));
     return JsonReader(json.get(), "lease").Unsigned("ttlMs", 600000);
   });
-  if (const auto* error = std::get_if<Error>(&read)) {
+  if (const auto* error = std::get_if<Error>(&parsed)) {
     return ErrorReply(http_status::kBadRequest, error->message.c_str());
   }
-  const std::uint64_t ttl = std::get<0>(read);
+  const std::uint64_t ttl = std::get<0>(parsed);
   const std::uint64_t lease = m_content.Grant(std::chrono::milliseconds(ttl));
   return ReplyWithJson(
       200, json_pack("{s:o, s:o}", "leaseId", JsonNumber(lease), "ttlMs",
@@ -368,27 +368,28 @@
 }
 
 HttpReply StoreServer::Control(const HttpRequest& request) {
-  const auto read =
+  const auto parsed =
       Capture([&] { return ParseStoreControl(request.body, faults()); });
-  if (const auto* error = std::get_if<Error>(&read)) {
+  if (const auto* error = std::get_if<Error>(&parsed)) {
     const std::string text = error->subject + " " + error->message;
     return ErrorReply(http_status::kBadRequest, text.c_str());
   }
-  Apply(std::get<0>(read));
+  Apply(std::get<0>(parsed));
   return ReplyWithJson(
       200, json_pack("{s:o}", "revision", JsonNumber(m_content.revision())));
 }
 
 HttpReply StoreServer::Counts() const {
-  const StoreCounts now = counts();
+  const StoreCounts totals = counts();
   return ReplyWithJson(
       200,
       json_pack("{s:o, s:o, s:o, s:o, s:o, s:o, s:o}", "reads",
-                JsonNumber(now.reads), "watches", JsonNumber(now.watches),
-                "writes", JsonNumber(now.writes), "renewals",
-                JsonNumber(now.renewals), "limited", JsonNumber(now.limited),
-                "refused", JsonNumber(now.refused), "replies_lost",
-                JsonNumber(now.replies_lost)));
+                JsonNumber(totals.reads), "watches", JsonNumber(totals.watches),
+                "writes", JsonNumber(totals.writes), "renewals",
+                JsonNumber(totals.renewals), "limited",
+                JsonNumber(totals.limited), "refused",
+                JsonNumber(totals.refused), "replies_lost",
+                JsonNumber(totals.replies_lost)));
 }
 
 bool StoreServer::Admit(const Route& route) {
--- a/standins/store/store_server.h
+++ b/standins/store/store_server.h
@@ -74,8 +74,8 @@
   mutable std::mutex m_mutex;
   StoreFaults m_faults;
   StoreCounts m_counts;
-  RateLimit m_reads;
-  RateLimit m_writes;
+  RateLimit m_read_limit;
+  RateLimit m_write_limit;
   Random m_random;
   std::atomic<bool> m_stopping = false;
   //! Last: it calls the members above from its first moment on.
--- a/standins/target/behaviour.cc
+++ b/standins/target/behaviour.cc
@@ -118,8 +118,8 @@
 }  // namespace
 
 Result<Behaviour> ReadBehaviour(const JsonReader& changes,
-                                const Behaviour& now) {
-  Behaviour behaviour = now;
+                                const Behaviour& current) {
+  Behaviour behaviour = current;
   for (const std::string& name : changes.Names()) {
     const auto field = std::ranges::find_if(
         kFields, [&](const Field& known) { return known.name == name; });
--- a/standins/target/behaviour.h
+++ b/standins/target/behaviour.h
@@ -64,11 +64,11 @@
  * \brief Reads the changes that a control message asks for.
  * \param changes JSON object with some of the members, named as in
  * docs/modules/standins.md.
- * \param now Behaviour in force; what the message does not name stays.
+ * \param current Behaviour in force; what the message does not name stays.
  * \return The new behaviour; kCorrupt for an unknown member or a wrong value.
  */
 [[nodiscard]] Result<Behaviour> ReadBehaviour(const JsonReader& changes,
-                                              const Behaviour& now);
+                                              const Behaviour& current);
 
 }  // namespace jacinthdeck::standins
 
--- a/standins/target/target.cc
+++ b/standins/target/target.cc
@@ -131,12 +131,12 @@
                      json_pack("{s:s}", "error", text.c_str()));
   }
   const auto& query = std::get<TargetQuery>(parsed);
-  const Behaviour now = behaviour();
-  if (const char* refusal = RefusalReason(now)) {
+  const Behaviour current = behaviour();
+  if (const char* refusal = RefusalReason(current)) {
     return ReplyShed(refusal);
   }
   const HttpReply check = CheckServedRanges(query);
-  return check.status == 200 ? RunQuery(query, now) : check;
+  return check.status == 200 ? RunQuery(query, current) : check;
 }
 
 const char* Target::RefusalReason(const Behaviour& behaviour) {
