--- a/standins/loadgen/answer_reader.cc
+++ b/standins/loadgen/answer_reader.cc
@@ -1,4 +1,5 @@
-// Checks of answers: one version, no hit twice, coverage.
+// Checks that the hits of an answer have one version and distinct ids, and
+// computes the coverage.
 #include "loadgen/answer_reader.h"
 
 #include <jansson.h>
--- a/standins/loadgen/answer_reader.h
+++ b/standins/loadgen/answer_reader.h
@@ -1,4 +1,4 @@
-// Reads an entry's answer into a sample and checks it.
+// Parses an entry's reply into a Sample and checks its hits.
 #ifndef JACINTHDECK_STANDINS_LOADGEN_ANSWER_READER_H_
 #define JACINTHDECK_STANDINS_LOADGEN_ANSWER_READER_H_
 
@@ -9,10 +9,12 @@
 namespace jacinthdeck::standins {
 
 /**
- * \brief Reads a reply.
+ * \brief Parses the reply to one request.
  * \param status HTTP status.
- * \param body Reply body.
- * \param sample Receives the end, the counts and what is wrong with the hits.
+ * \param body Body of the reply, JSON of an answer.
+ * \param sample Receives the outcome, the counts, the coverage, and the numbers
+ * of duplicate hits and of hits of another version. A body that is no JSON
+ * yields kMalformed.
  */
 void ReadAnswer(long status, const std::string& body, Sample& sample);
 
--- a/standins/loadgen/arrivals.h
+++ b/standins/loadgen/arrivals.h
@@ -1,4 +1,4 @@
-// When each request of an open loop is due.
+// Arrival process of an open-loop load: the due time of each request.
 #ifndef JACINTHDECK_STANDINS_LOADGEN_ARRIVALS_H_
 #define JACINTHDECK_STANDINS_LOADGEN_ARRIVALS_H_
 
@@ -10,19 +10,21 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief Due times since the start, whatever the system under load does. */
+/*! \brief Generates due times, relative to the start of a run, that do not
+ * depend on the replies of the system under load. */
 class Arrivals {
  public:
   /**
-   * \brief Makes a schedule.
-   * \param rate Requests a second.
-   * \param poisson Exponential gaps in place of equal ones.
-   * \param seed Seed of the gaps.
+   * \brief Creates the arrival process.
+   * \param rate Mean number of requests per second, above 0.
+   * \param poisson True for exponentially distributed gaps between requests,
+   * false for equal gaps.
+   * \param seed Seed of the random gaps.
    */
   Arrivals(double rate, bool poisson, std::uint64_t seed)
       : m_mean_us(1e6 / rate), m_poisson(poisson), m_random(seed) {}
 
-  /*! \brief Due time of the next request. */
+  /*! \brief Returns the due time of the next request, since the start. */
   [[nodiscard]] Duration Next() {
     const Duration due(static_cast<Duration::rep>(m_next_us));
     m_next_us +=
--- a/standins/loadgen/load_report.cc
+++ b/standins/loadgen/load_report.cc
@@ -1,4 +1,4 @@
-// Percentiles, histogram and CSV.
+// Computes the totals and percentiles of a run and prints them.
 #include "loadgen/load_report.h"
 
 #include <algorithm>
@@ -14,13 +14,15 @@
 
 namespace {
 
-/*! \brief What adds up over the requests. */
+/*! \brief Sums over all requests of a run. */
 struct Totals {
   std::array<std::uint64_t, kLoadOutcomeCount> outcomes{};
   std::uint64_t attempts = 0;
+  //! Hedges and retries.
   std::uint64_t extra_attempts = 0;
   std::uint64_t resends = 0;
   std::uint64_t invalid_answers = 0;
+  //! Sum of the coverage of all answers.
   double coverage = 0;
   std::uint64_t answers = 0;
 };
@@ -59,7 +61,8 @@
   return latencies;
 }
 
-//! Nearest rank.
+//! Returns a percentile in milliseconds by the nearest-rank method; 0 for no
+//! latencies.
 [[nodiscard]] double Percentile(const std::vector<Duration>& sorted,
                                 double fraction) {
   if (sorted.empty()) {
--- a/standins/loadgen/load_report.h
+++ b/standins/loadgen/load_report.h
@@ -1,4 +1,4 @@
-// Sums a run up for people, and writes it out for tables.
+// Reports of a load run: a summary, a latency histogram and CSV.
 #ifndef JACINTHDECK_STANDINS_LOADGEN_LOAD_REPORT_H_
 #define JACINTHDECK_STANDINS_LOADGEN_LOAD_REPORT_H_
 
@@ -11,19 +11,20 @@
 namespace jacinthdeck::standins {
 
 /**
- * \brief Prints latency, coverage, extra requests and ends.
+ * \brief Prints latency percentiles, outcomes, coverage, attempts and resends.
  * \param samples All requests of a run.
- * \param out Where to print.
- * \return Number of answers that break a promise: hits of another version or
- * hits twice.
+ * \param out Stream to print to.
+ * \return Number of invalid answers: answers with hits of another version or
+ * with duplicate hits.
  */
 [[nodiscard]] std::uint64_t PrintReport(const std::vector<Sample>& samples,
                                         std::ostream& out);
 
-/*! \brief Prints counts of latencies by bins that double. */
+/*! \brief Prints the number of latencies in each bin; every bin is twice as
+ * wide as the one before. */
 void PrintHistogram(const std::vector<Sample>& samples, std::ostream& out);
 
-/*! \brief Renders one line a request, with a head line. */
+/*! \brief Renders a CSV header and one line per request. */
 [[nodiscard]] std::string ToCsv(const std::vector<Sample>& samples);
 
 }  // namespace jacinthdeck::standins
--- a/standins/loadgen/load_run.cc
+++ b/standins/loadgen/load_run.cc
@@ -1,4 +1,5 @@
-// Open loop by libcurl multi; latency counts from the due time.
+// Open loop over libcurl multi. Latency counts from the due time, so that time
+// spent waiting for a free transfer is part of it.
 #include "loadgen/load_run.h"
 
 #include <jansson.h>
@@ -13,7 +14,7 @@
 namespace {
 
 constexpr long kDefaultTimeoutMs = 10000;
-//! Time that a reply may take beyond the deadline before it counts as lost.
+//! Time after its deadline at which a request without a reply counts as lost.
 constexpr long kReplyGraceMs = 2000;
 constexpr int kMaxPollMs = 20;
 
@@ -24,7 +25,8 @@
 
 }  // namespace
 
-/*! \brief One request in flight; libcurl holds pointers into it. */
+/*! \brief State of one request in flight. libcurl holds pointers into it, so it
+ * must not move. */
 struct LoadRun::Transfer {
   ScheduledSend due;
   std::string url;
@@ -206,7 +208,8 @@
   if (!m_send_queue.empty() && m_transfers.size() < m_options.in_flight) {
     wait = std::min(wait, m_send_queue.top().at - now);
   }
-  // Rounded down: a due time is met by a short spin rather than missed.
+  // Rounds down: the loop polls without waiting just before a send is due, so
+  // that the send does not start late.
   return static_cast<int>(std::max<Duration::rep>(0, wait.count() / 1000));
 }
 
--- a/standins/loadgen/load_run.h
+++ b/standins/loadgen/load_run.h
@@ -1,4 +1,4 @@
-// Runs an open loop of requests over one libcurl multi handle.
+// Open-loop run of requests over one libcurl multi handle.
 #ifndef JACINTHDECK_STANDINS_LOADGEN_LOAD_RUN_H_
 #define JACINTHDECK_STANDINS_LOADGEN_LOAD_RUN_H_
 
@@ -22,37 +22,41 @@
 namespace jacinthdeck::standins {
 
 /**
- * \brief One run, on the thread that calls Run().
+ * \brief Sends the requests of one run on the thread that calls Run().
  *
- * A caller that is told "not run", or finds no connection, turns to the next
- * entry, as callers are asked to; nothing else is ever sent again.
+ * A request that was not run, or for which no connection could be opened, is
+ * resent to the next entry, as callers are asked to do. No other request is
+ * sent again.
  */
 class LoadRun {
  public:
   /**
    * \brief Prepares a run.
-   * \param options Checked options.
-   * \param entries Entries, at least one.
+   * \param options Options that CheckLoadOptions() has accepted.
+   * \param entries Addresses of the entries, at least one.
    */
   LoadRun(LoadOptions options, std::vector<Endpoint> entries);
   ~LoadRun();
   LoadRun(const LoadRun&) = delete;
   LoadRun& operator=(const LoadRun&) = delete;
 
-  /*! \brief Sends all requests and waits for their ends.
-   * \return One sample a request, in the order of their ends. */
+  /*! \brief Sends all requests and waits until each has ended.
+   * \return One sample per request, in the order in which they ended. */
   [[nodiscard]] std::vector<Sample> Run();
 
  private:
   using SteadyTimePoint = std::chrono::steady_clock::time_point;
   struct Transfer;
   struct ScheduledSend {
+    //! Time to send it, since the start of the run.
     Duration at;
     std::uint64_t number = 0;
-    //! Due time of the first sending.
+    //! Time at which the request was first due; latency counts from it.
     Duration first_due;
+    //! Index of the entry to send to.
     std::size_t entry = 0;
     std::uint64_t resends = 0;
+    //! Request id; empty if none is sent.
     std::string id;
     [[nodiscard]] bool operator>(const ScheduledSend& other) const {
       return at > other.at;
--- a/standins/loadgen/sample.h
+++ b/standins/loadgen/sample.h
@@ -1,4 +1,4 @@
-// What is known of one request at its end.
+// Measurements of one request of a load run.
 #ifndef JACINTHDECK_STANDINS_LOADGEN_SAMPLE_H_
 #define JACINTHDECK_STANDINS_LOADGEN_SAMPLE_H_
 
@@ -11,35 +11,35 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief How a request ended for its caller. */
+/*! \brief Outcome of a request as its caller sees it. */
 enum class LoadOutcome {
   kWhole,
   kPartial,
   kNotRun,
   kUnknown,
-  //! Status 4xx.
+  //! Reply with status 4xx and without an outcome.
   kRejected,
-  //! No connection to any entry.
+  //! No connection could be opened.
   kNotSent,
-  //! The connection ended, or time ran out, without a reply.
+  //! The connection ended or the time ran out without a reply.
   kLost,
-  //! A reply that is no answer.
+  //! The reply is no answer.
   kMalformed,
 };
 
 inline constexpr std::size_t kLoadOutcomeCount = 8;
 
-//! Names of the ends in reports.
+//! Names of the outcomes in reports.
 inline constexpr NameTable<LoadOutcome, kLoadOutcomeCount> kLoadOutcomeNames{
     {"whole", "partial", "not_run", "unknown", "rejected", "not_sent", "lost",
      "broken"}};
 
-/*! \brief One request. */
+/*! \brief Measurements of one request. */
 struct Sample {
   std::uint64_t number = 0;
-  //! Since the start.
+  //! Time at which the request was due, since the start of the run.
   Duration due{};
-  //! From due to the end.
+  //! Time from `due` to the end of the request, resends included.
   Duration latency{};
   LoadOutcome outcome = LoadOutcome::kNotSent;
   long status = 0;
@@ -49,15 +49,15 @@
   std::uint64_t attempts = 0;
   std::uint64_t hedges = 0;
   std::uint64_t retries = 0;
-  //! Share of the keys asked for, 0 to 1.
+  //! Covered share of the requested keys, 0 to 1.
   double coverage = 0;
-  //! Times that it moved to another entry.
+  //! Number of times that the request was resent to another entry.
   std::uint64_t resends = 0;
-  //! Hits of another version than the answer's.
+  //! Hits whose version differs from that of the answer.
   std::uint64_t mixed_version_hits = 0;
-  //! Hits whose id stands twice.
+  //! Hits whose id occurred before in the same answer.
   std::uint64_t duplicate_hits = 0;
-  //! When the entry asked to come back.
+  //! Time after which the entry allows a retry.
   Duration retry_after{};
 };
 
--- a/standins/loadgen_main.cc
+++ b/standins/loadgen_main.cc
@@ -1,4 +1,5 @@
-// Open-loop load generator for entries on loopback.
+// Main function of the open-loop load generator for entries on loopback
+// addresses.
 #include <iostream>
 #include <variant>
 
@@ -11,6 +12,7 @@
 
 namespace {
 
+//! Exit code of a run with answers that mix versions or hold a hit twice.
 constexpr int kExitInvalidAnswers = 3;
 
 int Load(const LoadOptions& options) {
@@ -47,26 +49,28 @@
       "arrivals", po::value(&load.arrivals)->default_value(load.arrivals),
       "poisson or constant")("rate",
                              po::value(&load.rate)->default_value(load.rate),
-                             "requests a second")(
+                             "requests per second")(
       "count", po::value(&load.count)->default_value(load.count),
-      "requests in all")("seconds",
-                         po::value(&load.seconds)->default_value(load.seconds),
-                         "no request is due after so many seconds")(
+      "total number of requests")(
+      "seconds", po::value(&load.seconds)->default_value(load.seconds),
+      "no request is due later than this many seconds")(
       "deadline-ms", po::value(&load.deadline_ms),
-      "deadline that is sent with each request")(
+      "deadline to send with each request, in milliseconds")(
       "in-flight", po::value(&load.in_flight)->default_value(load.in_flight),
-      "requests in flight at once; above, they wait and their wait counts")(
+      "maximum of requests in flight; others wait, and their latency counts "
+      "the wait")(
       "resends", po::value(&load.resends)->default_value(load.resends),
-      "times that a request that was not run turns to the next entry")(
-      "seed", po::value(&load.seed)->default_value(load.seed),
-      "seed of the arrivals, and part of the request ids")(
-      "tenant", po::value(&load.tenant), "tenant of the requests")(
-      "csv", po::value(&load.csv), "file for one line a request")(
+      "maximum of times that a request that was not run is sent to the next "
+      "entry")("seed", po::value(&load.seed)->default_value(load.seed),
+               "seed of the arrivals, and part of the request ids")(
+      "tenant", po::value(&load.tenant), "tenant to send with each request")(
+      "csv", po::value(&load.csv), "CSV file to write, one line per request")(
       "request-ids", po::bool_switch(&load.request_ids),
-      "give each request an id, for the logs")(
+      "send a request id with each request, to find it in the logs")(
       "fresh-connections", po::bool_switch(&load.fresh_connections),
-      "one connection a request")("histogram", po::bool_switch(&load.histogram),
-                                  "print a histogram");
+      "open a new connection for each request")(
+      "histogram", po::bool_switch(&load.histogram),
+      "print a histogram of the latencies");
   return jacinthdeck::standins::RunProgram(
       argc, argv, options, [&] { return jacinthdeck::standins::Load(load); });
 }
