--- a/standins/http/connection_table.cc
+++ b/standins/http/connection_table.cc
@@ -1,4 +1,4 @@
-// Bookkeeping of open connections.
+// Tracks open connections and ends them by shutdown(2).
 #include "http/connection_table.h"
 
 #include <sys/socket.h>
--- a/standins/http/connection_table.h
+++ b/standins/http/connection_table.h
@@ -1,4 +1,4 @@
-// Open connections of a server: counted, limited and closed on demand.
+// Table of a server's open connections, which counts, limits and closes them.
 #ifndef JACINTHDECK_STANDINS_HTTP_CONNECTION_TABLE_H_
 #define JACINTHDECK_STANDINS_HTTP_CONNECTION_TABLE_H_
 
@@ -10,45 +10,48 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief How many connections a server has seen. */
+/*! \brief Connection counts of a server. */
 struct ConnectionCounts {
   std::size_t open = 0;
+  //! Highest number of connections open at once, refused ones excluded.
   std::size_t most_open = 0;
   std::uint64_t opened = 0;
+  //! Connections that were closed because the limit was exceeded.
   std::uint64_t refused = 0;
   std::uint64_t idle_closed = 0;
 };
 
 /**
- * \brief Sockets by the client's port, which is unique among the open
- * connections of a loopback server.
+ * \brief Open connections, keyed by the client's port, which is unique among
+ * the open connections of a loopback server.
  *
- * Connections are ended by shutdown(2): the server library owns the socket and
- * closes it.
+ * Connections are ended by shutdown(2) and not by close(2), because the server
+ * library owns the socket and closes it. Safe to use from many threads.
  */
 class ConnectionTable {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /*! \brief Makes a table that refuses connections above a limit. */
+  /*! \brief Creates a table that refuses connections above a limit. */
   explicit ConnectionTable(std::size_t limit) noexcept : m_limit(limit) {}
 
-  /*! \brief Counts so far. */
+  /*! \brief Returns the counts so far. */
   [[nodiscard]] ConnectionCounts counts() const;
 
-  /*! \brief Takes a new connection in, or ends it above the limit. */
+  /*! \brief Adds a new connection; shuts it down if the limit is exceeded. */
   void Add(std::uint16_t client_port, int socket);
 
-  /*! \brief Forgets a connection that is about to be closed. */
+  /*! \brief Removes a connection that the library is about to close. */
   void Remove(std::uint16_t client_port);
 
   /**
-   * \brief Notes that a request has arrived on a connection.
-   * \return True for its first request.
+   * \brief Marks a connection as busy with a request that has arrived on it.
+   * \return True for the first request of the connection.
    */
   bool BeginRequest(std::uint16_t client_port);
 
-  /*! \brief Notes that the reply to a request is ready. */
+  /*! \brief Marks a connection as idle from now on, when the reply to its
+   * request is ready. */
   void EndRequest(std::uint16_t client_port);
 
   /*! \brief Ends one connection without a reply. */
@@ -57,10 +60,10 @@
   /*! \brief Ends all connections without a reply. */
   void CloseAll();
 
-  /*! \brief Ends the connections that have had no request for a time. */
+  /*! \brief Ends the connections that have been idle for at least a time. */
   void CloseIdle(Clock::duration idle);
 
-  /*! \brief Replaces the limit; open connections stay. */
+  /*! \brief Replaces the limit; connections that are open stay open. */
   void set_limit(std::size_t limit);
 
  private:
@@ -73,7 +76,7 @@
 
   mutable std::mutex m_mutex;
   std::size_t m_limit;
-  //! Holds refused connections too, until the library closes them.
+  //! Includes refused connections until the library closes them.
   std::map<std::uint16_t, Connection> m_connections;
   ConnectionCounts m_counts;
 };
--- a/standins/http/http_message.cc
+++ b/standins/http/http_message.cc
@@ -1,4 +1,4 @@
-// Numbers in headers and parameters.
+// Parses numbers in headers and query parameters, and builds JSON replies.
 #include "http/http_message.h"
 
 #include <charconv>
--- a/standins/http/http_message.h
+++ b/standins/http/http_message.h
@@ -1,4 +1,4 @@
-// A request and its reply, as the stand-ins see them.
+// HTTP requests and replies as the handlers of the stand-ins see them.
 #ifndef JACINTHDECK_STANDINS_HTTP_HTTP_MESSAGE_H_
 #define JACINTHDECK_STANDINS_HTTP_HTTP_MESSAGE_H_
 
@@ -11,47 +11,51 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief One request, decoded. */
+/*! \brief Decoded HTTP request. */
 struct HttpRequest {
   std::string verb;
-  //! Percent-encoded, without the query string.
+  //! Path as received, percent-encoded, without the query string.
   std::string path;
+  //! Parameters of the query string.
   std::map<std::string, std::string> parameters;
-  //! Names in lower case.
+  //! Headers by their names in lower case.
   std::map<std::string, std::string> headers;
   std::string body;
-  //! Whether it is the first request of its connection.
+  //! Whether this is the first request on its connection.
   bool first_on_connection = false;
 
-  /*! \brief Reads a query parameter as a whole number. */
+  /*! \brief Reads a query parameter as an unsigned integer; nothing if it is
+   * absent or no such number. */
   [[nodiscard]] std::optional<std::uint64_t> ParameterNumber(
       const std::string& name) const;
 
-  /*! \brief Reads a header as a whole number; the name is in lower case. */
+  /*! \brief Reads a header, given by its name in lower case, as an unsigned
+   * integer; nothing if it is absent or no such number. */
   [[nodiscard]] std::optional<std::uint64_t> HeaderNumber(
       const std::string& name) const;
 };
 
-/*! \brief What is sent back. */
+/*! \brief HTTP reply of a handler. */
 struct HttpReply {
   unsigned int status = 200;
-  //! JSON text; may be empty.
+  //! JSON text, or empty for a reply without a body.
   std::string body;
-  //! Close the connection without a reply.
+  //! Closes the connection without a reply; the other members are unused.
   bool drop_connection = false;
-  //! Beside those of the body.
+  //! Headers besides Content-Type and Content-Length.
   std::map<std::string, std::string> headers = {};
 };
 
-/*! \brief A new JSON value that its container takes over. */
+/*! \brief Returns a new JSON number; the caller owns the reference. */
 [[nodiscard]] inline json_t* JsonNumber(std::uint64_t value) {
   return json_integer(static_cast<json_int_t>(value));
 }
 
-/*! \brief Reply with a JSON value, which it takes over. */
+/*! \brief Returns a reply with a JSON value and releases the caller's reference
+ * to it. */
 [[nodiscard]] HttpReply JsonReply(unsigned int status, json_t* value);
 
-/*! \brief Reply that closes the connection without a byte. */
+/*! \brief Returns a reply that closes the connection without sending a byte. */
 [[nodiscard]] inline HttpReply DropConnection() {
   return HttpReply{0, "", true};
 }
--- a/standins/http/http_server.cc
+++ b/standins/http/http_server.cc
@@ -1,4 +1,4 @@
-// Glue between ulfius and the handlers of the stand-ins.
+// Adapts the ulfius library to the handlers of the stand-ins.
 #include "http/http_server.h"
 
 #include <arpa/inet.h>
@@ -22,8 +22,9 @@
 
 constexpr int kBacklog = 1024;
 constexpr std::size_t kThreadStackBytes = std::size_t{256} << 10U;
-//! Connections above the limit are ended by the table, so that they are
-//! counted; the library's own limit lies out of reach.
+//! ConnectionTable ends the connections above the limit, so that they are
+//! counted. The library's own limit is higher by this number, so that it does
+//! not refuse them first.
 constexpr std::size_t kLibraryConnectionSlack = 4096;
 
 [[nodiscard]] std::uint16_t PortOf(const sockaddr* address) noexcept {
@@ -69,7 +70,8 @@
   converted.path = request.http_url;
   converted.path.resize(
       std::min(converted.path.find('?'), converted.path.size()));
-  // The library counts the ending NUL in the lengths, so they are not used.
+  // ulfius counts the terminating NUL in the lengths of keys and values, so the
+  // lengths are not used.
   const _u_map& parameters = *request.map_url;
   for (int index = 0; index < parameters.nb_values; ++index) {
     converted.parameters[parameters.keys[index]] = parameters.values[index];
--- a/standins/process/process.cc
+++ b/standins/process/process.cc
@@ -1,4 +1,4 @@
-// Command line, signals and files of the stand-ins.
+// Command line parsing, signal handling and file access of the stand-ins.
 #include "process/process.h"
 
 #include <pthread.h>
@@ -25,7 +25,8 @@
   return signals;
 }
 
-//! Blocked before the first thread starts, so that only sigwait() sees them.
+//! Must run before the first thread starts: threads inherit the signal mask, so
+//! only sigwait() receives the signals.
 void BlockTerminationSignals() {
   const sigset_t signals = TerminationSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
@@ -69,7 +70,7 @@
   std::uint16_t port = 0;
   po::options_description all = options;
   all.add_options()("port", po::value(&port)->default_value(0),
-                    "port on 127.0.0.1; 0 lets the kernel pick");
+                    "port on 127.0.0.1; 0 picks a free port");
   return RunProgram(argc, argv, all, [&] { return body(port); });
 }
 
