--- a/standins/target/behaviour.cc
+++ b/standins/target/behaviour.cc
@@ -1,4 +1,5 @@
-// Members of the control messages, as a table.
+// Table of the members of control messages, each with the function that reads
+// it.
 #include "target/behaviour.h"
 
 #include <algorithm>
@@ -79,7 +80,7 @@
   return true;
 }
 
-//! A negative load ends the lie.
+//! A negative load ends the override.
 Result<bool> ReadLoadOverride(const JsonReader& changes,
                               const char* name,
                               Behaviour& behaviour) {
--- a/standins/target/behaviour.h
+++ b/standins/target/behaviour.h
@@ -1,4 +1,5 @@
-// How a stand-in target behaves: service times, faults and what it reports.
+// Behaviour of a stand-in target: service times, limits, faults and reported
+// state.
 #ifndef JACINTHDECK_STANDINS_TARGET_BEHAVIOUR_H_
 #define JACINTHDECK_STANDINS_TARGET_BEHAVIOUR_H_
 
@@ -16,55 +17,63 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief Shape of the service times. */
+/*! \brief Probability distribution of the service times. */
 enum class ServiceTimeDistribution { kConstant, kExponential, kLognormal };
 
-//! Names of the shapes in control messages.
+//! Names of the distributions in control messages.
 inline constexpr NameTable<ServiceTimeDistribution, 3>
     kServiceTimeDistributionNames{{"constant", "exponential", "lognormal"}};
 
-/*! \brief Everything about a target that can be changed while it runs. */
+/*! \brief Settings of a target that can be changed while it runs. */
 struct Behaviour {
   ServiceTimeDistribution distribution = ServiceTimeDistribution::kExponential;
-  //! Mean time in a slot.
+  //! Mean time that a request occupies a slot, before slow_factor and
+  //! stragglers.
   Duration mean_service_time = std::chrono::milliseconds(4);
-  //! Standard deviation of the logarithm, for kLognormal.
+  //! Standard deviation of the logarithm of the service time, for kLognormal.
   double sigma = 0.5;
-  //! Share of requests that take straggler_factor times as long.
+  //! Share of requests, 0 to 1, that take straggler_factor times as long.
   double straggler_share = 0;
   double straggler_factor = 10;
-  //! Every request takes so many times as long.
+  //! Factor on the service time of every request.
   double slow_factor = 1;
-  //! Share of requests that end with status 500 after they have run.
+  //! Share of requests, 0 to 1, that run and then end with status 500.
   double failure_share = 0;
-  //! Share of requests that are refused at once: a target that fails fast.
+  //! Share of requests, 0 to 1, that are refused at once with status 503, as by
+  //! a target that fails fast.
   double shed_share = 0;
-  //! Accepts requests and never answers them.
+  //! Accepts requests and never answers them; each occupies its slot until its
+  //! deadline, a cancellation or a crash.
   bool mute = false;
+  //! Refuses new requests and reports itself as leaving.
   bool draining = false;
-  //! Requests that may wait for a slot; above, they are shed.
+  //! Maximum of requests that wait for a slot; further ones are shed.
   std::uint32_t queue_limit = 24;
-  //! While cold, requests are refused.
+  //! Time after a change of the behaviour, or after a restart, in which the
+  //! target is cold and refuses requests.
   Duration cold_for{};
-  //! Requests whose JSON contains this text crash the target; empty: none.
+  //! A request whose canonical JSON contains this text crashes the target;
+  //! empty for none.
   std::string crash_on;
-  //! Time a crashed target stays down.
+  //! Time that the target stays down after a crash.
   Duration restart_time = std::chrono::seconds(1);
-  //! Connections without a request for so long are closed; 0: never.
+  //! Idle time after which a connection is closed; 0 for never.
   Duration idle_close{};
-  //! Age of the health and load that are reported.
+  //! Time for which the reported state and load are kept before they are taken
+  //! anew.
   Duration report_lag{};
-  //! Load that is reported whatever the truth.
+  //! Reported in place of the actual load.
   std::optional<double> load_override;
-  //! State that is reported whatever the truth.
+  //! Reported in place of the actual state; empty for none.
   std::string state_override;
 };
 
 /**
- * \brief Reads the changes that a control message asks for.
+ * \brief Applies the changes of a control message to a behaviour.
  * \param changes JSON object with some of the members, named as in
  * docs/modules/standins.md.
- * \param current Behaviour in force; what the message does not name stays.
+ * \param current Behaviour in force; members that the message does not name
+ * keep its values.
  * \return The new behaviour; kCorrupt for an unknown member or a wrong value.
  */
 [[nodiscard]] Result<Behaviour> ReadBehaviour(const JsonReader& changes,
--- a/standins/target/dataset.cc
+++ b/standins/target/dataset.cc
@@ -1,4 +1,4 @@
-// Made-up items and their scores.
+// Generates items, matches and scores by hashing ids and requests.
 #include "target/dataset.h"
 
 #include <jansson.h>
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kDefaultLimit = 20;
 constexpr double kScoreSteps = 1000000;
-//! One item in so many matches a search.
+//! One of this many items matches a search, on average.
 constexpr std::uint64_t kMatchOneIn = 4;
 
 [[nodiscard]] std::string HitData(IndexVersion version) {
--- a/standins/target/dataset.h
+++ b/standins/target/dataset.h
@@ -1,4 +1,5 @@
-// Made-up content of a service's index, the same for every target of one seed.
+// Generated content of a service's index, the same on every target for the same
+// seed.
 #ifndef JACINTHDECK_STANDINS_TARGET_DATASET_H_
 #define JACINTHDECK_STANDINS_TARGET_DATASET_H_
 
@@ -16,40 +17,42 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief Hash that is the same in every process. */
+/*! \brief Hashes a text; the result is the same in every process. */
 [[nodiscard]] std::uint64_t StableHash(std::string_view text,
                                        std::uint64_t seed);
 
-/*! \brief What one shard answers. */
+/*! \brief Answer of one shard. */
 struct ShardAnswer {
-  //! Best first.
+  //! By descending score, then by id.
   std::vector<Hit> hits;
+  //! Matching items, including those beyond the limit on hits.
   std::uint64_t count = 0;
 };
 
 /**
- * \brief Items of one service, each with a place in the key space.
+ * \brief Generated items of one service, each at a key of the key space.
  *
- * Two targets that hold the same range give the same hits, and ranges that are
- * disjoint give disjoint hits, so that a doubled or lost shard shows in the
- * merged answer.
+ * Targets that serve the same range return the same hits, and disjoint ranges
+ * yield disjoint hits, so that a shard that is merged twice or lost shows in
+ * the merged answer.
  */
 class Dataset {
  public:
   /**
-   * \brief Makes up the items.
+   * \brief Generates the items.
    * \param service Service; part of the items' ids.
-   * \param items Count of items.
-   * \param seed Seed.
+   * \param items Number of items.
+   * \param seed Seed of the items' keys and scores.
    */
   Dataset(const ServiceId& service, std::size_t items, std::uint64_t seed);
 
   /**
    * \brief Answers a request over a range.
-   * \param range Keys to look at.
-   * \param version Version that each hit names in its data.
+   * \param range Keys to search.
+   * \param version Version that the data of each hit names.
    * \param request Request; a string member whose name ends in `_id` asks for
-   * the one item of that id, a whole number `limit` bounds the hits.
+   * the one item with that id, an integer `limit` bounds the number of hits.
+   * \return The hits and the number of matching items.
    */
   [[nodiscard]] ShardAnswer Answer(const KeyRange& range,
                                    IndexVersion version,
@@ -62,7 +65,7 @@
   };
 
   std::uint64_t m_seed;
-  //! Ordered by key.
+  //! Sorted by key.
   std::vector<Item> m_items;
 };
 
--- a/standins/target/run_log.cc
+++ b/standins/target/run_log.cc
@@ -1,4 +1,4 @@
-// Bounded log of runs.
+// Log of runs, bounded by the number of distinct requests.
 #include "target/run_log.h"
 
 #include <cstddef>
--- a/standins/target/run_log.h
+++ b/standins/target/run_log.h
@@ -1,4 +1,5 @@
-// What has run on the targets of one process, to prove that nothing ran twice.
+// Log of the requests that ran on the targets of one process. Tests use it to
+// prove that no request ran twice.
 #ifndef JACINTHDECK_STANDINS_TARGET_RUN_LOG_H_
 #define JACINTHDECK_STANDINS_TARGET_RUN_LOG_H_
 
@@ -13,30 +14,34 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief One run: a slot began to work on a request. */
+/*! \brief One run of a request: it took a slot of a target. */
 struct Run {
   TargetId target;
+  //! Attempt number as sent in X-Attempt.
   std::string attempt;
 };
 
 /*! \brief All runs of one request. */
 struct RequestRuns {
   std::string method;
-  //! Request as canonical JSON.
+  //! The request as canonical JSON.
   std::string request;
   std::vector<Run> runs;
 };
 
-/*! \brief Log of runs by request; the oldest requests are dropped. */
+/*! \brief Runs grouped by method and request. Beyond a fixed number of requests
+ * the oldest are dropped. Safe to use from many threads. */
 class RunLog {
  public:
-  /*! \brief Notes a run before its work begins. */
+  /*! \brief Adds a run; called before its work begins, so that a run that
+   * crashes the target is logged too. */
   void Record(const std::string& method, const std::string& request, Run run);
 
-  /*! \brief Runs of a method's requests; an empty method stands for all. */
+  /*! \brief Returns the logged requests of a method, or of all methods if it is
+   * empty. */
   [[nodiscard]] std::vector<RequestRuns> Find(const std::string& method) const;
 
-  /*! \brief Count of all runs, dropped ones included. */
+  /*! \brief Returns the number of all runs, including dropped ones. */
   [[nodiscard]] std::uint64_t total() const;
 
  private:
--- a/standins/target/served_ranges.h
+++ b/standins/target/served_ranges.h
@@ -1,4 +1,4 @@
-// Which key ranges one target serves in which versions.
+// Key ranges that one target serves, by index version.
 #ifndef JACINTHDECK_STANDINS_TARGET_SERVED_RANGES_H_
 #define JACINTHDECK_STANDINS_TARGET_SERVED_RANGES_H_
 
@@ -11,11 +11,13 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief Ranges by version; a version is here also when the target holds none
- * of it. */
+/*! \brief Served ranges by version. A known version of which the target serves
+ * nothing has an empty list. */
 using ServedRanges = std::map<IndexVersion, std::vector<KeyRange>>;
 
-/*! \brief Picks what a target holds from the maps of its service. */
+/*! \brief Returns the ranges whose replicas include a target.
+ * \param target The target.
+ * \param maps Partition maps of its service, one per version. */
 [[nodiscard]] inline ServedRanges ServedRangesOf(
     const TargetId& target,
     const std::vector<PartitionMap>& maps) {
--- a/standins/target/target.cc
+++ b/standins/target/target.cc
@@ -1,4 +1,4 @@
-// A target's answers, refusals and faults.
+// Answers, refusals and faults of a stand-in target.
 #include "target/target.h"
 
 #include <jansson.h>
@@ -102,7 +102,7 @@
     return DropConnection();
   }
   if (request.first_on_connection) {
-    // What it costs a server to open a connection is paid by its first reply.
+    // The time to open a connection is added to the first reply on it.
     std::this_thread::sleep_for(m_info.open_cost);
   }
   if (request.path == "/query" && request.verb == "POST") {
--- a/standins/target/target.h
+++ b/standins/target/target.h
@@ -1,4 +1,4 @@
-// One stand-in target: a server on its own port.
+// Stand-in target: an HTTP server on a port of its own.
 #ifndef JACINTHDECK_STANDINS_TARGET_TARGET_H_
 #define JACINTHDECK_STANDINS_TARGET_TARGET_H_
 
@@ -21,26 +21,31 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief What a target has done so far. */
+/*! \brief Counts of a target since its start. */
 struct TargetCounts {
+  //! Requests that took a slot.
   std::uint64_t runs = 0;
   std::uint64_t answered = 0;
+  //! Requests refused with status 503.
   std::uint64_t shed = 0;
+  //! Requests cancelled while they ran.
   std::uint64_t cancelled = 0;
+  //! Requests whose deadline passed while they ran.
   std::uint64_t past_deadline = 0;
   std::uint64_t crashes = 0;
 };
 
-/*! \brief Serves one target of the host list. */
+/*! \brief Server for one target of the host list. */
 class Target {
  public:
   /**
-   * \brief Opens the target.
-   * \param info Its line of the host list.
-   * \param port Port; 0 lets the kernel pick.
-   * \param dataset Content of its service.
-   * \param log Log that it shares with others; outlives the target.
-   * \param seed Seed of its service times and faults.
+   * \brief Opens the port and starts to serve. Until SetServedRanges() is
+   * called the target serves no version.
+   * \param info Item of the host list for this target.
+   * \param port Port on 127.0.0.1; 0 picks a free port.
+   * \param dataset Content of the service.
+   * \param log Log of runs, shared with other targets; must outlive this one.
+   * \param seed Seed of the service times and faults.
    */
   Target(TargetInfo info,
          std::uint16_t port,
@@ -60,22 +65,23 @@
     return m_server.connections().counts();
   }
 
-  /*! \brief Replaces what the target serves. */
+  /*! \brief Replaces the versions and ranges that the target serves. */
   void SetServedRanges(ServedRanges served_ranges);
 
-  /*! \brief Replaces the behaviour; a cold time starts now. */
+  /*! \brief Replaces the behaviour; its cold time starts now. */
   void SetBehaviour(const Behaviour& behaviour);
 
-  /*! \brief Ends all connections without a reply and stays down for the restart
-   * time. */
+  /*! \brief Ends all connections and requests without a reply. The target stays
+   * down for the restart time, then is cold for the cold time. */
   void Crash();
 
-  /*! \brief Closes the connections that are idle for longer than the behaviour
-   * says. */
+  /*! \brief Closes the connections that have been idle for the idle time of the
+   * behaviour. */
   void CloseIdle();
 
  private:
   using SteadyTimePoint = std::chrono::steady_clock::time_point;
+  //! Load and state as /health, /load and query replies report them.
   struct Report {
     double load = 0;
     std::string state;
@@ -93,10 +99,10 @@
   [[nodiscard]] HttpReply ReplyWithHits(const TargetQuery& query);
   [[nodiscard]] HttpReply Health();
   [[nodiscard]] HttpReply Load();
-  //! Why new work is refused now; null when it is not.
+  //! Returns why new work is refused now, or null if it is accepted.
   [[nodiscard]] const char* RefusalReason(const Behaviour& behaviour);
-  //! Refusal for a version or range that is not served; status 200 when
-  //! it is.
+  //! Returns the reply that refuses a version or range that is not served;
+  //! status 200 if it is served.
   [[nodiscard]] HttpReply CheckServedRanges(const TargetQuery& query) const;
   [[nodiscard]] Duration DrawServiceTime(const Behaviour& behaviour);
   [[nodiscard]] bool DrawWithProbability(double share);
@@ -116,7 +122,8 @@
   SteadyTimePoint m_down_until;
   SteadyTimePoint m_cold_until;
   Report m_report;
-  //! Last: it calls the members above from its first moment on.
+  //! Declared last: as soon as it is constructed its threads call Handle(),
+  //! which uses the members above.
   HttpServer m_server;
 };
 
--- a/standins/target/target_group.cc
+++ b/standins/target/target_group.cc
@@ -1,4 +1,4 @@
-// Control of many targets at once.
+// Control server for many targets at once.
 #include "target/target_group.h"
 
 #include <jansson.h>
@@ -46,7 +46,9 @@
                    "count", JsonNumber(request.runs.size()), "runs", attempts);
 }
 
-//! Selectors that a message does not name match every target.
+//! Returns whether a control message selects a target by its `target`,
+//! `service` and `domain`. A selector that the message does not name matches
+//! every target.
 [[nodiscard]] Result<bool> MatchesSelectors(const JsonReader& message,
                                             const TargetInfo& info) {
   if (message.Has("target")) {
--- a/standins/target/target_group.h
+++ b/standins/target/target_group.h
@@ -1,4 +1,4 @@
-// All targets of one process and the port that controls them.
+// The targets of one process and the HTTP server that controls them.
 #ifndef JACINTHDECK_STANDINS_TARGET_TARGET_GROUP_H_
 #define JACINTHDECK_STANDINS_TARGET_TARGET_GROUP_H_
 
@@ -19,35 +19,36 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief How a group of targets is opened. */
+/*! \brief Options of a TargetGroup. */
 struct TargetGroupOptions {
-  //! Port of the control server; 0 lets the kernel pick.
+  //! Port of the control server; 0 picks a free port.
   std::uint16_t port = 0;
-  //! Take the targets' ports from the host list in place of the
-  //! kernel's.
+  //! Uses the ports of the host list for the targets in place of free ports.
   bool listed_ports = false;
   std::size_t items_per_service = 2000;
+  //! Seed of the items, service times and faults.
   std::uint64_t seed = 1;
+  //! Behaviour of all targets at the start.
   Behaviour behaviour;
 };
 
-/*! \brief Targets in one process, so that many fit on one machine. */
+/*! \brief Runs many targets in one process, so that many fit on one machine. */
 class TargetGroup {
  public:
   /**
    * \brief Opens the targets and the control server.
    * \param target_infos Targets to open.
-   * \param options How to open them.
+   * \param options Ports, content and behaviour.
    */
   TargetGroup(const std::vector<TargetInfo>& target_infos,
               const TargetGroupOptions& options);
   TargetGroup(const TargetGroup&) = delete;
   TargetGroup& operator=(const TargetGroup&) = delete;
 
-  /*! \brief Port of the control server. */
+  /*! \brief Returns the port of the control server. */
   [[nodiscard]] std::uint16_t port() const noexcept { return m_server.port(); }
 
-  /*! \brief The targets. */
+  /*! \brief Returns the targets in the order of the host list. */
   [[nodiscard]] const std::vector<std::unique_ptr<Target>>& targets()
       const noexcept {
     return m_targets;
@@ -56,9 +57,10 @@
   [[nodiscard]] const RunLog& log() const noexcept { return m_log; }
 
   /**
-   * \brief Replaces what the targets serve.
-   * \param index JSON object: an `index/SERVICE` value for each service.
-   * \return Number of services; kCorrupt for a map that is refused.
+   * \brief Replaces the versions and ranges that the targets serve.
+   * \param index JSON object with the partition maps of each service, in the
+   * form of an `index/SERVICE` value of the store.
+   * \return Number of services in the index; kCorrupt for an invalid map.
    */
   [[nodiscard]] Result<std::size_t> LoadIndex(const JsonReader& index);
 
--- a/standins/target/target_list.cc
+++ b/standins/target/target_list.cc
@@ -1,4 +1,4 @@
-// Shape and ranges of the host list.
+// Parses the host list and checks types and bounds of its members.
 #include "target/target_list.h"
 
 #include <arpa/inet.h>
@@ -41,7 +41,7 @@
   BOOST_LEAF_AUTO(address, host.String("address"));
   if (!IsIpNumber(address)) {
     return Fail(ErrorCode::kCorrupt, host.path() + ".address",
-                "is '" + address + "', expected an IP number");
+                "is '" + address + "', expected an IP address");
   }
   return address;
 }
@@ -104,7 +104,7 @@
     BOOST_LEAF_AUTO(info, ReadHost(host));
     if (!ids.insert(info.id).second) {
       return Fail(ErrorCode::kCorrupt, host.path() + ".id",
-                  "stands twice, expected distinct targets");
+                  "is a duplicate, expected distinct targets");
     }
     targets.push_back(std::move(info));
   }
--- a/standins/target/target_list.h
+++ b/standins/target/target_list.h
@@ -1,4 +1,4 @@
-// Reads the answer of the host list.
+// Parser of the host list, which names the targets of a deployment.
 #ifndef JACINTHDECK_STANDINS_TARGET_TARGET_LIST_H_
 #define JACINTHDECK_STANDINS_TARGET_TARGET_LIST_H_
 
@@ -11,12 +11,12 @@
 namespace jacinthdeck {
 
 /**
- * \brief Reads a host list.
+ * \brief Parses a host list.
  * \param text JSON text.
- * \param subject Where it came from, for errors.
- * \return The targets in the order of the list; kCorrupt with the member for a
- * wrong shape, an address that is no IP number, an unknown state, no slot or
- * connection, or an id that stands twice.
+ * \param subject Source of the text, named in errors.
+ * \return The targets in the order of the list; kCorrupt, naming the member,
+ * for a wrong type, an address that is no IP address, an unknown state, 0 slots
+ * or connections, or a duplicate id.
  */
 [[nodiscard]] Result<std::vector<TargetInfo>> ReadHostList(
     std::string_view text,
--- a/standins/target/target_query.cc
+++ b/standins/target/target_query.cc
@@ -1,4 +1,4 @@
-// Checks of `POST /query`.
+// Parses the headers and the JSON body of `POST /query`.
 #include "target/target_query.h"
 
 #include <jansson.h>
--- a/standins/target/target_query.h
+++ b/standins/target/target_query.h
@@ -1,4 +1,4 @@
-// A request to a target after its checks.
+// Parsed and checked query to a target.
 #ifndef JACINTHDECK_STANDINS_TARGET_TARGET_QUERY_H_
 #define JACINTHDECK_STANDINS_TARGET_TARGET_QUERY_H_
 
@@ -13,8 +13,9 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief `POST /query` as the target sees it. */
+/*! \brief Content of a `POST /query`. */
 struct TargetQuery {
+  //! Attempt number from X-Attempt, by which `/cancel` names the query.
   std::string attempt;
   std::string method;
   IndexVersion version;
@@ -26,9 +27,9 @@
 };
 
 /**
- * \brief Reads a query.
+ * \brief Parses a query. Its deadline is X-Deadline-Ms from now.
  * \param request HTTP request.
- * \return The query; kCorrupt with the member or header that is wrong.
+ * \return The query; kCorrupt, naming the invalid member or header.
  */
 [[nodiscard]] Result<TargetQuery> ReadTargetQuery(const HttpRequest& request);
 
--- a/standins/target/work_queue.cc
+++ b/standins/target/work_queue.cc
@@ -1,4 +1,4 @@
-// Slots, waiting and early ends.
+// Slots, bounded waiting, cancellation and crashes.
 #include "target/work_queue.h"
 
 #include <algorithm>
--- a/standins/target/work_queue.h
+++ b/standins/target/work_queue.h
@@ -1,4 +1,4 @@
-// The slots of a target and the requests that wait for one.
+// Slots of a target and the requests that wait for one.
 #ifndef JACINTHDECK_STANDINS_TARGET_WORK_QUEUE_H_
 #define JACINTHDECK_STANDINS_TARGET_WORK_QUEUE_H_
 
@@ -13,7 +13,7 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief How taking a slot, or working in one, ended. */
+/*! \brief Result of waiting for a slot or of working in one. */
 enum class WorkOutcome {
   kDone,
   kQueueFull,
@@ -22,15 +22,15 @@
   kCrashed
 };
 
-/*! \brief Requests in work and waiting now. */
+/*! \brief Requests that hold a slot and requests that wait for one. */
 struct WorkCounts {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
 };
 
 /**
- * \brief Bounds the work of a target; work is a timed wait that a cancellation
- * or a crash cuts short.
+ * \brief Limits the concurrent requests of a target. Work is a timed wait that
+ * a cancellation or a crash ends early. Safe to use from many threads.
  */
 class WorkQueue {
  public:
@@ -43,30 +43,34 @@
   /**
    * \brief Waits for a slot.
    * \param attempt Attempt that is to run.
-   * \param queue_limit Requests that may wait at once.
-   * \param deadline Longest wait.
-   * \return kDone once the slot is taken; ReleaseSlot() gives it back.
+   * \param queue_limit Maximum of requests that wait at once; when it is
+   * reached and no slot is free the result is kQueueFull. \param deadline End
+   * of the wait. \return kDone once the slot is taken; ReleaseSlot() gives it
+   * back.
    */
   [[nodiscard]] WorkOutcome AcquireSlot(const std::string& attempt,
                                         std::uint32_t queue_limit,
                                         SteadyTimePoint deadline);
 
-  /*! \brief Works in a slot until a moment, a deadline, a cancellation or a
-   * crash, whichever comes first. */
+  /*! \brief Holds a slot until the work is done, the deadline passes, or the
+   * attempt is cancelled or crashes, whichever comes first. */
   [[nodiscard]] WorkOutcome Work(const std::string& attempt,
                                  SteadyTimePoint until,
                                  SteadyTimePoint deadline);
 
-  /*! \brief Gives a slot back. */
+  /*! \brief Returns the slot of an attempt. */
   void ReleaseSlot(const std::string& attempt);
 
-  /*! \brief Ends an attempt early, whether it works or waits. */
+  /*! \brief Ends an attempt early, whether it works or waits for a slot; does
+   * nothing for an unknown one. */
   void Cancel(const std::string& attempt);
 
-  /*! \brief Ends all attempts. */
+  /*! \brief Ends all attempts that work or wait, with kCrashed. */
   void Crash();
 
  private:
+  //! Returns whether an attempt is cancelled, or a crash has come since the
+  //! count `crashes`, and sets its outcome then.
   [[nodiscard]] bool IsStopped(const std::string& attempt,
                                std::uint64_t crashes,
                                WorkOutcome& outcome) const;
@@ -76,7 +80,8 @@
   std::uint32_t m_slots;
   WorkCounts m_counts;
   std::set<std::string> m_cancelled;
-  //! Attempts that wait or work; only these can be cancelled.
+  //! Attempts that wait or work. Only these can be cancelled, so that a
+  //! cancellation of an unknown attempt does not end a later one.
   std::multiset<std::string> m_active;
   std::uint64_t m_crashes = 0;
 };
--- a/standins/target_main.cc
+++ b/standins/target_main.cc
@@ -1,4 +1,5 @@
-// Stand-in for the targets of a deployment, or of a part of it.
+// Main function of the stand-in for the targets of a deployment, or of one of
+// its services.
 #include <jansson.h>
 
 #include <chrono>
@@ -48,7 +49,7 @@
   return hosts;
 }
 
-//! What a target says of itself in the store.
+//! Returns the JSON value with which a target registers in the store.
 [[nodiscard]] std::string RegistrationValue(const Target& target,
                                             std::uint64_t heartbeat) {
   const TargetInfo& info = target.info();
@@ -62,7 +63,8 @@
   return DumpJson(*json);
 }
 
-//! Registers all targets again and again, as their heartbeats would.
+//! Registers all targets at the stand-in store once per period until stopped,
+//! as the heartbeats of real targets do.
 void SendHeartbeats(const TargetGroup& group,
                     const Endpoint& store,
                     const std::stop_token& stop) {
@@ -82,8 +84,8 @@
     const ClientRequest request{"POST", "/control", DumpJson(*message)};
     const ClientReply reply = CallAndWait(store, request, kTimeout);
     if (reply.status != 200) {
-      std::cerr << "not registered: " << reply.status << " " << reply.error
-                << "\n";
+      std::cerr << "registration of the targets at the store failed: "
+                << reply.status << " " << reply.error << "\n";
     }
     std::this_thread::sleep_for(kPeriod);
   }
@@ -127,20 +129,22 @@
   namespace po = boost::program_options;
   jacinthdeck::standins::TargetOptions target;
   po::options_description options("Targets");
-  options.add_options()("hosts", po::value(&target.hosts)->required(),
-                        "host list whose targets are opened")(
+  options.add_options()(
+      "hosts", po::value(&target.hosts)->required(),
+      "file with the host list that names the targets to open")(
       "index", po::value(&target.index)->required(),
       "file with the partition maps")("store", po::value(&target.store),
                                       "stand-in store to register at, IP:PORT")(
-      "service", po::value(&target.service), "open this service only")(
+      "service", po::value(&target.service),
+      "open only the targets of this service")(
       "listed-ports", po::bool_switch(&target.group.listed_ports),
-      "open the ports of the host list")(
+      "listen on the ports of the host list in place of free ports")(
       "behaviour", po::value(&target.behaviour),
       "behaviour to start with, as JSON (docs/modules/standins.md)")(
       "items",
       po::value(&target.group.items_per_service)
           ->default_value(target.group.items_per_service),
-      "items in each service")(
+      "number of items of each service")(
       "seed", po::value(&target.group.seed)->default_value(target.group.seed),
       "seed of items, service times and faults");
   return jacinthdeck::standins::RunServer(
