--- a/standins/store/kv_store.cc
+++ b/standins/store/kv_store.cc
@@ -1,4 +1,4 @@
-// Transactions, leases and watches in memory.
+// Transactions, leases, watches and snapshots in memory.
 #include "store/kv_store.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-//! Keys of one page.
+//! Maximum of keys on one page of a range read.
 constexpr std::size_t kPageSize = 500;
-//! Changes that are remembered.
+//! Maximum of changes kept for watches; older ones are compacted.
 constexpr std::size_t kMaxHistory = 20000;
 
 }  // namespace
--- a/standins/store/kv_store.h
+++ b/standins/store/kv_store.h
@@ -1,4 +1,5 @@
-// The content of the stand-in store: values, revisions, leases, history.
+// In-memory content of the stand-in store: values, revisions, leases and the
+// history of changes.
 #ifndef JACINTHDECK_STANDINS_STORE_KV_STORE_H_
 #define JACINTHDECK_STANDINS_STORE_KV_STORE_H_
 
@@ -15,118 +16,136 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief A key with its value, or its removal. */
+/*! \brief State of a key, or a change that wrote or removed it. */
 struct KeyValue {
   std::string key;
-  //! Nothing where the key was removed.
+  //! Absent if the key was removed.
   std::optional<std::string> value;
-  //! Of the last change.
+  //! Revision of the last change of the key.
   std::uint64_t revision = 0;
+  //! Revision at which the key was created.
   std::uint64_t created_revision = 0;
-  //! 0 for none.
+  //! Id of the lease of the key; 0 for none.
   std::uint64_t lease = 0;
 };
 
-/*! \brief One page of keys. */
+/*! \brief One page of a range read. */
 struct KeyPage {
   std::vector<KeyValue> items;
   bool has_more = false;
+  //! Revision of the store at the time of the read.
   std::uint64_t revision = 0;
 };
 
-/*! \brief What a watch found. */
+/*! \brief Result of a watch. */
 struct WatchResult {
-  //! The history that was asked for is gone.
+  //! True if the history since the given revision is not available: it was
+  //! compacted, or a restore has set the store back to before that revision.
   bool compacted = false;
   std::vector<KeyValue> events;
+  //! Revision of the store at the end of the watch.
   std::uint64_t revision = 0;
 };
 
-/*! \brief A condition: the revision that a key must have; 0: none. */
+/*! \brief Condition of a transaction: the revision that a key must have; 0 if
+ * the key must not exist. */
 struct Condition {
   std::string key;
   std::uint64_t revision = 0;
 };
 
-/*! \brief A key to write. */
+/*! \brief Write of one key. */
 struct PutItem {
   std::string key;
   std::string value;
+  //! Id of the lease to attach; 0 for none.
   std::uint64_t lease = 0;
 };
 
-/*! \brief A change that is made whole or not at all. */
+/*! \brief Writes and removals that are applied atomically if all conditions
+ * hold. */
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<PutItem> puts;
   std::vector<std::string> removes;
 };
 
-/*! \brief How a change ended. */
+/*! \brief Result of a transaction. */
 enum class TransactionOutcome { kApplied, kConflict, kNoLease };
 
 /**
- * \brief Keys and values in memory, safe to use from many threads.
+ * \brief Key-value store in memory, safe to use from many threads.
  *
- * One counter gives every change its revision, so that a key that is removed
- * and created again never shows an old one.
+ * All changes take their revisions from one counter, so that a key that is
+ * removed and created again never has a revision that it had before; only
+ * Restore() sets the counter back.
  */
 class KvStore {
  public:
-  /*! \brief Makes an empty store; leases lapse by the clock. */
+  /*! \brief Creates an empty store whose leases expire by the given clock. */
   explicit KvStore(const Clock& clock) : m_clock(clock) {}
 
   [[nodiscard]] std::optional<KeyValue> Get(const std::string& key);
   [[nodiscard]] std::uint64_t revision();
 
   /**
-   * \brief Reads keys in order.
-   * \param after Key before the page; empty for the first page.
+   * \brief Reads the keys with a prefix in order, one page at a time.
+   * \param prefix Prefix of the keys.
+   * \param after Last key of the previous page; empty for the first page.
    */
   [[nodiscard]] KeyPage Range(const std::string& prefix,
                               const std::string& after);
 
-  /*! \brief Makes a change. */
+  /*! \brief Applies a transaction, whole or not at all.
+   * \param transaction Conditions, writes and removals.
+   * \param revision Set to the revision of the change if it is applied. */
   [[nodiscard]] TransactionOutcome Apply(const Transaction& transaction,
                                          std::uint64_t& revision);
 
-  /*! \brief Makes a lease that lapses unless it is renewed. */
+  /*! \brief Creates a lease that expires after `ttl` unless it is renewed, and
+   * returns its id. */
   [[nodiscard]] std::uint64_t Grant(Duration ttl);
 
-  /*! \brief Prolongs a lease; nothing once it has lapsed. */
+  /*! \brief Renews a lease for its ttl and returns the ttl; nothing if it has
+   * expired or does not exist. */
   [[nodiscard]] std::optional<Duration> Renew(std::uint64_t lease);
 
-  /*! \brief Prolongs the lease of a key that has this value; false, with
-   * nothing done, if it has another one or no lease. */
+  /*! \brief Renews the lease of a key if the key has the given value;
+   * otherwise, or if it has no lease, does nothing and returns false. */
   [[nodiscard]] bool RenewLeaseIfUnchanged(const std::string& key,
                                            const std::string& value);
 
-  /*! \brief Ends a lease with its keys; false if there is none. */
+  /*! \brief Ends a lease and removes its keys; false if there is no such lease.
+   */
   [[nodiscard]] bool Revoke(std::uint64_t lease);
 
   /**
-   * \brief Waits for changes after a revision.
-   * \param wait Longest wait, by the machine's clock.
+   * \brief Waits until keys with a prefix change after a revision.
+   * \param prefix Prefix of the keys.
+   * \param after Changes up to this revision are skipped.
+   * \param wait Longest wait, by the system's steady clock.
+   * \return The changes, none if the wait ended first.
    */
   [[nodiscard]] WatchResult Watch(const std::string& prefix,
                                   std::uint64_t after,
                                   Duration wait);
 
-  /*! \brief Keeps a copy of what is there now, in place of the one before. */
+  /*! \brief Takes a snapshot of the content, which replaces the previous one.
+   */
   void TakeSnapshot();
 
   /**
-   * \brief Comes back from the copy: all changes since are gone, leases too,
-   * and their revisions are given out again. Begins a new era and ends the
-   * watches that wait now.
-   * \return False if no copy was kept.
+   * \brief Restores the snapshot. All changes and leases since are lost, and
+   * their revisions and lease ids are assigned again; the restored leases start
+   * their ttl anew. Begins a new era and ends the watches that wait now.
+   * \return False if there is no snapshot.
    */
   bool Restore();
 
-  /*! \brief Counts the histories, from 1 on. */
+  /*! \brief Returns the era: 1 at first, one more after each restore. */
   [[nodiscard]] std::uint64_t era();
 
-  /*! \brief Forgets all history, and ends the watches that wait now. */
+  /*! \brief Discards the whole history and ends the watches that wait now. */
   void Compact();
 
   /*! \brief Ends the watches that wait now. */
@@ -138,7 +157,7 @@
     TimePoint expires;
   };
 
-  //! What Restore() goes back to.
+  //! State that Restore() returns to.
   struct Snapshot {
     std::map<std::string, KeyValue> entries;
     std::map<std::uint64_t, Lease> leases;
@@ -147,6 +166,7 @@
   };
 
   void ExpireLeases();
+  //! Removes the keys whose lease has ended.
   void RemoveKeysWithoutLease();
   void Record(const KeyValue& change);
   [[nodiscard]] bool ConditionsHold(const Transaction& transaction) const;
@@ -157,14 +177,15 @@
   std::condition_variable m_changed;
   std::map<std::string, KeyValue> m_entries;
   std::map<std::uint64_t, Lease> m_leases;
-  //! Changes in order.
+  //! Changes by ascending revision.
   std::deque<KeyValue> m_history;
-  //! History up to here is gone.
+  //! The history up to this revision is discarded.
   std::uint64_t m_compacted_revision = 0;
   std::uint64_t m_revision = 0;
   std::uint64_t m_last_lease_id = 0;
   std::uint64_t m_era = 1;
   std::optional<Snapshot> m_snapshot;
+  //! Incremented to end the watches that wait now.
   std::uint64_t m_interrupt_count = 0;
 };
 
--- a/standins/store/restore_drill.cc
+++ b/standins/store/restore_drill.cc
@@ -1,4 +1,4 @@
-// Three steps, each at its time of the machine's clock.
+// The three steps of a drill, each at its time by the steady clock.
 #include "store/restore_drill.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 using SteadyTimePoint = std::chrono::steady_clock::time_point;
 
-//! False if the drill is stopped before.
+//! Waits until a point in time; returns false if the drill is stopped before.
 [[nodiscard]] bool WaitUntil(SteadyTimePoint moment,
                              const std::stop_token& stop) {
   std::mutex mutex;
--- a/standins/store/restore_drill.h
+++ b/standins/store/restore_drill.h
@@ -1,4 +1,5 @@
-// A restore of the stand-in store at set times.
+// Scripted outage of the stand-in store that ends with a restore of an older
+// snapshot.
 #ifndef JACINTHDECK_STANDINS_STORE_RESTORE_DRILL_H_
 #define JACINTHDECK_STANDINS_STORE_RESTORE_DRILL_H_
 
@@ -9,27 +10,27 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief Times from the start of a drill. */
+/*! \brief Times of the steps, from the start of the drill. */
 struct RestoreTimes {
-  //! A copy is kept.
+  //! The snapshot is taken.
   Duration snapshot{};
-  //! The store answers nobody from then on; at the restore at the latest.
+  //! The store stops answering; no later than at the restore.
   Duration silent{};
-  //! The store comes back from the copy.
+  //! The snapshot is restored and the store answers again.
   Duration restore{};
 };
 
-/*! \brief Plays one restore from an older copy on a thread of its own. */
+/*! \brief Runs one snapshot, outage and restore on a thread of its own. */
 class RestoreDrill {
  public:
-  /*! \brief Starts the drill; the server outlives it. */
+  /*! \brief Starts the drill; the server must outlive it. */
   RestoreDrill(StoreServer& server, const RestoreTimes& times);
 
-  /*! \brief Waits until the store is back. */
+  /*! \brief Waits until the drill has ended. */
   void Join() { m_thread.join(); }
 
  private:
-  //! Its end stops the drill between two steps.
+  //! Its destructor stops the drill before its next step.
   std::jthread m_thread;
 };
 
--- a/standins/store/store_control.cc
+++ b/standins/store/store_control.cc
@@ -1,4 +1,4 @@
-// Reads control messages of the stand-in store.
+// Parses control messages of the stand-in store.
 #include "store/store_control.h"
 
 #include "jacinthdeck/core/json.h"
--- a/standins/store/store_control.h
+++ b/standins/store/store_control.h
@@ -1,4 +1,4 @@
-// Control messages of the stand-in store.
+// Control messages of the stand-in store and their parser.
 #ifndef JACINTHDECK_STANDINS_STORE_STORE_CONTROL_H_
 #define JACINTHDECK_STANDINS_STORE_STORE_CONTROL_H_
 
@@ -11,31 +11,31 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief A key written by the operator or a target. */
+/*! \brief Key that a control message writes for an operator or a target. */
 struct ControlPut {
   std::string key;
   std::string value;
-  //! Zero: it stays.
+  //! Lifetime of the key; 0 if it does not expire.
   Duration ttl{};
 };
 
-/*! \brief What a control message asks for. */
+/*! \brief Parsed control message. */
 struct StoreControl {
   StoreFaults faults;
   std::optional<double> reads_per_second;
   std::optional<double> writes_per_second;
   bool compact = false;
-  //! Keep a copy of what is there before the puts and removes.
+  //! Takes a snapshot before the puts and removes.
   bool take_snapshot = false;
-  //! Come back from the copy, before all else.
+  //! Restores the snapshot, before any other change of the content.
   bool restore = false;
   std::vector<ControlPut> puts;
   std::vector<std::string> removes;
 };
 
 /**
- * \brief Reads a control message.
- * \param text JSON; absent members keep what is.
+ * \brief Parses a control message.
+ * \param text JSON; absent members leave faults, rates and content as they are.
  * \param current_faults Faults in force.
  */
 [[nodiscard]] Result<StoreControl> ParseStoreControl(
--- a/standins/store/store_faults.h
+++ b/standins/store/store_faults.h
@@ -1,4 +1,4 @@
-// Faults that the stand-in store can be told to show.
+// Faults, rate limits and counts of the stand-in store.
 #ifndef JACINTHDECK_STANDINS_STORE_STORE_FAULTS_H_
 #define JACINTHDECK_STANDINS_STORE_STORE_FAULTS_H_
 
@@ -9,14 +9,14 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief How an outage looks to a client. */
+/*! \brief Kind of an outage, as a client sees it. */
 enum class Outage {
   kNone,
   //! Every call is answered 503.
   kBusy,
   //! Every connection ends without a reply.
   kDrop,
-  //! Calls are taken and never answered.
+  //! Calls are accepted and not answered.
   kSilent,
 };
 
@@ -24,28 +24,33 @@
 inline constexpr NameTable<Outage, 4> kOutageNames{
     {"none", "busy", "drop", "silent"}};
 
-/*! \brief What goes wrong now. */
+/*! \brief Faults that the store shows at present. */
 struct StoreFaults {
   Outage outage = Outage::kNone;
-  //! Added to every call.
+  //! Delay added to every call.
   Duration delay{};
-  //! Share of writes that take effect and lose their reply, 0 to 1.
+  //! Share, 0 to 1, of writes and lease calls that take effect and whose reply
+  //! is lost.
   double lose_reply_share = 0;
 };
 
-/*! \brief Limits of the store, calls a second. */
+/*! \brief Rate limits of the store, in calls per second. */
 struct StoreRates {
+  //! Limit on reads, watches and lease renewals together.
   double reads_per_second = 2000;
+  //! Limit on transactions and on the other lease calls together.
   double writes_per_second = 400;
 };
 
-/*! \brief Calls so far. */
+/*! \brief Counts of calls since the start. */
 struct StoreCounts {
   std::uint64_t reads = 0;
   std::uint64_t watches = 0;
   std::uint64_t writes = 0;
   std::uint64_t renewals = 0;
+  //! Calls refused because of a rate limit.
   std::uint64_t limited = 0;
+  //! Calls that arrived during an outage.
   std::uint64_t refused = 0;
   std::uint64_t replies_lost = 0;
 };
--- a/standins/store/store_server.cc
+++ b/standins/store/store_server.cc
@@ -1,4 +1,4 @@
-// Calls of the platform's store.
+// Parses and answers the calls of the platform's store.
 #include "store/store_server.h"
 
 #include <jansson.h>
@@ -24,6 +24,7 @@
 constexpr std::size_t kMaxConnections = 2000;
 constexpr std::uint64_t kMaxWatchMs = 30000;
 constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
+//! Keys that operators and targets own; a transaction must not write them.
 constexpr std::string_view kReadOnlyPrefixes[] = {"op/", "servers/"};
 constexpr std::string_view kRenewPrefix = "/-/kv-keep/";
 constexpr std::string_view kRevokePrefix = "/-/kv-lease-end/";
@@ -131,14 +132,17 @@
 
 }  // namespace
 
-/*! \brief One kind of call: how it is recognised, counted and answered. */
+/*! \brief Kind of call: how it is matched, counted, limited and answered. */
 struct StoreServer::Route {
   std::string_view verb;
-  //! Path that the call starts with.
+  //! Prefix of the path.
   std::string_view prefix;
+  //! Count to increment.
   std::uint64_t StoreCounts::*count = nullptr;
+  //! Rate limit to apply.
   RateLimit StoreServer::*rate = nullptr;
-  //! Whether the call changes something, so that its reply can be lost.
+  //! Whether the call changes the store, so that lose_reply_share applies to
+  //! it.
   bool writes = false;
   CallHandler handler = nullptr;
 };
@@ -230,7 +234,8 @@
   while (faults().outage == Outage::kSilent && !m_stopping) {
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
-  // A connection on which a reply was due stays without one.
+  // A call that arrived in a kDrop or kSilent outage gets no reply, also when
+  // the outage has ended meanwhile.
   return current.outage == Outage::kBusy
              ? ErrorReply(http_status::kUnavailable, "busy")
              : DropConnection();
--- a/standins/store/store_server.h
+++ b/standins/store/store_server.h
@@ -1,4 +1,5 @@
-// The platform's store over HTTP, with faults, limits and counts.
+// HTTP server of the stand-in for the platform's store, with faults, rate
+// limits and counts.
 #ifndef JACINTHDECK_STANDINS_STORE_STORE_SERVER_H_
 #define JACINTHDECK_STANDINS_STORE_STORE_SERVER_H_
 
@@ -18,17 +19,19 @@
 namespace jacinthdeck::standins {
 
 /**
- * \brief Answers the store's calls as the platform's pages give them.
+ * \brief Answers the calls of the store as the platform's pages describe them.
  *
- * Operators and targets write through `POST /control`, which faults do not
- * touch: what they see of the store is no matter of this project.
+ * Operators and targets write through `POST /control`, which faults and limits
+ * do not affect, because how these clients see the store is outside this
+ * project.
  */
 class StoreServer {
  public:
   /**
    * \brief Opens the server.
-   * \param port Port on 127.0.0.1; 0 lets the kernel pick.
-   * \param clock Clock of leases and rates; outlives the server.
+   * \param port Port on 127.0.0.1; 0 picks a free port.
+   * \param clock Clock of leases and rate limits; must outlive the server.
+   * \param rates Rate limits at the start.
    * \param seed Seed of the random faults.
    */
   StoreServer(std::uint16_t port,
@@ -41,13 +44,14 @@
 
   [[nodiscard]] std::uint16_t port() const noexcept { return m_server.port(); }
 
-  /*! \brief The content, for those who prepare it. */
+  /*! \brief Returns the content, so that a test can set it up and check it. */
   [[nodiscard]] KvStore& content() noexcept { return m_content; }
 
   [[nodiscard]] StoreCounts counts() const;
   [[nodiscard]] StoreFaults faults() const;
 
-  /*! \brief Does what a control message asks for. */
+  /*! \brief Applies a control message: faults and rates, then the restore, the
+   * snapshot, puts and removes, and the compaction. */
   void Apply(const StoreControl& control);
 
  private:
@@ -55,6 +59,7 @@
   struct Route;
 
   [[nodiscard]] HttpReply Handle(const HttpRequest& request);
+  //! Answers a call of the store, or lets it fail as the faults say.
   [[nodiscard]] HttpReply AnswerWithFaults(const HttpRequest& request);
   [[nodiscard]] HttpReply Dispatch(const HttpRequest& request);
   [[nodiscard]] HttpReply Get(const HttpRequest& request);
@@ -66,7 +71,9 @@
   [[nodiscard]] HttpReply Revoke(const HttpRequest& request);
   [[nodiscard]] HttpReply Control(const HttpRequest& request);
   [[nodiscard]] HttpReply Counts() const;
+  //! Counts a call and returns whether its rate limit admits it.
   [[nodiscard]] bool Admit(const Route& route);
+  //! Draws whether the reply to a write is lost, and counts a lost one.
   [[nodiscard]] bool ShouldLoseReply();
 
   const Clock& m_clock;
@@ -78,7 +85,8 @@
   RateLimit m_write_limit;
   Random m_random;
   std::atomic<bool> m_stopping = false;
-  //! Last: it calls the members above from its first moment on.
+  //! Declared last: as soon as it is constructed its threads call Handle(),
+  //! which uses the members above.
   HttpServer m_server;
 };
 
--- a/standins/store_main.cc
+++ b/standins/store_main.cc
@@ -1,4 +1,4 @@
-// Stand-in for the platform's key-value store.
+// Main function of the stand-in for the platform's key-value store.
 #include <chrono>
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,7 @@
   std::uint64_t seed = 1;
   std::uint64_t snapshot_after_ms = 0;
   std::uint64_t silent_after_ms = 0;
-  //! 0: no restore.
+  //! 0 for no drill.
   std::uint64_t restore_after_ms = 0;
 };
 
@@ -45,22 +45,24 @@
   using jacinthdeck::standins::StoreOptions;
   StoreOptions store;
   po::options_description options("Store");
-  options.add_options()("reads-per-second",
-                        po::value(&store.rates.reads_per_second)
-                            ->default_value(store.rates.reads_per_second),
-                        "reads and watches above are answered 429")(
+  options.add_options()(
+      "reads-per-second",
+      po::value(&store.rates.reads_per_second)
+          ->default_value(store.rates.reads_per_second),
+      "limit on reads, watches and lease renewals; calls above are answered "
+      "429")(
       "writes-per-second",
       po::value(&store.rates.writes_per_second)
           ->default_value(store.rates.writes_per_second),
-      "writes and lease calls above are answered 429")(
+      "limit on writes and other lease calls; calls above are answered 429")(
       "seed", po::value(&store.seed)->default_value(store.seed),
       "seed of the random faults")(
       "copy-after-ms", po::value(&store.snapshot_after_ms)->default_value(0),
-      "time from the start until a copy is kept")(
+      "milliseconds from the start until a snapshot is taken")(
       "silent-after-ms", po::value(&store.silent_after_ms)->default_value(0),
-      "time from the start until the store answers nobody")(
+      "milliseconds from the start until the store stops answering")(
       "restore-after-ms", po::value(&store.restore_after_ms)->default_value(0),
-      "time from the start until it comes back from the copy; 0: never");
+      "milliseconds from the start until the snapshot is restored; 0: never");
   return jacinthdeck::standins::RunServer(
       argc, argv, options, [&](std::uint16_t port) {
         return jacinthdeck::standins::Serve(port, store);
