--- a/test/standins/dataset_test.cc
+++ b/test/standins/dataset_test.cc
@@ -1,4 +1,4 @@
-// Tests of the made-up content.
+// Tests of the generated content of the stand-in targets.
 #include "target/dataset.h"
 
 #include <jansson.h>
--- a/test/standins/deployments_test.cc
+++ b/test/standins/deployments_test.cc
@@ -1,5 +1,5 @@
-// Tests of the example deployments: schema, host list and partition maps fit
-// together.
+// Tests that schema, host list and partition maps of the example deployments
+// are consistent.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <fstream>
@@ -105,8 +105,8 @@
   }
 }
 
-// What may not be repeated is declared so: a claim that is retried sends two
-// people to one ticket or one animal.
+// Guards against a claim that is declared as repeatable: a retried claim sends
+// two people to the same ticket or animal.
 BOOST_AUTO_TEST_CASE(Deployment_EveryClaim_RunsAtMostOnce) {
   for (const std::string& name : names) {
     const Schema schema =
--- a/test/standins/kv_store_test.cc
+++ b/test/standins/kv_store_test.cc
@@ -1,4 +1,4 @@
-// Tests of the stand-in store's content.
+// Tests of the key-value content of the stand-in store.
 #include "store/kv_store.h"
 
 #include <boost/test/unit_test.hpp>
@@ -75,8 +75,9 @@
   BOOST_TEST(first.items.size() + second.items.size() == 700U);
 }
 
-// A drill comes back from a copy: what was written since is gone, and a watch
-// from a revision that is not there again must not wait for it.
+// After a restore the changes since the snapshot are gone. Guards against a
+// watch from a revision that does not exist any more waiting until it is
+// assigned again: the watch must report the lost history at once.
 BOOST_AUTO_TEST_CASE(Restore_AfterChanges_ReusesRevisions) {
   (void)Put("a", "1");
   const std::uint64_t snapshot_revision = revision;
--- a/test/standins/load_run_test.cc
+++ b/test/standins/load_run_test.cc
@@ -1,4 +1,4 @@
-// Tests of the load generator against scripted entries.
+// Tests of the load generator against entries with scripted replies.
 #include "loadgen/load_run.h"
 
 #include <boost/test/unit_test.hpp>
@@ -33,9 +33,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoadRunTest, LoadRunFixture)
 
-// The report shows a stall. The first request is held until the second has
-// arrived: a generator that waits for a reply before it sends again would never
-// send the second, and would hide the stall.
+// Guards against a closed loop, which would hide a stall from the report. The
+// entry holds the first request until the second has arrived; a generator that
+// waits for a reply before the next request would never send the second.
 BOOST_AUTO_TEST_CASE(Run_FirstRequestStalls_SecondIsSentOnSchedule) {
   std::mutex mutex;
   std::condition_variable arrived;
@@ -70,8 +70,8 @@
   BOOST_TEST(resends == 1U);
 }
 
-// The report counts a lost request. The connection ends without a reply, so the
-// request may have run; sending it again would hide that.
+// Guards against a resend that hides a lost request from the report: the
+// connection ends without a reply, so the request may have run.
 BOOST_AUTO_TEST_CASE(Run_NoReply_CountsLostAndDoesNotResend) {
   std::mutex mutex;
   int requests = 0;
--- a/test/standins/restore_drill_test.cc
+++ b/test/standins/restore_drill_test.cc
@@ -1,4 +1,4 @@
-// Tests of a restore of the stand-in store at set times.
+// Tests of the scripted outage and restore of the stand-in store.
 #include "store/restore_drill.h"
 
 #include <boost/test/unit_test.hpp>
--- a/test/standins/target_list_test.cc
+++ b/test/standins/target_list_test.cc
@@ -1,4 +1,4 @@
-// Tests of the checks on the stand-in targets' list.
+// Tests of the parser of the host list.
 #include "target/target_list.h"
 
 #include <array>
@@ -13,7 +13,7 @@
       R"({"id":"a","service":"S","domain":"d","address":"127.0.0.1",)"
       R"("port":4000,"state":"live","slots":3,"connections":30,"open_us":6000})";
 
-  //! The host with one piece of its text replaced.
+  //! Returns the JSON of the host with one part of its text replaced.
   [[nodiscard]] std::string With(const std::string& from,
                                  const std::string& to) const {
     std::string changed = host;
--- a/test/standins/target_test.cc
+++ b/test/standins/target_test.cc
@@ -1,4 +1,5 @@
-// Tests of the stand-in targets: what the proofs of other tests rest on.
+// Tests of the stand-in targets: their refusals, crashes and run log, which
+// other tests rely on.
 #include "target/target.h"
 
 #include <boost/test/unit_test.hpp>
@@ -32,7 +33,8 @@
                 1};
   Behaviour fast;
 
-  //! HTTP status, or 0 where the connection ended without a reply.
+  //! Sends a query and returns the HTTP status, or 0 if the connection ended
+  //! without a reply.
   [[nodiscard]] long Query(const std::string& request, int version = 7) {
     const ClientRequest call{
         "POST",
@@ -72,8 +74,8 @@
   BOOST_TEST(log.total() == 0U);
 }
 
-// The caller sees a connection that ends without a reply. The request runs,
-// brings the target down, and the target takes nothing until it has restarted.
+// The request runs once, the target crashes and accepts nothing until it has
+// restarted. The caller sees a connection that ends without a reply.
 BOOST_AUTO_TEST_CASE(Query_CrashingRequest_RunsOnceAndCrashesTarget) {
   Behaviour crashing = fast;
   crashing.crash_on = "poison";
--- a/test/standins/work_queue_test.cc
+++ b/test/standins/work_queue_test.cc
@@ -1,4 +1,4 @@
-// Tests of the slots of a stand-in target.
+// Tests of the slots and the wait queue of a stand-in target.
 #include "target/work_queue.h"
 
 #include <boost/test/unit_test.hpp>
