--- a/standins/loadgen/load_run.h
+++ b/standins/loadgen/load_run.h
@@ -25,8 +25,8 @@
  * \brief Sends the requests of one run on the thread that calls Run().
  *
  * A request that was not run, or for which no connection could be opened, is
- * resent to the next entry, as callers are asked to do. No other request is
- * sent again.
+ * resent to the next entry, as callers are asked to do, up to
+ * LoadOptions::resends times. No other request is sent again.
  */
 class LoadRun {
  public:
--- a/standins/loadgen/sample.h
+++ b/standins/loadgen/sample.h
@@ -17,7 +17,7 @@
   kPartial,
   kNotRun,
   kUnknown,
-  //! Reply with status 4xx and without an outcome.
+  //! Reply with status 4xx that is not whole, partial or not run.
   kRejected,
   //! No connection could be opened.
   kNotSent,
--- a/standins/target/behaviour.h
+++ b/standins/target/behaviour.h
@@ -59,8 +59,7 @@
   Duration restart_time = std::chrono::seconds(1);
   //! Idle time after which a connection is closed; 0 for never.
   Duration idle_close{};
-  //! Time for which the reported state and load are kept before they are taken
-  //! anew.
+  //! Reported state and load are refreshed once they are this old.
   Duration report_lag{};
   //! Reported in place of the actual load.
   std::optional<double> load_override;
--- a/standins/target/run_log.h
+++ b/standins/target/run_log.h
@@ -17,7 +17,7 @@
 /*! \brief One run of a request: it took a slot of a target. */
 struct Run {
   TargetId target;
-  //! Attempt number as sent in X-Attempt.
+  //! Value of the X-Attempt header.
   std::string attempt;
 };
 
--- a/standins/target/target_query.h
+++ b/standins/target/target_query.h
@@ -15,7 +15,7 @@
 
 /*! \brief Content of a `POST /query`. */
 struct TargetQuery {
-  //! Attempt number from X-Attempt, by which `/cancel` names the query.
+  //! Value of the X-Attempt header, by which `/cancel` names the query.
   std::string attempt;
   std::string method;
   IndexVersion version;
