--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -402,7 +402,7 @@
   Until(is_known);
   const std::uint64_t first =
       store.content().Get(codec.HostKey(host.name))->lease;
-  BOOST_TEST(store.content().End(first));
+  BOOST_TEST(store.content().Revoke(first));
   Until([&] {
     const auto item = store.content().Get(codec.HostKey(host.name));
     return item && item->lease != first;
@@ -441,7 +441,7 @@
   Until([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
   Until([&] { return session.knowledge().FindHost(NodeId("a")) != nullptr; });
-  BOOST_TEST(store.content().End(first));
+  BOOST_TEST(store.content().Revoke(first));
   Until([&] {
     const auto item = store.content().Get(key);
     return item && item->lease != first;
