--- a/standins/loadgen/load_options.h
+++ b/standins/loadgen/load_options.h
@@ -29,9 +29,9 @@
   std::uint64_t seconds = 60;
   //! Deadline that is sent with each request; 0 sends none.
   std::uint64_t deadline_ms = 0;
-  //! Maximum of requests in flight; further ones wait.
+  //! Maximum number of requests in flight; further ones wait.
   std::uint64_t in_flight = 2000;
-  //! Maximum of resends of one request.
+  //! Maximum number of resends of one request.
   std::uint64_t resends = 2;
   std::uint64_t seed = 1;
   //! Client account of the requests; empty sends none.
--- a/standins/loadgen_main.cc
+++ b/standins/loadgen_main.cc
@@ -57,12 +57,12 @@
       "deadline-ms", po::value(&load.deadline_ms),
       "deadline to send with each request, in milliseconds")(
       "in-flight", po::value(&load.in_flight)->default_value(load.in_flight),
-      "maximum of requests in flight; others wait, and their latency counts "
-      "the wait")(
+      "maximum number of requests in flight; others wait, and their latency "
+      "counts the wait")(
       "resends", po::value(&load.resends)->default_value(load.resends),
-      "maximum of times that a request that was not run is sent to the next "
-      "entry")("seed", po::value(&load.seed)->default_value(load.seed),
-               "seed of the arrivals, and part of the request ids")(
+      "maximum number of times that a request that was not run is sent to the "
+      "next entry")("seed", po::value(&load.seed)->default_value(load.seed),
+                    "seed of the arrivals, and part of the request ids")(
       "tenant", po::value(&load.tenant), "tenant to send with each request")(
       "csv", po::value(&load.csv), "CSV file to write, one line per request")(
       "request-ids", po::bool_switch(&load.request_ids),
--- a/standins/store/kv_store.cc
+++ b/standins/store/kv_store.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-//! Maximum of keys on one page of a range read.
+//! Maximum number of keys on one page of a range read.
 constexpr std::size_t kPageSize = 500;
-//! Maximum of changes kept for watches; older ones are compacted.
+//! Maximum number of changes kept for watches; older ones are compacted.
 constexpr std::size_t kMaxHistory = 20000;
 
 }  // namespace
--- a/standins/target/behaviour.h
+++ b/standins/target/behaviour.h
@@ -47,7 +47,7 @@
   bool mute = false;
   //! Refuses new requests and reports itself as leaving.
   bool draining = false;
-  //! Maximum of requests that wait for a slot; further ones are shed.
+  //! Maximum number of requests that wait for a slot; further ones are shed.
   std::uint32_t queue_limit = 24;
   //! Time after a change of the behaviour, or after a restart, in which the
   //! target is cold and refuses requests.
--- a/standins/target/work_queue.h
+++ b/standins/target/work_queue.h
@@ -43,7 +43,7 @@
   /**
    * \brief Waits for a slot.
    * \param attempt Attempt that is to run.
-   * \param queue_limit Maximum of requests that wait at once; when it is
+   * \param queue_limit Maximum number of requests that wait at once; when it is
    * reached and no slot is free the result is kQueueFull. \param deadline End
    * of the wait. \return kDone once the slot is taken; ReleaseSlot() gives it
    * back.
