--- a/standins/http/http_message.cc
+++ b/standins/http/http_message.cc
@@ -1,4 +1,4 @@
-// Numbers in headers and parameters.
+// Parses numbers in headers and query parameters, and builds JSON replies.
 #include "http/http_message.h"
 
 #include <charconv>
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::optional<std::uint64_t> HttpRequest::Number(
+std::optional<std::uint64_t> HttpRequest::ParameterNumber(
     const std::string& name) const {
   return FindNumber(parameters, name);
 }
--- a/standins/process/process.cc
+++ b/standins/process/process.cc
@@ -1,4 +1,4 @@
-// Command line, signals and files of the stand-ins.
+// Command line parsing, signal handling and file access of the stand-ins.
 #include "process/process.h"
 
 #include <pthread.h>
@@ -17,7 +17,7 @@
 
 namespace po = boost::program_options;
 
-[[nodiscard]] sigset_t EndSignals() {
+[[nodiscard]] sigset_t TerminationSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -25,9 +25,10 @@
   return signals;
 }
 
-//! Blocked before the first thread starts, so that only sigwait() sees them.
-void BlockEndSignals() {
-  const sigset_t signals = EndSignals();
+//! Must run before the first thread starts: threads inherit the signal mask, so
+//! only sigwait() receives the signals.
+void BlockTerminationSignals() {
+  const sigset_t signals = TerminationSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 }
@@ -65,17 +66,17 @@
               const char* const* argv,
               const po::options_description& options,
               const std::function<int(std::uint16_t)>& body) {
-  BlockEndSignals();
+  BlockTerminationSignals();
   std::uint16_t port = 0;
   po::options_description all = options;
   all.add_options()("port", po::value(&port)->default_value(0),
-                    "port on 127.0.0.1; 0 lets the kernel pick");
+                    "port on 127.0.0.1; 0 picks a free port");
   return RunProgram(argc, argv, all, [&] { return body(port); });
 }
 
 void ServeUntilSignal(std::uint16_t port) {
   std::cout << "listening 127.0.0.1:" << port << std::endl;
-  const sigset_t signals = EndSignals();
+  const sigset_t signals = TerminationSignals();
   int signal = 0;
   sigwait(&signals, &signal);
 }
--- a/standins/store/store_control.cc
+++ b/standins/store/store_control.cc
@@ -1,4 +1,4 @@
-// Reads control messages of the stand-in store.
+// Parses control messages of the stand-in store.
 #include "store/store_control.h"
 
 #include "jacinthdeck/core/json.h"
@@ -49,7 +49,7 @@
     }
   }
   if (message.Has("copy")) {
-    BOOST_LEAF_ASSIGN(control.keep_copy, message.Bool("copy"));
+    BOOST_LEAF_ASSIGN(control.take_snapshot, message.Bool("copy"));
   }
   if (message.Has("restore")) {
     BOOST_LEAF_ASSIGN(control.restore, message.Bool("restore"));
@@ -63,11 +63,11 @@
 }  // namespace
 
 Result<StoreControl> ParseStoreControl(const std::string& text,
-                                       const StoreFaults& now) {
+                                       const StoreFaults& current_faults) {
   BOOST_LEAF_AUTO(json, ParseJson(text, "control"));
   const JsonReader message(json.get(), "control");
   StoreControl control;
-  control.faults = now;
+  control.faults = current_faults;
   if (message.Has("outage")) {
     BOOST_LEAF_ASSIGN(control.faults.outage, ReadOutage(message));
   }
@@ -80,10 +80,12 @@
                       message.Number("lose_reply_share"));
   }
   if (message.Has("reads_per_second")) {
-    BOOST_LEAF_ASSIGN(control.reads, message.Number("reads_per_second"));
+    BOOST_LEAF_ASSIGN(control.reads_per_second,
+                      message.Number("reads_per_second"));
   }
   if (message.Has("writes_per_second")) {
-    BOOST_LEAF_ASSIGN(control.writes, message.Number("writes_per_second"));
+    BOOST_LEAF_ASSIGN(control.writes_per_second,
+                      message.Number("writes_per_second"));
   }
   BOOST_LEAF_CHECK(ReadChanges(message, control));
   return control;
--- a/standins/store/store_control.h
+++ b/standins/store/store_control.h
@@ -1,4 +1,4 @@
-// Control messages of the stand-in store.
+// Control messages of the stand-in store and their parser.
 #ifndef JACINTHDECK_STANDINS_STORE_STORE_CONTROL_H_
 #define JACINTHDECK_STANDINS_STORE_STORE_CONTROL_H_
 
@@ -11,35 +11,36 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief A key written by the operator or a target. */
+/*! \brief Key that a control message writes for an operator or a target. */
 struct ControlPut {
   std::string key;
   std::string value;
-  //! Zero: it stays.
+  //! Lifetime of the key; 0 if it does not expire.
   Duration ttl{};
 };
 
-/*! \brief What a control message asks for. */
+/*! \brief Parsed control message. */
 struct StoreControl {
   StoreFaults faults;
-  std::optional<double> reads;
-  std::optional<double> writes;
+  std::optional<double> reads_per_second;
+  std::optional<double> writes_per_second;
   bool compact = false;
-  //! Keep a copy of what is there before the puts and removes.
-  bool keep_copy = false;
-  //! Come back from the copy, before all else.
+  //! Takes a snapshot before the puts and removes.
+  bool take_snapshot = false;
+  //! Restores the snapshot, before any other change of the content.
   bool restore = false;
   std::vector<ControlPut> puts;
   std::vector<std::string> removes;
 };
 
 /**
- * \brief Reads a control message.
- * \param text JSON; absent members keep what is.
- * \param now Faults in force.
+ * \brief Parses a control message.
+ * \param text JSON; absent members leave faults, rates and content as they are.
+ * \param current_faults Faults in force.
  */
-[[nodiscard]] Result<StoreControl> ParseStoreControl(const std::string& text,
-                                                     const StoreFaults& now);
+[[nodiscard]] Result<StoreControl> ParseStoreControl(
+    const std::string& text,
+    const StoreFaults& current_faults);
 
 }  // namespace jacinthdeck::standins
 
--- a/standins/store/store_server.cc
+++ b/standins/store/store_server.cc
@@ -1,4 +1,4 @@
-// Calls of the platform's store.
+// Parses and answers the calls of the platform's store.
 #include "store/store_server.h"
 
 #include <jansson.h>
@@ -23,18 +23,19 @@
 
 constexpr std::size_t kMaxConnections = 2000;
 constexpr std::uint64_t kMaxWatchMs = 30000;
-constexpr std::uint64_t kMostNumber = std::numeric_limits<std::int64_t>::max();
-constexpr std::string_view kOwnedByOthers[] = {"op/", "servers/"};
+constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
+//! Keys that operators and targets own; a transaction must not write them.
+constexpr std::string_view kReadOnlyPrefixes[] = {"op/", "servers/"};
 constexpr std::string_view kRenewPrefix = "/-/kv-keep/";
-constexpr std::string_view kEndPrefix = "/-/kv-lease-end/";
+constexpr std::string_view kRevokePrefix = "/-/kv-lease-end/";
 
-[[nodiscard]] HttpReply Json(unsigned int status, json_t* value) {
+[[nodiscard]] HttpReply ReplyWithJson(unsigned int status, json_t* value) {
   const JsonPtr owned(value);
   return HttpReply{status, DumpJson(*owned), false};
 }
 
-[[nodiscard]] HttpReply Problem(unsigned int status, const char* text) {
-  return Json(status, json_pack("{s:s}", "error", text));
+[[nodiscard]] HttpReply ErrorReply(unsigned int status, const char* text) {
+  return ReplyWithJson(status, json_pack("{s:s}", "error", text));
 }
 
 [[nodiscard]] json_t* ToJson(const KeyValue& item) {
@@ -46,7 +47,7 @@
   }
   const std::string text = platform::EncodeBase64(*item.value);
   json_object_set_new(json, "value", json_string(text.c_str()));
-  json_object_set_new(json, "created", JsonNumber(item.created));
+  json_object_set_new(json, "created", JsonNumber(item.created_revision));
   json_object_set_new(json, "leaseId", JsonNumber(item.lease));
   return json;
 }
@@ -65,8 +66,8 @@
   return found == request.parameters.end() ? "" : found->second;
 }
 
-[[nodiscard]] std::uint64_t LeaseIn(const HttpRequest& request,
-                                    std::string_view prefix) {
+[[nodiscard]] std::uint64_t ParseLeaseId(const HttpRequest& request,
+                                         std::string_view prefix) {
   std::uint64_t lease = 0;
   const std::string& path = request.path;
   (void)std::from_chars(path.data() + prefix.size(), path.data() + path.size(),
@@ -80,7 +81,7 @@
   BOOST_LEAF_AUTO(text, item.String("value"));
   BOOST_LEAF_ASSIGN(put.value, platform::DecodeBase64(text));
   if (item.Has("leaseId")) {
-    BOOST_LEAF_ASSIGN(put.lease, item.Unsigned("leaseId", kMostNumber));
+    BOOST_LEAF_ASSIGN(put.lease, item.Unsigned("leaseId", kMaxNumber));
   }
   return put;
 }
@@ -95,7 +96,7 @@
       Condition condition;
       BOOST_LEAF_ASSIGN(condition.key, row.String("key"));
       BOOST_LEAF_ASSIGN(condition.revision,
-                        row.Unsigned("revision", kMostNumber));
+                        row.Unsigned("revision", kMaxNumber));
       transaction.conditions.push_back(condition);
     }
   }
@@ -116,29 +117,32 @@
   return transaction;
 }
 
-[[nodiscard]] bool IsOwnedByOthers(const std::string& key) {
-  return std::ranges::any_of(kOwnedByOthers, [&](std::string_view prefix) {
+[[nodiscard]] bool IsReadOnlyKey(const std::string& key) {
+  return std::ranges::any_of(kReadOnlyPrefixes, [&](std::string_view prefix) {
     return key.starts_with(prefix);
   });
 }
 
-[[nodiscard]] bool TouchesOthers(const Transaction& transaction) {
+[[nodiscard]] bool WritesReadOnlyKey(const Transaction& transaction) {
   return std::ranges::any_of(
              transaction.puts,
-             [](const PutItem& put) { return IsOwnedByOthers(put.key); }) ||
-         std::ranges::any_of(transaction.removes, IsOwnedByOthers);
+             [](const PutItem& put) { return IsReadOnlyKey(put.key); }) ||
+         std::ranges::any_of(transaction.removes, IsReadOnlyKey);
 }
 
 }  // namespace
 
-/*! \brief One kind of call: how it is recognised, counted and answered. */
+/*! \brief Kind of call: how it is matched, counted, limited and answered. */
 struct StoreServer::Route {
   std::string_view verb;
-  //! Path that the call starts with.
+  //! Prefix of the path.
   std::string_view prefix;
+  //! Count to increment.
   std::uint64_t StoreCounts::*count = nullptr;
+  //! Rate limit to apply.
   RateLimit StoreServer::*rate = nullptr;
-  //! Whether the call changes something, so that its reply can be lost.
+  //! Whether the call changes the store, so that lose_reply_share applies to
+  //! it.
   bool writes = false;
   CallHandler handler = nullptr;
 };
@@ -149,8 +153,8 @@
                          std::uint64_t seed)
     : m_clock(clock),
       m_content(clock),
-      m_reads(rates.reads),
-      m_writes(rates.writes),
+      m_read_limit(rates.reads_per_second),
+      m_write_limit(rates.writes_per_second),
       m_random(seed),
       m_server({.port = port, .max_connections = kMaxConnections},
                [this](const HttpRequest& request) { return Handle(request); }) {
@@ -170,22 +174,23 @@
   {
     const std::scoped_lock lock(m_mutex);
     m_faults = control.faults;
-    if (control.reads) {
-      m_reads.set_rate(*control.reads);
+    if (control.reads_per_second) {
+      m_read_limit.set_rate(*control.reads_per_second);
     }
-    if (control.writes) {
-      m_writes.set_rate(*control.writes);
+    if (control.writes_per_second) {
+      m_write_limit.set_rate(*control.writes_per_second);
     }
   }
   if (control.restore) {
     (void)m_content.Restore();
   }
-  if (control.keep_copy) {
-    m_content.KeepCopy();
+  if (control.take_snapshot) {
+    m_content.TakeSnapshot();
   }
   Transaction transaction;
   for (const ControlPut& put : control.puts) {
-    if (put.ttl > Duration::zero() && m_content.Touch(put.key, put.value)) {
+    if (put.ttl > Duration::zero() &&
+        m_content.RenewLeaseIfUnchanged(put.key, put.value)) {
       continue;
     }
     const std::uint64_t lease =
@@ -209,17 +214,17 @@
   if (request.path == "/control") {
     return request.verb == "POST" ? Control(request) : Counts();
   }
-  HttpReply reply = Answer(request);
+  HttpReply reply = AnswerWithFaults(request);
   reply.headers.insert_or_assign("Store-Era", std::to_string(m_content.era()));
   return reply;
 }
 
-HttpReply StoreServer::Answer(const HttpRequest& request) {
-  const StoreFaults present = faults();
-  if (present.delay > Duration::zero()) {
-    std::this_thread::sleep_for(present.delay);
+HttpReply StoreServer::AnswerWithFaults(const HttpRequest& request) {
+  const StoreFaults current = faults();
+  if (current.delay > Duration::zero()) {
+    std::this_thread::sleep_for(current.delay);
   }
-  if (present.outage == Outage::kNone) {
+  if (current.outage == Outage::kNone) {
     return Dispatch(request);
   }
   {
@@ -229,159 +234,167 @@
   while (faults().outage == Outage::kSilent && !m_stopping) {
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
-  // A connection on which a reply was due stays without one.
-  return present.outage == Outage::kBusy
-             ? Problem(http_status::kUnavailable, "busy")
+  // A call that arrived in a kDrop or kSilent outage gets no reply, also when
+  // the outage has ended meanwhile.
+  return current.outage == Outage::kBusy
+             ? ErrorReply(http_status::kUnavailable, "busy")
              : DropConnection();
 }
 
 HttpReply StoreServer::Dispatch(const HttpRequest& request) {
   static constexpr std::array<Route, 7> kRoutes{{
-      {"GET", "/-/kv-key", &StoreCounts::reads, &StoreServer::m_reads, false,
-       &StoreServer::Get},
-      {"GET", "/-/kv-range", &StoreCounts::reads, &StoreServer::m_reads, false,
-       &StoreServer::Range},
-      {"GET", "/-/kv-watch", &StoreCounts::watches, &StoreServer::m_reads,
+      {"GET", "/-/kv-key", &StoreCounts::reads, &StoreServer::m_read_limit,
+       false, &StoreServer::Get},
+      {"GET", "/-/kv-range", &StoreCounts::reads, &StoreServer::m_read_limit,
+       false, &StoreServer::Range},
+      {"GET", "/-/kv-watch", &StoreCounts::watches, &StoreServer::m_read_limit,
        false, &StoreServer::Watch},
-      {"POST", "/-/kv-txn", &StoreCounts::writes, &StoreServer::m_writes, true,
-       &StoreServer::Write},
-      {"POST", "/-/kv-lease", &StoreCounts::writes, &StoreServer::m_writes,
+      {"POST", "/-/kv-txn", &StoreCounts::writes, &StoreServer::m_write_limit,
+       true, &StoreServer::Write},
+      {"POST", "/-/kv-lease", &StoreCounts::writes, &StoreServer::m_write_limit,
        true, &StoreServer::Grant},
-      {"POST", kRenewPrefix, &StoreCounts::renewals, &StoreServer::m_reads,
+      {"POST", kRenewPrefix, &StoreCounts::renewals, &StoreServer::m_read_limit,
        true, &StoreServer::Renew},
-      {"DELETE", kEndPrefix, &StoreCounts::writes, &StoreServer::m_writes, true,
-       &StoreServer::End},
+      {"DELETE", kRevokePrefix, &StoreCounts::writes,
+       &StoreServer::m_write_limit, true, &StoreServer::Revoke},
   }};
-  const auto route = std::ranges::find_if(kRoutes, [&](const Route& one) {
-    return one.verb == request.verb && request.path.starts_with(one.prefix);
+  const auto route = std::ranges::find_if(kRoutes, [&](const Route& candidate) {
+    return candidate.verb == request.verb &&
+           request.path.starts_with(candidate.prefix);
   });
   if (route == kRoutes.end()) {
-    return Problem(http_status::kNotFound, "unknown call");
+    return ErrorReply(http_status::kNotFound, "unknown call");
   }
   if (!Admit(*route)) {
-    return Problem(http_status::kTooManyRequests, "rate");
+    return ErrorReply(http_status::kTooManyRequests, "rate");
   }
   HttpReply reply = (this->*route->handler)(request);
-  return route->writes && LoseReply() ? DropConnection() : reply;
+  return route->writes && ShouldLoseReply() ? DropConnection() : reply;
 }
 
 HttpReply StoreServer::Get(const HttpRequest& request) {
   const auto item = m_content.Get(Parameter(request, "key"));
   if (!item) {
-    return Problem(http_status::kNotFound, "no such key");
+    return ErrorReply(http_status::kNotFound, "no such key");
   }
   json_t* json = ToJson(*item);
   json_object_set_new(json, "readRev", JsonNumber(m_content.revision()));
-  return Json(200, json);
+  return ReplyWithJson(200, json);
 }
 
 HttpReply StoreServer::Range(const HttpRequest& request) {
   const KeyPage page = m_content.Range(Parameter(request, "prefix"),
                                        Parameter(request, "after"));
-  return Json(200, json_pack("{s:o, s:b, s:o}", "items", ToJson(page.items),
-                             "hasMore", page.has_more ? 1 : 0, "readRev",
-                             JsonNumber(page.revision)));
+  return ReplyWithJson(
+      200,
+      json_pack("{s:o, s:b, s:o}", "items", ToJson(page.items), "hasMore",
+                page.has_more ? 1 : 0, "readRev", JsonNumber(page.revision)));
 }
 
 HttpReply StoreServer::Watch(const HttpRequest& request) {
   const std::uint64_t wait =
-      std::min(request.Number("waitMs").value_or(0), kMaxWatchMs);
-  const WatchResult result = m_content.Watch(
-      Parameter(request, "prefix"), request.Number("after").value_or(0),
-      std::chrono::milliseconds(wait));
+      std::min(request.ParameterNumber("waitMs").value_or(0), kMaxWatchMs);
+  const WatchResult result =
+      m_content.Watch(Parameter(request, "prefix"),
+                      request.ParameterNumber("after").value_or(0),
+                      std::chrono::milliseconds(wait));
   const Outage outage = faults().outage;
   if (outage != Outage::kNone || m_stopping) {
     return DropConnection();
   }
   if (result.compacted) {
-    return Problem(http_status::kGone, "history is gone");
+    return ErrorReply(http_status::kGone, "history is gone");
   }
-  return Json(200, json_pack("{s:o, s:o}", "events", ToJson(result.events),
-                             "readRev", JsonNumber(result.revision)));
+  return ReplyWithJson(
+      200, json_pack("{s:o, s:o}", "events", ToJson(result.events), "readRev",
+                     JsonNumber(result.revision)));
 }
 
 HttpReply StoreServer::Write(const HttpRequest& request) {
-  const auto read = Capture([&] { return ReadTransaction(request.body); });
-  if (const auto* error = std::get_if<Error>(&read)) {
-    return Problem(http_status::kBadRequest, error->message.c_str());
+  const auto parsed = Capture([&] { return ReadTransaction(request.body); });
+  if (const auto* error = std::get_if<Error>(&parsed)) {
+    return ErrorReply(http_status::kBadRequest, error->message.c_str());
   }
-  const auto& transaction = std::get<0>(read);
-  if (TouchesOthers(transaction)) {
-    return Problem(http_status::kForbidden, "key of another owner");
+  const auto& transaction = std::get<0>(parsed);
+  if (WritesReadOnlyKey(transaction)) {
+    return ErrorReply(http_status::kForbidden, "key of another owner");
   }
   std::uint64_t revision = 0;
   switch (m_content.Apply(transaction, revision)) {
-    case ChangeEnd::kDone:
-      return Json(200, json_pack("{s:o}", "revision", JsonNumber(revision)));
-    case ChangeEnd::kNoLease:
-      return Problem(http_status::kNotFound, "no such lease");
-    case ChangeEnd::kConflict:
+    case TransactionOutcome::kApplied:
+      return ReplyWithJson(
+          200, json_pack("{s:o}", "revision", JsonNumber(revision)));
+    case TransactionOutcome::kNoLease:
+      return ErrorReply(http_status::kNotFound, "no such lease");
+    case TransactionOutcome::kConflict:
       break;
   }
-  std::vector<KeyValue> present;
+  std::vector<KeyValue> current;
   for (const Condition& condition : transaction.conditions) {
     if (const auto item = m_content.Get(condition.key)) {
-      present.push_back(*item);
+      current.push_back(*item);
     }
   }
-  return Json(http_status::kPreconditionFailed,
-              json_pack("{s:o}", "items", ToJson(present)));
+  return ReplyWithJson(http_status::kPreconditionFailed,
+                       json_pack("{s:o}", "items", ToJson(current)));
 }
 
 HttpReply StoreServer::Grant(const HttpRequest& request) {
-  const auto read = Capture([&]() -> Result<std::uint64_t> {
+  const auto parsed = Capture([&]() -> Result<std::uint64_t> {
     BOOST_LEAF_AUTO(json, ParseJson(request.body, "lease"));
     return JsonReader(json.get(), "lease").Unsigned("ttlMs", 600000);
   });
-  if (const auto* error = std::get_if<Error>(&read)) {
-    return Problem(http_status::kBadRequest, error->message.c_str());
+  if (const auto* error = std::get_if<Error>(&parsed)) {
+    return ErrorReply(http_status::kBadRequest, error->message.c_str());
   }
-  const std::uint64_t ttl = std::get<0>(read);
+  const std::uint64_t ttl = std::get<0>(parsed);
   const std::uint64_t lease = m_content.Grant(std::chrono::milliseconds(ttl));
-  return Json(200, json_pack("{s:o, s:o}", "leaseId", JsonNumber(lease),
-                             "ttlMs", JsonNumber(ttl)));
+  return ReplyWithJson(
+      200, json_pack("{s:o, s:o}", "leaseId", JsonNumber(lease), "ttlMs",
+                     JsonNumber(ttl)));
 }
 
 HttpReply StoreServer::Renew(const HttpRequest& request) {
-  const auto ttl = m_content.Renew(LeaseIn(request, kRenewPrefix));
+  const auto ttl = m_content.Renew(ParseLeaseId(request, kRenewPrefix));
   if (!ttl) {
-    return Problem(http_status::kNotFound, "no such lease");
+    return ErrorReply(http_status::kNotFound, "no such lease");
   }
   constexpr int kMicrosecondsPerMillisecond = 1000;
-  return Json(200,
-              json_pack("{s:o}", "ttlMs",
-                        JsonNumber(static_cast<std::uint64_t>(ttl->count()) /
-                                   kMicrosecondsPerMillisecond)));
+  return ReplyWithJson(
+      200, json_pack("{s:o}", "ttlMs",
+                     JsonNumber(static_cast<std::uint64_t>(ttl->count()) /
+                                kMicrosecondsPerMillisecond)));
 }
 
-HttpReply StoreServer::End(const HttpRequest& request) {
-  return m_content.End(LeaseIn(request, kEndPrefix))
-             ? Json(200, json_object())
-             : Problem(http_status::kNotFound, "no such lease");
+HttpReply StoreServer::Revoke(const HttpRequest& request) {
+  return m_content.Revoke(ParseLeaseId(request, kRevokePrefix))
+             ? ReplyWithJson(200, json_object())
+             : ErrorReply(http_status::kNotFound, "no such lease");
 }
 
 HttpReply StoreServer::Control(const HttpRequest& request) {
-  const auto read =
+  const auto parsed =
       Capture([&] { return ParseStoreControl(request.body, faults()); });
-  if (const auto* error = std::get_if<Error>(&read)) {
+  if (const auto* error = std::get_if<Error>(&parsed)) {
     const std::string text = error->subject + " " + error->message;
-    return Problem(http_status::kBadRequest, text.c_str());
+    return ErrorReply(http_status::kBadRequest, text.c_str());
   }
-  Apply(std::get<0>(read));
-  return Json(200,
-              json_pack("{s:o}", "revision", JsonNumber(m_content.revision())));
+  Apply(std::get<0>(parsed));
+  return ReplyWithJson(
+      200, json_pack("{s:o}", "revision", JsonNumber(m_content.revision())));
 }
 
 HttpReply StoreServer::Counts() const {
-  const StoreCounts now = counts();
-  return Json(
+  const StoreCounts totals = counts();
+  return ReplyWithJson(
       200,
       json_pack("{s:o, s:o, s:o, s:o, s:o, s:o, s:o}", "reads",
-                JsonNumber(now.reads), "watches", JsonNumber(now.watches),
-                "writes", JsonNumber(now.writes), "renewals",
-                JsonNumber(now.renewals), "limited", JsonNumber(now.limited),
-                "refused", JsonNumber(now.refused), "replies_lost",
-                JsonNumber(now.replies_lost)));
+                JsonNumber(totals.reads), "watches", JsonNumber(totals.watches),
+                "writes", JsonNumber(totals.writes), "renewals",
+                JsonNumber(totals.renewals), "limited",
+                JsonNumber(totals.limited), "refused",
+                JsonNumber(totals.refused), "replies_lost",
+                JsonNumber(totals.replies_lost)));
 }
 
 bool StoreServer::Admit(const Route& route) {
@@ -394,7 +407,7 @@
   return false;
 }
 
-bool StoreServer::LoseReply() {
+bool StoreServer::ShouldLoseReply() {
   const std::scoped_lock lock(m_mutex);
   const bool lost = m_faults.lose_reply_share > 0 &&
                     m_random.Unit() < m_faults.lose_reply_share;
--- a/standins/target/target_list.cc
+++ b/standins/target/target_list.cc
@@ -1,4 +1,4 @@
-// Shape and ranges of the host list.
+// Parses the host list and checks types and bounds of its members.
 #include "target/target_list.h"
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxPerTarget = 100000;
+constexpr std::uint64_t kMaxSlotsOrConnections = 100000;
 constexpr std::uint64_t kMaxOpenMicroseconds = 60'000'000;
 
 [[nodiscard]] bool IsIpNumber(const std::string& address) noexcept {
@@ -41,7 +41,7 @@
   BOOST_LEAF_AUTO(address, host.String("address"));
   if (!IsIpNumber(address)) {
     return Fail(ErrorCode::kCorrupt, host.path() + ".address",
-                "is '" + address + "', expected an IP number");
+                "is '" + address + "', expected an IP address");
   }
   return address;
 }
@@ -77,17 +77,17 @@
   BOOST_LEAF_AUTO(
       port,
       ReadPositive(host, "port", std::numeric_limits<std::uint16_t>::max()));
-  BOOST_LEAF_AUTO(slots, ReadPositive(host, "slots", kMaxPerTarget));
+  BOOST_LEAF_AUTO(slots, ReadPositive(host, "slots", kMaxSlotsOrConnections));
   BOOST_LEAF_AUTO(connections,
-                  ReadPositive(host, "connections", kMaxPerTarget));
-  BOOST_LEAF_AUTO(open, host.Unsigned("open_us", kMaxOpenMicroseconds));
+                  ReadPositive(host, "connections", kMaxSlotsOrConnections));
+  BOOST_LEAF_AUTO(open_us, host.Unsigned("open_us", kMaxOpenMicroseconds));
   info.id = TargetId(std::move(id));
   info.service = ServiceId(std::move(service));
   info.domain = FailureDomain(std::move(domain));
   info.port = static_cast<std::uint16_t>(port);
   info.slots = static_cast<std::uint32_t>(slots);
   info.connections = static_cast<std::uint32_t>(connections);
-  info.connection_open_time = Duration(static_cast<Duration::rep>(open));
+  info.connection_open_time = Duration(static_cast<Duration::rep>(open_us));
   return info;
 }
 
@@ -104,7 +104,7 @@
     BOOST_LEAF_AUTO(info, ReadHost(host));
     if (!ids.insert(info.id).second) {
       return Fail(ErrorCode::kCorrupt, host.path() + ".id",
-                  "stands twice, expected distinct targets");
+                  "is a duplicate, expected distinct targets");
     }
     targets.push_back(std::move(info));
   }
--- a/standins/target/work_queue.h
+++ b/standins/target/work_queue.h
@@ -1,4 +1,4 @@
-// The slots of a target and the requests that wait for one.
+// Slots of a target and the requests that wait for one.
 #ifndef JACINTHDECK_STANDINS_TARGET_WORK_QUEUE_H_
 #define JACINTHDECK_STANDINS_TARGET_WORK_QUEUE_H_
 
@@ -13,22 +13,28 @@
 
 namespace jacinthdeck::standins {
 
-/*! \brief How taking a slot, or working in one, ended. */
-enum class WorkEnd { kDone, kFull, kDeadline, kCancelled, kCrashed };
+/*! \brief Result of waiting for a slot or of working in one. */
+enum class WorkOutcome {
+  kDone,
+  kQueueFull,
+  kDeadlineExceeded,
+  kCancelled,
+  kCrashed
+};
 
-/*! \brief Requests in work and waiting now. */
+/*! \brief Requests that hold a slot and requests that wait for one. */
 struct WorkCounts {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
 };
 
 /**
- * \brief Bounds the work of a target; work is a timed wait that a cancellation
- * or a crash cuts short.
+ * \brief Limits the concurrent requests of a target. Work is a timed wait that
+ * a cancellation or a crash ends early. Safe to use from many threads.
  */
 class WorkQueue {
  public:
-  using Moment = std::chrono::steady_clock::time_point;
+  using SteadyTimePoint = std::chrono::steady_clock::time_point;
 
   explicit WorkQueue(std::uint32_t slots) noexcept : m_slots(slots) {}
 
@@ -37,41 +43,46 @@
   /**
    * \brief Waits for a slot.
    * \param attempt Attempt that is to run.
-   * \param queue Requests that may wait at once.
-   * \param deadline Longest wait.
-   * \return kDone once the slot is taken; Release() gives it back.
+   * \param queue_limit Maximum number of requests that wait at once; when it is
+   * reached and no slot is free the result is kQueueFull. \param deadline End
+   * of the wait. \return kDone once the slot is taken; ReleaseSlot() gives it
+   * back.
    */
-  [[nodiscard]] WorkEnd Take(const std::string& attempt,
-                             std::uint32_t queue,
-                             Moment deadline);
+  [[nodiscard]] WorkOutcome AcquireSlot(const std::string& attempt,
+                                        std::uint32_t queue_limit,
+                                        SteadyTimePoint deadline);
 
-  /*! \brief Works in a slot until a moment, a deadline, a cancellation or a
-   * crash, whichever comes first. */
-  [[nodiscard]] WorkEnd Work(const std::string& attempt,
-                             Moment until,
-                             Moment deadline);
+  /*! \brief Holds a slot until the work is done, the deadline passes, or the
+   * attempt is cancelled or crashes, whichever comes first. */
+  [[nodiscard]] WorkOutcome Work(const std::string& attempt,
+                                 SteadyTimePoint until,
+                                 SteadyTimePoint deadline);
 
-  /*! \brief Gives a slot back. */
-  void Release(const std::string& attempt);
+  /*! \brief Returns the slot of an attempt. */
+  void ReleaseSlot(const std::string& attempt);
 
-  /*! \brief Ends an attempt early, whether it works or waits. */
+  /*! \brief Ends an attempt early, whether it works or waits for a slot; does
+   * nothing for an unknown one. */
   void Cancel(const std::string& attempt);
 
-  /*! \brief Ends all attempts. */
+  /*! \brief Ends all attempts that work or wait, with kCrashed. */
   void Crash();
 
  private:
-  [[nodiscard]] bool Stopped(const std::string& attempt,
-                             std::uint64_t crashes,
-                             WorkEnd& end) const;
+  //! Returns whether an attempt is cancelled, or a crash has come since the
+  //! count `crashes`, and sets its outcome then.
+  [[nodiscard]] bool IsStopped(const std::string& attempt,
+                               std::uint64_t crashes,
+                               WorkOutcome& outcome) const;
 
   mutable std::mutex m_mutex;
   std::condition_variable m_changed;
   std::uint32_t m_slots;
   WorkCounts m_counts;
   std::set<std::string> m_cancelled;
-  //! Attempts that wait or work; only these can be cancelled.
-  std::multiset<std::string> m_open;
+  //! Attempts that wait or work. Only these can be cancelled, so that a
+  //! cancellation of an unknown attempt does not end a later one.
+  std::multiset<std::string> m_active;
   std::uint64_t m_crashes = 0;
 };
 
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -245,7 +245,7 @@
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   for (const char* id : {"a", "b", "c"}) {
     PutTarget(id);
   }
@@ -266,7 +266,7 @@
   PutTarget("a");
   session.SetWatching(true);
   Until([&] { return targets() == 1; });
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   PutTarget("b");
   Until([&] { return targets() == 2; });
   SetOutage(standins::Outage::kDrop);
@@ -314,7 +314,7 @@
   PutConfig(1);
   session.SetWatching(true);
   Until([&] { return ConfigVersion() == 1; });
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   PutConfig(2);
   Until([&] { return ConfigVersion() == 2; });
   BOOST_TEST(store.content().Restore());
@@ -353,7 +353,7 @@
 BOOST_AUTO_TEST_CASE(Start_StoreWasRestoredMeanwhile_RepeatedWritesAreApplied) {
   PutConfig(1);
   PutTarget("left");
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   PutConfig(2);
   standins::StoreControl leaves;
   leaves.removes.emplace_back("servers/left");
@@ -383,7 +383,7 @@
 // the id of its lease belongs to another host.
 BOOST_AUTO_TEST_CASE(
     Register_StoreIsRestored_RecordIsWrittenWithALeaseOfItsOwn) {
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   session.Register(MakeRecord("h"));
   const std::string key = codec.HostKey(HostId("h"));
   Until([&] { return store.content().Get(key).has_value(); });
@@ -407,7 +407,7 @@
   Until(is_known);
   const std::uint64_t first =
       store.content().Get(codec.HostKey(host.name))->lease;
-  BOOST_TEST(store.content().End(first));
+  BOOST_TEST(store.content().Revoke(first));
   Until([&] {
     const auto item = store.content().Get(codec.HostKey(host.name));
     return item && item->lease != first;
@@ -449,7 +449,7 @@
   Until([&] {
     return session.discovery_state().FindHost(HostId("a")) != nullptr;
   });
-  BOOST_TEST(store.content().End(first));
+  BOOST_TEST(store.content().Revoke(first));
   Until([&] {
     const auto item = store.content().Get(key);
     return item && item->lease != first;
@@ -460,7 +460,7 @@
 // after the backup was taken, with a lease that no longer exists.
 BOOST_AUTO_TEST_CASE(Members_StoreIsRestored_AreWrittenAgain) {
   const std::string key = codec.HostKey(HostId("a"));
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   session.AddMember(codec.WriteHost(MakeRecord("a")));
@@ -485,7 +485,7 @@
     control.puts.push_back({key, codec.WriteHost(record), {}});
     store.Apply(control);
   };
-  store.content().KeepCopy();
+  store.content().TakeSnapshot();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   Until([&] {
--- a/test/standins/kv_store_test.cc
+++ b/test/standins/kv_store_test.cc
@@ -1,4 +1,4 @@
-// Tests of the stand-in store's content.
+// Tests of the key-value content of the stand-in store.
 #include "store/kv_store.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,33 +13,34 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct KvFixture {
+struct KvStoreFixture {
   ManualClock clock;
   KvStore store{clock};
   std::uint64_t revision = 0;
 
-  ChangeEnd Put(const std::string& key,
-                const std::string& value,
-                std::uint64_t lease = 0) {
+  TransactionOutcome Put(const std::string& key,
+                         const std::string& value,
+                         std::uint64_t lease = 0) {
     return store.Apply({{}, {{key, value, lease}}, {}}, revision);
   }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(KvStoreTest, KvFixture)
+BOOST_FIXTURE_TEST_SUITE(KvStoreTest, KvStoreFixture)
 
 BOOST_AUTO_TEST_CASE(Apply_ConditionFails_ChangesNothing) {
-  BOOST_TEST((Put("a", "1") == ChangeEnd::kDone));
+  BOOST_TEST((Put("a", "1") == TransactionOutcome::kApplied));
   const Transaction transaction{{{"a", 0}}, {{"b", "2", 0}}, {"a"}};
-  BOOST_TEST((store.Apply(transaction, revision) == ChangeEnd::kConflict));
+  BOOST_TEST(
+      (store.Apply(transaction, revision) == TransactionOutcome::kConflict));
   BOOST_TEST(store.Get("a").has_value());
   BOOST_TEST(!store.Get("b").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Lease_Lapses_ItsKeysGoAndTheWatchTells) {
+BOOST_AUTO_TEST_CASE(Lease_Expires_RemovesItsKeysAndNotifiesWatch) {
   const std::uint64_t lease = store.Grant(seconds(1));
-  BOOST_TEST((Put("a", "1", lease) == ChangeEnd::kDone));
+  BOOST_TEST((Put("a", "1", lease) == TransactionOutcome::kApplied));
   clock.Advance(milliseconds(600));
   BOOST_TEST(store.Renew(lease).has_value());
   clock.Advance(milliseconds(600));
@@ -49,10 +50,10 @@
   BOOST_REQUIRE_EQUAL(result.events.size(), 1U);
   BOOST_TEST(!result.events[0].value.has_value());
   BOOST_TEST(!store.Renew(lease).has_value());
-  BOOST_TEST((Put("b", "1", lease) == ChangeEnd::kNoLease));
+  BOOST_TEST((Put("b", "1", lease) == TransactionOutcome::kNoLease));
 }
 
-BOOST_AUTO_TEST_CASE(Watch_HistoryIsForgotten_SaysSo) {
+BOOST_AUTO_TEST_CASE(Watch_HistoryCompacted_ReportsCompaction) {
   (void)Put("a", "1");
   const std::uint64_t before = revision;
   (void)Put("a", "2");
@@ -61,7 +62,7 @@
   BOOST_TEST(!store.Watch("", revision, milliseconds(0)).compacted);
 }
 
-BOOST_AUTO_TEST_CASE(Range_MoreThanAPage_GoesOnAfterTheLastKey) {
+BOOST_AUTO_TEST_CASE(Range_MoreThanOnePage_ContinuesAfterLastKey) {
   Transaction transaction;
   for (int i = 1000; i < 1700; ++i) {
     transaction.puts.push_back({"k" + std::to_string(i), "v", 0});
@@ -74,12 +75,13 @@
   BOOST_TEST(first.items.size() + second.items.size() == 700U);
 }
 
-// A drill comes back from a copy: what was written since is gone, and a watch
-// from a revision that is not there again must not wait for it.
-BOOST_AUTO_TEST_CASE(Restore_AfterChanges_GivesRevisionsOutAgain) {
+// After a restore the changes since the snapshot are gone. Guards against a
+// watch from a revision that does not exist any more waiting until it is
+// assigned again: the watch must report the lost history at once.
+BOOST_AUTO_TEST_CASE(Restore_AfterChanges_ReusesRevisions) {
   (void)Put("a", "1");
-  const std::uint64_t copied = revision;
-  store.KeepCopy();
+  const std::uint64_t snapshot_revision = revision;
+  store.TakeSnapshot();
   (void)Put("a", "2");
   (void)Put("b", "1");
   const std::uint64_t before = revision;
@@ -89,17 +91,19 @@
   BOOST_TEST(!store.Get("b").has_value());
   BOOST_TEST(store.Watch("", before, milliseconds(0)).compacted);
   (void)Put("c", "1");
-  BOOST_TEST(revision == copied + 1);
-  BOOST_TEST(store.Watch("", copied, milliseconds(0)).events.size() == 1U);
+  BOOST_TEST(revision == snapshot_revision + 1);
+  BOOST_TEST(
+      store.Watch("", snapshot_revision, milliseconds(0)).events.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Touch_SameValue_ProlongsTheLeaseWithoutAChange) {
+BOOST_AUTO_TEST_CASE(
+    RenewLeaseIfUnchanged_SameValue_RenewsLeaseWithoutRevision) {
   const std::uint64_t lease = store.Grant(seconds(1));
-  BOOST_TEST((Put("a", "1", lease) == ChangeEnd::kDone));
+  BOOST_TEST((Put("a", "1", lease) == TransactionOutcome::kApplied));
   clock.Advance(milliseconds(600));
-  BOOST_TEST(store.Touch("a", "1"));
-  BOOST_TEST(!store.Touch("a", "2"));
-  BOOST_TEST(!store.Touch("b", "1"));
+  BOOST_TEST(store.RenewLeaseIfUnchanged("a", "1"));
+  BOOST_TEST(!store.RenewLeaseIfUnchanged("a", "2"));
+  BOOST_TEST(!store.RenewLeaseIfUnchanged("b", "1"));
   clock.Advance(milliseconds(600));
   BOOST_TEST(store.revision() == revision);
   BOOST_TEST(store.Get("a").has_value());
--- a/test/standins/target_list_test.cc
+++ b/test/standins/target_list_test.cc
@@ -1,4 +1,4 @@
-// Tests of the checks on the stand-in targets' list.
+// Tests of the parser of the host list.
 #include "target/target_list.h"
 
 #include <array>
@@ -13,7 +13,7 @@
       R"({"id":"a","service":"S","domain":"d","address":"127.0.0.1",)"
       R"("port":4000,"state":"live","slots":3,"connections":30,"open_us":6000})";
 
-  //! The host with one piece of its text replaced.
+  //! Returns the JSON of the host with one part of its text replaced.
   [[nodiscard]] std::string With(const std::string& from,
                                  const std::string& to) const {
     std::string changed = host;
@@ -28,9 +28,9 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(HostListReaderTest, HostListFixture)
+BOOST_FIXTURE_TEST_SUITE(ReadHostListTest, HostListFixture)
 
-BOOST_AUTO_TEST_CASE(ReadHostList_OneHost_GivesItsTarget) {
+BOOST_AUTO_TEST_CASE(ReadHostList_OneHost_ReturnsItsTarget) {
   const auto read = Read(host);
   BOOST_REQUIRE(read.index() == 0U);
   const TargetInfo expected{
@@ -46,7 +46,7 @@
   BOOST_TEST((std::get<0>(read).at(0) == expected));
 }
 
-BOOST_AUTO_TEST_CASE(ReadHostList_WrongMember_IsCorruptAndNamed) {
+BOOST_AUTO_TEST_CASE(ReadHostList_InvalidMember_FailsAndNamesIt) {
   for (const auto& [from, to, member] :
        std::initializer_list<std::array<std::string, 3>>{
            {R"("a")", R"("")", "id"},
@@ -69,7 +69,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ReadHostList_IdStandsTwice_IsRefused) {
+BOOST_AUTO_TEST_CASE(ReadHostList_DuplicateId_Fails) {
   BOOST_TEST(Read(host + "," + host).index() == 1U);
 }
 
--- a/test/standins/target_test.cc
+++ b/test/standins/target_test.cc
@@ -1,4 +1,5 @@
-// Tests of the stand-in targets: what the proofs of other tests rest on.
+// Tests of the stand-in targets: their refusals, crashes and run log, which
+// other tests rely on.
 #include "target/target.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,8 +12,8 @@
 
 struct TargetFixture {
   TargetFixture() {
-    target.SetHoldings({{IndexVersion(7), {KeyRange{0, kKeySpaceEnd / 2}}},
-                        {IndexVersion(8), {}}});
+    target.SetServedRanges({{IndexVersion(7), {KeyRange{0, kKeySpaceEnd / 2}}},
+                            {IndexVersion(8), {}}});
     target.SetBehaviour(fast);
   }
 
@@ -32,7 +33,8 @@
                 1};
   Behaviour fast;
 
-  //! HTTP status, or 0 where the connection ended without a reply.
+  //! Sends a query and returns the HTTP status, or 0 if the connection ended
+  //! without a reply.
   [[nodiscard]] long Query(const std::string& request, int version = 7) {
     const ClientRequest call{
         "POST",
@@ -48,13 +50,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(TargetTest, TargetFixture)
 
-BOOST_AUTO_TEST_CASE(Query_HeldRange_IsAnsweredAndLogged) {
+BOOST_AUTO_TEST_CASE(Query_ServedRange_IsAnsweredAndLogged) {
   BOOST_TEST(Query(R"({"text":"x"})") == 200);
   BOOST_REQUIRE(log.Find("M").size() == 1U);
   BOOST_TEST(log.Find("M")[0].runs.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Query_RangeOrVersionNotHeld_IsRefusedAndNotRun) {
+BOOST_AUTO_TEST_CASE(Query_RangeOrVersionNotServed_IsRefusedAndNotRun) {
   BOOST_TEST(Query("{}", 8) == 409);
   BOOST_TEST(Query("{}", 6) == 410);
   BOOST_TEST(log.total() == 0U);
@@ -72,13 +74,13 @@
   BOOST_TEST(log.total() == 0U);
 }
 
-// The caller sees a connection that ends without a reply. The request runs,
-// brings the target down, and the target takes nothing until it has restarted.
-BOOST_AUTO_TEST_CASE(Query_CrashingRequest_RunsOnceAndTakesTheTargetDown) {
-  Behaviour fragile = fast;
-  fragile.crash_on = "poison";
-  fragile.restart = std::chrono::hours(1);
-  target.SetBehaviour(fragile);
+// The request runs once, the target crashes and accepts nothing until it has
+// restarted. The caller sees a connection that ends without a reply.
+BOOST_AUTO_TEST_CASE(Query_CrashingRequest_RunsOnceAndCrashesTarget) {
+  Behaviour crashing = fast;
+  crashing.crash_on = "poison";
+  crashing.restart_time = std::chrono::hours(1);
+  target.SetBehaviour(crashing);
   BOOST_TEST(Query(R"({"text":"poison"})") == 0);
   BOOST_TEST(Query(R"({"text":"innocent"})") == 0);
   BOOST_TEST(log.total() == 1U);
