--- a/src/jacinthdeck/entry/caller_handler.cc
+++ b/src/jacinthdeck/entry/caller_handler.cc
@@ -47,7 +47,7 @@
   m_sink.OnCall(std::move(call));
 }
 
-void CallerHandler::OnLeft(EdgeConnection& connection) {
+void CallerHandler::OnDisconnect(EdgeConnection& connection) {
   const auto found = m_by_connection.find(&connection);
   if (found == m_by_connection.end()) {
     return;
@@ -78,9 +78,9 @@
   opaque->has_body = request.has_body;
   opaque->headers = std::move(request.headers);
   std::erase_if(opaque->headers, [&](const Header& header) {
-    return SameName(header.name, m_protocol.request_id) ||
-           SameName(header.name, m_protocol.time_left_ms) ||
-           SameName(header.name, m_protocol.expected_target);
+    return HeaderNamesEqual(header.name, m_protocol.request_id) ||
+           HeaderNamesEqual(header.name, m_protocol.time_left_ms) ||
+           HeaderNamesEqual(header.name, m_protocol.expected_target);
   });
   return opaque;
 }
--- a/src/jacinthdeck/entry/caller_handler.h
+++ b/src/jacinthdeck/entry/caller_handler.h
@@ -53,7 +53,7 @@
   void OnRequest(const std::shared_ptr<EdgeConnection>& connection,
                  EdgeRequest request,
                  TimePoint arrived) override;
-  void OnLeft(EdgeConnection& connection) override;
+  void OnDisconnect(EdgeConnection& connection) override;
 
   /*! \brief Callers that wait for an answer. */
   [[nodiscard]] std::size_t waiting() const noexcept {
--- a/src/jacinthdeck/entry/node_metrics.cc
+++ b/src/jacinthdeck/entry/node_metrics.cc
@@ -77,7 +77,7 @@
   Line(out, "foreign_responses_total",
        static_cast<double>(pool.foreign_responses));
   Line(out, "connection_limit_refusals_total",
-       static_cast<double>(pool.no_room));
+       static_cast<double>(pool.limit_refusals));
   const EdgeCounters& edge = source.callers.counters();
   Line(out, "caller_connections",
        static_cast<double>(source.callers.connections()));
--- a/src/jacinthdeck/entry/simple_handler.h
+++ b/src/jacinthdeck/entry/simple_handler.h
@@ -24,7 +24,7 @@
     connection->Respond(m_answer(request));
   }
 
-  void OnLeft(EdgeConnection& /*connection*/) override {}
+  void OnDisconnect(EdgeConnection& /*connection*/) override {}
 
  private:
   Answer m_answer;
--- a/src/jacinthdeck/entry/typed_service.cc
+++ b/src/jacinthdeck/entry/typed_service.cc
@@ -124,7 +124,7 @@
   m_calls.Submit(std::move(call), m_clock.Now());
 }
 
-void TypedService::OnLeft(EdgeConnection& connection) {
+void TypedService::OnDisconnect(EdgeConnection& connection) {
   const auto found = m_by_connection.find(&connection);
   if (found == m_by_connection.end()) {
     return;
--- a/src/jacinthdeck/entry/typed_service.h
+++ b/src/jacinthdeck/entry/typed_service.h
@@ -48,7 +48,7 @@
   void OnRequest(const std::shared_ptr<EdgeConnection>& connection,
                  EdgeRequest request,
                  TimePoint arrived) override;
-  void OnLeft(EdgeConnection& connection) override;
+  void OnDisconnect(EdgeConnection& connection) override;
 
   /*! \brief Tells whether an attempt belongs to a typed call. */
   [[nodiscard]] static bool Owns(AttemptId attempt) noexcept {
--- a/src/jacinthdeck/http/client_session.cc
+++ b/src/jacinthdeck/http/client_session.cc
@@ -17,7 +17,7 @@
 namespace http = boost::beast::http;
 
 //! Replies hold pages of entries.
-constexpr std::uint64_t kMostBodyBytes = 16ULL << 20U;
+constexpr std::uint64_t kMaxBodyBytes = 16ULL << 20U;
 
 }  // namespace
 
@@ -45,25 +45,26 @@
                          Duration timeout,
                          Callback callback) {
   m_callback = std::move(callback);
-  ++m_call;
-  m_sent = false;
-  m_out = request.method + " " + request.target +
-          " HTTP/1.1\r\nHost: " + m_address + "\r\n";
+  ++m_call_number;
+  m_write_started = false;
+  m_write_buffer = request.method + " " + request.target +
+                   " HTTP/1.1\r\nHost: " + m_address + "\r\n";
   for (const Header& header : request.headers) {
-    m_out += header.name + ": " + header.value + "\r\n";
+    m_write_buffer += header.name + ": " + header.value + "\r\n";
   }
   if (!request.body.empty()) {
-    m_out += "Content-Type: application/json\r\n";
+    m_write_buffer += "Content-Type: application/json\r\n";
   }
   if (request.method != "GET") {
-    m_out += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    m_write_buffer +=
+        "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
   }
-  m_out += "\r\n" + request.body;
+  m_write_buffer += "\r\n" + request.body;
   m_timer.expires_after(timeout);
   m_timer.async_wait(
-      [this, alive = m_alive, call = m_call](const SystemError& ended) {
-        if (*alive && !ended && call == m_call && m_callback) {
-          FailWith("timed out", !m_sent);
+      [this, alive = m_alive, call = m_call_number](const SystemError& ended) {
+        if (*alive && !ended && call == m_call_number && m_callback) {
+          FailCall("timed out", !m_write_started);
         }
       });
   m_reused = m_socket.is_open();
@@ -75,7 +76,7 @@
 }
 
 void ClientSession::Abort() {
-  ++m_call;
+  ++m_call_number;
   m_callback = nullptr;
   m_timer.cancel();
   CloseSocket();
@@ -85,15 +86,15 @@
   SystemError error;
   const auto address = asio::ip::make_address_v4(m_address, error);
   m_socket = tcp::socket(m_loop);
-  m_buffer.clear();
+  m_read_buffer.clear();
   m_socket.async_connect(
       tcp::endpoint(address, m_port),
-      [this, alive = m_alive, call = m_call](const SystemError& ended) {
-        if (!*alive || call != m_call || !m_callback) {
+      [this, alive = m_alive, call = m_call_number](const SystemError& ended) {
+        if (!*alive || call != m_call_number || !m_callback) {
           return;
         }
         if (ended) {
-          FailWith("cannot connect: " + ended.message(), true);
+          FailCall("cannot connect: " + ended.message(), true);
           return;
         }
         SetStreamOptions(m_socket);
@@ -102,15 +103,15 @@
 }
 
 void ClientSession::Write() {
-  m_sent = true;
-  asio::async_write(m_socket, asio::buffer(m_out),
-                    [this, alive = m_alive, call = m_call](
+  m_write_started = true;
+  asio::async_write(m_socket, asio::buffer(m_write_buffer),
+                    [this, alive = m_alive, call = m_call_number](
                         const SystemError& ended, std::size_t) {
-                      if (!*alive || call != m_call || !m_callback) {
+                      if (!*alive || call != m_call_number || !m_callback) {
                         return;
                       }
                       if (ended) {
-                        FailWith("cannot send: " + ended.message(), false);
+                        FailCall("cannot send: " + ended.message(), false);
                         return;
                       }
                       Read();
@@ -119,16 +120,16 @@
 
 void ClientSession::Read() {
   m_parser = std::make_unique<Parser>();
-  m_parser->body_limit(kMostBodyBytes);
+  m_parser->body_limit(kMaxBodyBytes);
   http::async_read(
-      m_socket, m_buffer, *m_parser,
-      [this, alive = m_alive, call = m_call](const SystemError& ended,
-                                             std::size_t) {
-        if (!*alive || call != m_call || !m_callback) {
+      m_socket, m_read_buffer, *m_parser,
+      [this, alive = m_alive, call = m_call_number](const SystemError& ended,
+                                                    std::size_t) {
+        if (!*alive || call != m_call_number || !m_callback) {
           return;
         }
         if (ended) {
-          FailWith("no reply: " + ended.message(), false);
+          FailCall("no reply: " + ended.message(), false);
           return;
         }
         auto message = m_parser->release();
@@ -148,13 +149,13 @@
 
 void ClientSession::Finish(const ClientReply& reply) {
   m_timer.cancel();
-  ++m_call;
+  ++m_call_number;
   Callback callback = std::move(m_callback);
   m_callback = nullptr;
   callback(reply);
 }
 
-void ClientSession::FailWith(const std::string& error, bool not_sent) {
+void ClientSession::FailCall(const std::string& error, bool not_sent) {
   CloseSocket();
   ClientReply reply;
   reply.error = error;
@@ -165,7 +166,7 @@
 void ClientSession::CloseSocket() {
   SystemError ignored;
   m_socket.close(ignored);
-  m_buffer.clear();
+  m_read_buffer.clear();
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/http/client_session.h
+++ b/src/jacinthdeck/http/client_session.h
@@ -82,7 +82,7 @@
   void Write();
   void Read();
   void Finish(const ClientReply& reply);
-  void FailWith(const std::string& error, bool not_sent);
+  void FailCall(const std::string& error, bool not_sent);
   void CloseSocket();
 
   asio::io_context& m_loop;
@@ -90,15 +90,15 @@
   const std::uint16_t m_port;
   tcp::socket m_socket;
   asio::steady_timer m_timer;
-  boost::beast::flat_buffer m_buffer;
+  boost::beast::flat_buffer m_read_buffer;
   std::unique_ptr<Parser> m_parser;
-  std::string m_out;
+  std::string m_write_buffer;
   Callback m_callback;
   //! Handlers of an earlier call see another number and do nothing.
-  std::uint64_t m_call = 0;
+  std::uint64_t m_call_number = 0;
   //! Guards handlers that outlive the session.
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
-  bool m_sent = false;
+  bool m_write_started = false;
   bool m_reused = false;
 };
 
--- a/src/jacinthdeck/http/edge_connection.cc
+++ b/src/jacinthdeck/http/edge_connection.cc
@@ -19,13 +19,13 @@
 
 namespace http = boost::beast::http;
 using internal::AppendHeader;
-using internal::View;
+using internal::ToStringView;
 
 //! Bytes asked for in one read.
-constexpr std::size_t kReadSize = 4096;
+constexpr std::size_t kReadBufferBytes = 4096;
 //! Bytes of later requests that are taken in while one is being answered;
 //! beyond this the peer has to wait.
-constexpr std::size_t kMostAhead = 65536;
+constexpr std::size_t kMaxPipelinedBytes = 65536;
 //! Time for a peer to take a response off the connection.
 constexpr Duration kWriteTimeout = std::chrono::seconds(10);
 //! Time for a peer to close after the last response.
@@ -33,9 +33,9 @@
 //! Time for the body after its header; a body at the limit over a slow link.
 constexpr Duration kBodyTimeout = std::chrono::seconds(15);
 
-constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-[[nodiscard]] int StatusOf(const SystemError& error) {
+[[nodiscard]] int ParseErrorStatus(const SystemError& error) {
   if (error == http::error::header_limit) {
     return http_status::kHeaderTooLarge;
   }
@@ -43,7 +43,7 @@
                                           : http_status::kBadRequest;
 }
 
-[[nodiscard]] bool HasBody(int status) {
+[[nodiscard]] bool StatusAllowsBody(int status) {
   return status >= http_status::kOk && status != http_status::kNoContent &&
          status != http_status::kNotModified;
 }
@@ -56,7 +56,7 @@
     : m_server(server),
       m_socket(std::move(socket)),
       m_id(id),
-      m_since(server.m_clock.Now()) {}
+      m_phase_started_at(server.m_clock.Now()) {}
 
 void EdgeConnection::Start() {
   Read();
@@ -81,27 +81,27 @@
   }
   std::size_t bytes = 0;
   if (!error) {
-    bytes = m_socket.read_some(m_buffer.prepare(kReadSize), error);
+    bytes = m_socket.read_some(m_read_buffer.prepare(kReadBufferBytes), error);
   }
   if (error == asio::error::would_block || error == asio::error::try_again) {
     Read();
     return;
   }
   if (error) {
-    if (m_phase == Phase::kAnswering) {
-      m_server.m_handler.OnLeft(*this);
+    if (m_phase == Phase::kAwaitingResponse) {
+      m_server.m_handler.OnDisconnect(*this);
     }
     Close();
     return;
   }
-  m_buffer.commit(bytes);
+  m_read_buffer.commit(bytes);
   if (m_phase == Phase::kLingering) {
-    m_buffer.consume(m_buffer.size());
+    m_read_buffer.consume(m_read_buffer.size());
     Read();
     return;
   }
-  if (m_phase == Phase::kAnswering || m_phase == Phase::kWriting) {
-    if (m_buffer.size() < kMostAhead) {
+  if (m_phase == Phase::kAwaitingResponse || m_phase == Phase::kWriting) {
+    if (m_read_buffer.size() < kMaxPipelinedBytes) {
       Read();
     }
     return;
@@ -113,22 +113,23 @@
   if (m_phase == Phase::kClosed) {
     return;
   }
-  if (m_phase == Phase::kIdle && m_buffer.size() > 0) {
+  if (m_phase == Phase::kIdle && m_read_buffer.size() > 0) {
     BeginRequest();
   }
-  while (m_phase == Phase::kReading && m_buffer.size() > 0) {
+  while (m_phase == Phase::kReading && m_read_buffer.size() > 0) {
     SystemError error;
-    const std::size_t used = m_parser->put(m_buffer.data(), error);
-    m_buffer.consume(used);
+    const std::size_t used = m_parser->put(m_read_buffer.data(), error);
+    m_read_buffer.consume(used);
     if (error && error != http::error::need_more) {
-      Reject(StatusOf(error));
+      Reject(ParseErrorStatus(error));
       return;
     }
-    if (!m_header_in && m_parser->is_header_done() && !TakeHeader()) {
+    if (!m_header_complete && m_parser->is_header_done() &&
+        !OnHeaderComplete()) {
       return;
     }
     if (m_parser->is_done()) {
-      TakeRequest();
+      OnRequestComplete();
       return;
     }
     if (error == http::error::need_more || used == 0) {
@@ -140,104 +141,107 @@
 
 void EdgeConnection::BeginRequest() {
   m_phase = Phase::kReading;
-  m_since = m_server.m_clock.Now();
-  m_header_in = false;
+  m_phase_started_at = m_server.m_clock.Now();
+  m_header_complete = false;
   m_parser.emplace();
   m_parser->header_limit(m_server.m_limits.header_bytes);
   m_parser->body_limit(m_server.m_limits.body_bytes);
 }
 
-bool EdgeConnection::TakeHeader() {
-  m_header_in = true;
+bool EdgeConnection::OnHeaderComplete() {
+  m_header_complete = true;
   const auto& message = m_parser->get();
   const auto expect = message[http::field::expect];
   if (expect.empty() || m_parser->is_done()) {
     return true;
   }
-  if (!SameName(View(expect), "100-continue")) {
+  if (!HeaderNamesEqual(ToStringView(expect), "100-continue")) {
     Reject(http_status::kExpectationFailed);
     return false;
   }
   SystemError ignored;
-  (void)m_socket.write_some(asio::buffer(kContinue), ignored);
+  (void)m_socket.write_some(asio::buffer(kContinueResponse), ignored);
   return true;
 }
 
-void EdgeConnection::TakeRequest() {
+void EdgeConnection::OnRequestComplete() {
   auto message = m_parser->release();
   m_keep_alive = message.keep_alive();
-  m_head = message.method() == http::verb::head;
+  m_is_head_request = message.method() == http::verb::head;
   const auto hosts = message.count(http::field::host);
-  const auto target = View(message.target());
+  const auto target = ToStringView(message.target());
   if (hosts != 1 || target.empty() || target.front() != '/') {
     Reject(http_status::kBadRequest);
     return;
   }
   EdgeRequest request;
-  request.method = View(message.method_string());
+  request.method = ToStringView(message.method_string());
   request.target = target;
-  request.host = View(message[http::field::host]);
+  request.host = ToStringView(message[http::field::host]);
   request.has_body =
       message.find(http::field::content_length) != message.end() ||
       message.find(http::field::transfer_encoding) != message.end();
-  const std::string connection(View(message[http::field::connection]));
+  const std::string connection(ToStringView(message[http::field::connection]));
   for (const auto& field : message) {
     const bool framing = field.name() == http::field::host ||
                          field.name() == http::field::content_length ||
                          field.name() == http::field::expect;
-    if (!framing && !IsHopHeader(View(field.name_string()), connection)) {
-      request.headers.push_back({std::string(View(field.name_string())),
-                                 std::string(View(field.value()))});
+    if (!framing &&
+        !IsHopByHopHeader(ToStringView(field.name_string()), connection)) {
+      request.headers.push_back({std::string(ToStringView(field.name_string())),
+                                 std::string(ToStringView(field.value()))});
     }
   }
   request.body = std::move(message.body());
-  m_phase = Phase::kAnswering;
-  m_since = m_server.m_clock.Now();
+  m_phase = Phase::kAwaitingResponse;
+  m_phase_started_at = m_server.m_clock.Now();
   ++m_server.m_counters.requests;
   Read();
-  m_server.m_handler.OnRequest(shared_from_this(), std::move(request), m_since);
+  m_server.m_handler.OnRequest(shared_from_this(), std::move(request),
+                               m_phase_started_at);
 }
 
 void EdgeConnection::Reject(int status) {
   ++m_server.m_counters.rejected;
   m_keep_alive = false;
-  m_head = false;
-  m_phase = Phase::kAnswering;
+  m_is_head_request = false;
+  m_phase = Phase::kAwaitingResponse;
   EdgeResponse response;
   response.status = status;
   Respond(std::move(response));
 }
 
 void EdgeConnection::Respond(EdgeResponse response) {
-  if (m_phase != Phase::kAnswering) {
+  if (m_phase != Phase::kAwaitingResponse) {
     return;
   }
   m_phase = Phase::kWriting;
-  m_since = m_server.m_clock.Now();
+  m_phase_started_at = m_server.m_clock.Now();
   const bool close = !m_keep_alive || m_server.draining();
   if (response.reason.empty()) {
-    response.reason =
-        View(http::obsolete_reason(static_cast<http::status>(response.status)));
+    response.reason = ToStringView(
+        http::obsolete_reason(static_cast<http::status>(response.status)));
   }
-  m_out.clear();
-  m_out.reserve(response.body.size() + 512);
-  m_out += "HTTP/1.1 ";
-  m_out += std::to_string(response.status);
-  m_out += ' ';
-  m_out += response.reason;
-  m_out += "\r\n";
+  m_write_buffer.clear();
+  m_write_buffer.reserve(response.body.size() + 512);
+  m_write_buffer += "HTTP/1.1 ";
+  m_write_buffer += std::to_string(response.status);
+  m_write_buffer += ' ';
+  m_write_buffer += response.reason;
+  m_write_buffer += "\r\n";
   for (const Header& header : response.headers) {
-    AppendHeader(m_out, header.name, header.value);
+    AppendHeader(m_write_buffer, header.name, header.value);
   }
-  if (HasBody(response.status) && !m_head) {
-    AppendHeader(m_out, "Content-Length", std::to_string(response.body.size()));
+  if (StatusAllowsBody(response.status) && !m_is_head_request) {
+    AppendHeader(m_write_buffer, "Content-Length",
+                 std::to_string(response.body.size()));
   }
   if (close) {
-    AppendHeader(m_out, "Connection", "close");
+    AppendHeader(m_write_buffer, "Connection", "close");
   }
-  m_out += "\r\n";
-  if (HasBody(response.status) && !m_head) {
-    m_out += response.body;
+  m_write_buffer += "\r\n";
+  if (StatusAllowsBody(response.status) && !m_is_head_request) {
+    m_write_buffer += response.body;
   }
   Write(close);
 }
@@ -245,8 +249,9 @@
 void EdgeConnection::Write(bool close) {
   m_close_after_write = close;
   SystemError error;
-  const std::size_t written = m_socket.write_some(asio::buffer(m_out), error);
-  if (!error && written == m_out.size()) {
+  const std::size_t written =
+      m_socket.write_some(asio::buffer(m_write_buffer), error);
+  if (!error && written == m_write_buffer.size()) {
     OnWritten(error);
     return;
   }
@@ -257,7 +262,7 @@
   }
   const std::size_t done = error ? 0 : written;
   asio::async_write(
-      m_socket, asio::buffer(m_out) + done,
+      m_socket, asio::buffer(m_write_buffer) + done,
       [self = shared_from_this()](const SystemError& ended, std::size_t) {
         self->OnWritten(ended);
       });
@@ -271,13 +276,13 @@
     Close();
     return;
   }
-  m_since = m_server.m_clock.Now();
+  m_phase_started_at = m_server.m_clock.Now();
   if (m_close_after_write) {
     Linger();
     return;
   }
   m_phase = Phase::kIdle;
-  if (m_buffer.size() == 0) {
+  if (m_read_buffer.size() == 0) {
     Read();
     return;
   }
@@ -288,7 +293,7 @@
 
 void EdgeConnection::Linger() {
   m_phase = Phase::kLingering;
-  m_buffer.consume(m_buffer.size());
+  m_read_buffer.consume(m_read_buffer.size());
   SystemError ignored;
   m_socket.shutdown(tcp::socket::shutdown_send, ignored);
   Read();
@@ -301,41 +306,41 @@
   m_phase = Phase::kClosed;
   SystemError ignored;
   m_socket.close(ignored);
-  m_server.Forget(*this);
+  m_server.RemoveConnection(*this);
 }
 
 void EdgeConnection::CloseIfIdle() {
-  if (m_phase == Phase::kIdle && m_buffer.size() == 0) {
+  if (m_phase == Phase::kIdle && m_read_buffer.size() == 0) {
     Close();
   }
 }
 
 void EdgeConnection::CheckTime(TimePoint now) {
   const EdgeLimits& limits = m_server.limits();
-  const Duration spent = now - m_since;
+  const Duration time_in_phase = now - m_phase_started_at;
   switch (m_phase) {
     case Phase::kIdle:
-      if (spent > limits.idle_timeout) {
+      if (time_in_phase > limits.idle_timeout) {
         Close();
       }
       break;
     case Phase::kReading:
-      if (spent >
-          limits.header_timeout + (m_header_in ? kBodyTimeout : Duration{})) {
+      if (time_in_phase > limits.header_timeout +
+                              (m_header_complete ? kBodyTimeout : Duration{})) {
         Reject(http_status::kRequestTimeout);
       }
       break;
     case Phase::kWriting:
-      if (spent > kWriteTimeout) {
+      if (time_in_phase > kWriteTimeout) {
         Close();
       }
       break;
     case Phase::kLingering:
-      if (spent > kLingerTimeout) {
+      if (time_in_phase > kLingerTimeout) {
         Close();
       }
       break;
-    case Phase::kAnswering:
+    case Phase::kAwaitingResponse:
     case Phase::kClosed:
       break;
   }
--- a/src/jacinthdeck/http/edge_connection.h
+++ b/src/jacinthdeck/http/edge_connection.h
@@ -56,7 +56,7 @@
     //! Some of a request is in.
     kReading,
     //! A whole request is in and has no response.
-    kAnswering,
+    kAwaitingResponse,
     kWriting,
     //! The response is out; what still comes is thrown away until the peer
     //! closes, since closing over unread bytes would reset the response away.
@@ -68,8 +68,8 @@
   void OnReadable(SystemError error);
   void Parse();
   void BeginRequest();
-  [[nodiscard]] bool TakeHeader();
-  void TakeRequest();
+  [[nodiscard]] bool OnHeaderComplete();
+  void OnRequestComplete();
   void Reject(int status);
   void Write(bool close);
   void OnWritten(const SystemError& error);
@@ -78,19 +78,19 @@
   EdgeServer& m_server;
   tcp::socket m_socket;
   const std::uint64_t m_id;
-  boost::beast::flat_buffer m_buffer;
+  boost::beast::flat_buffer m_read_buffer;
   std::optional<Parser> m_parser;
   Phase m_phase = Phase::kIdle;
   //! When the phase began, for its time limit.
-  TimePoint m_since;
-  bool m_header_in = false;
+  TimePoint m_phase_started_at;
+  bool m_header_complete = false;
   bool m_read_pending = false;
   //! The request under way allows another one after it.
   bool m_keep_alive = false;
   //! The response must have no body.
-  bool m_head = false;
+  bool m_is_head_request = false;
   bool m_close_after_write = false;
-  std::string m_out;
+  std::string m_write_buffer;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/http/edge_handler.h
+++ b/src/jacinthdeck/http/edge_handler.h
@@ -31,7 +31,7 @@
 
   /*! \brief The peer left before its request was answered; Respond() has no
    * effect any more. */
-  virtual void OnLeft(EdgeConnection& connection) = 0;
+  virtual void OnDisconnect(EdgeConnection& connection) = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/http/edge_message.cc
+++ b/src/jacinthdeck/http/edge_message.cc
@@ -9,7 +9,7 @@
 
 std::string_view EdgeRequest::Find(std::string_view name) const {
   const auto found = std::ranges::find_if(headers, [&](const Header& header) {
-    return SameName(header.name, name);
+    return HeaderNamesEqual(header.name, name);
   });
   return found == headers.end() ? std::string_view() : found->value;
 }
--- a/src/jacinthdeck/http/edge_server.cc
+++ b/src/jacinthdeck/http/edge_server.cc
@@ -27,8 +27,8 @@
 
 Result<void> EdgeServer::Listen(const std::string& address,
                                 std::uint16_t port,
-                                std::size_t most_connections) {
-  m_most_connections = most_connections;
+                                std::size_t max_connections) {
+  m_max_connections = max_connections;
   BOOST_LEAF_CHECK(StartListening(m_acceptor, address, port));
   Accept();
   return {};
@@ -86,7 +86,7 @@
     });
     return;
   }
-  if (m_connections.size() >= m_most_connections) {
+  if (m_connections.size() >= m_max_connections) {
     ++m_counters.over_limit;
   } else {
     ++m_counters.accepted;
@@ -100,7 +100,7 @@
   Accept();
 }
 
-void EdgeServer::Forget(const EdgeConnection& connection) {
+void EdgeServer::RemoveConnection(const EdgeConnection& connection) {
   m_connections.erase(connection.id());
 }
 
--- a/src/jacinthdeck/http/edge_server.h
+++ b/src/jacinthdeck/http/edge_server.h
@@ -45,11 +45,11 @@
    * \brief Opens the port and begins to accept.
    * \param address IPv4 number.
    * \param port 0 lets the kernel choose.
-   * \param most_connections Further ones are closed at once.
+   * \param max_connections Further ones are closed at once.
    */
   [[nodiscard]] Result<void> Listen(const std::string& address,
                                     std::uint16_t port,
-                                    std::size_t most_connections);
+                                    std::size_t max_connections);
 
   [[nodiscard]] std::uint16_t port() const;
   [[nodiscard]] const EdgeLimits& limits() const noexcept { return m_limits; }
@@ -83,7 +83,7 @@
 
   void Accept();
   void OnAccept(const SystemError& error, tcp::socket socket);
-  void Forget(const EdgeConnection& connection);
+  void RemoveConnection(const EdgeConnection& connection);
 
   const Clock& m_clock;
   EdgeHandler& m_handler;
@@ -92,7 +92,7 @@
   EdgeLimits m_limits;
   EdgeCounters m_counters;
   bool m_draining = false;
-  std::size_t m_most_connections = 0;
+  std::size_t m_max_connections = 0;
   std::uint64_t m_next_id = 1;
   std::unordered_map<std::uint64_t, std::shared_ptr<EdgeConnection>>
       m_connections;
--- a/src/jacinthdeck/http/header_text.h
+++ b/src/jacinthdeck/http/header_text.h
@@ -9,7 +9,8 @@
 namespace jacinthdeck::internal {
 
 /*! \brief The library's text as the standard's. */
-[[nodiscard]] inline std::string_view View(boost::beast::string_view text) {
+[[nodiscard]] inline std::string_view ToStringView(
+    boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
--- a/src/jacinthdeck/http/hop_headers.cc
+++ b/src/jacinthdeck/http/hop_headers.cc
@@ -10,16 +10,17 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> kHopHeaders{
+constexpr std::array<std::string_view, 9> kHopByHopHeaders{
     "connection", "keep-alive",       "proxy-authenticate",
     "te",         "trailer",          "transfer-encoding",
     "upgrade",    "proxy-connection", "proxy-authorization"};
 
 }  // namespace
 
-bool IsHopHeader(std::string_view name, std::string_view connection) {
+bool IsHopByHopHeader(std::string_view name, std::string_view connection) {
   const bool listed = std::ranges::any_of(
-      kHopHeaders, [&](std::string_view hop) { return SameName(name, hop); });
+      kHopByHopHeaders,
+      [&](std::string_view hop) { return HeaderNamesEqual(name, hop); });
   return listed || (!connection.empty() && HasToken(connection, name));
 }
 
@@ -29,7 +30,7 @@
       .exists(boost::beast::string_view(token.data(), token.size()));
 }
 
-bool SameName(std::string_view left, std::string_view right) {
+bool HeaderNamesEqual(std::string_view left, std::string_view right) {
   return boost::beast::iequals(
       boost::beast::string_view(left.data(), left.size()),
       boost::beast::string_view(right.data(), right.size()));
--- a/src/jacinthdeck/http/hop_headers.h
+++ b/src/jacinthdeck/http/hop_headers.h
@@ -11,14 +11,15 @@
  * \param name Name in any case.
  * \param connection Value of the Connection header, which may name more.
  */
-[[nodiscard]] bool IsHopHeader(std::string_view name,
-                               std::string_view connection);
+[[nodiscard]] bool IsHopByHopHeader(std::string_view name,
+                                    std::string_view connection);
 
 /*! \brief Finds a token in a comma-separated header value, in any case. */
 [[nodiscard]] bool HasToken(std::string_view list, std::string_view token);
 
 /*! \brief Compares header names. */
-[[nodiscard]] bool SameName(std::string_view left, std::string_view right);
+[[nodiscard]] bool HeaderNamesEqual(std::string_view left,
+                                    std::string_view right);
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/http/target_connection.cc
+++ b/src/jacinthdeck/http/target_connection.cc
@@ -20,21 +20,21 @@
 
 namespace http = boost::beast::http;
 using internal::AppendHeader;
-using internal::View;
+using internal::ToStringView;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kReadBytes = 8192;
+constexpr std::size_t kReadBufferBytes = 8192;
 //! Bounds on what a target may answer.
-constexpr std::uint32_t kMostHeaderBytes = 65536;
-constexpr std::uint64_t kMostAnswerBytes = 64ULL << 20U;
+constexpr std::uint32_t kMaxHeaderBytes = 65536;
+constexpr std::uint64_t kMaxResponseBytes = 64ULL << 20U;
 //! Time for a connection to open: some dozen round trips of the farthest
 //! target. A lost opening packet is resent after a second, which is too late.
-constexpr Duration kOpenTimeout = milliseconds(300);
+constexpr Duration kConnectTimeout = milliseconds(300);
 //! Time that an idle connection is used if its target states none.
-constexpr Duration kIdleTime = seconds(4);
+constexpr Duration kDefaultIdleTimeout = seconds(4);
 //! Part of a stated idle time: the target's clock started before ours.
-constexpr int kIdlePercent = 60;
+constexpr int kIdleTimeoutPercent = 60;
 
 }  // namespace
 
@@ -42,8 +42,8 @@
     : m_pool(pool),
       m_target(target),
       m_socket(pool.m_loop),
-      m_since(pool.m_clock.Now()),
-      m_idle_time(kIdleTime) {}
+      m_phase_started_at(pool.m_clock.Now()),
+      m_idle_timeout(kDefaultIdleTimeout) {}
 
 void TargetConnection::Open(const OutgoingAttempt& attempt) {
   m_attempt = attempt;
@@ -70,7 +70,7 @@
   }
   if (error) {
     ++m_pool.m_counters.open_failures;
-    Fail(AttemptOutcome::kNotSent, false);
+    FailAttempt(AttemptOutcome::kNotSent, false);
     return;
   }
   m_phase = Phase::kBusy;
@@ -88,37 +88,40 @@
   const TargetProtocol& protocol = m_pool.m_protocol;
   const OpaqueRequest& request = *attempt.request;
   const TimePoint now = m_pool.m_clock.Now();
-  const auto left = std::chrono::duration_cast<milliseconds>(
+  const auto time_left = std::chrono::duration_cast<milliseconds>(
       std::max(attempt.deadline - now, Duration(milliseconds(1))));
-  m_since = now;
+  m_phase_started_at = now;
   m_parser.emplace();
-  m_parser->header_limit(kMostHeaderBytes);
-  m_parser->body_limit(kMostAnswerBytes);
+  m_parser->header_limit(kMaxHeaderBytes);
+  m_parser->body_limit(kMaxResponseBytes);
   m_parser->skip(request.method == "HEAD");
-  m_out.clear();
-  m_out.reserve(request.body.size() + request.target.size() + 512);
-  m_out += request.method;
-  m_out += ' ';
-  m_out += request.target;
-  m_out += " HTTP/1.1\r\n";
-  AppendHeader(m_out, "Host", request.host);
+  m_write_buffer.clear();
+  m_write_buffer.reserve(request.body.size() + request.target.size() + 512);
+  m_write_buffer += request.method;
+  m_write_buffer += ' ';
+  m_write_buffer += request.target;
+  m_write_buffer += " HTTP/1.1\r\n";
+  AppendHeader(m_write_buffer, "Host", request.host);
   for (const Header& header : request.headers) {
-    AppendHeader(m_out, header.name, header.value);
+    AppendHeader(m_write_buffer, header.name, header.value);
   }
   if (!request.request_id.empty()) {
-    AppendHeader(m_out, protocol.request_id, request.request_id);
+    AppendHeader(m_write_buffer, protocol.request_id, request.request_id);
   }
-  AppendHeader(m_out, protocol.time_left_ms, std::to_string(left.count()));
-  AppendHeader(m_out, protocol.expected_target, m_target.id.raw());
+  AppendHeader(m_write_buffer, protocol.time_left_ms,
+               std::to_string(time_left.count()));
+  AppendHeader(m_write_buffer, protocol.expected_target, m_target.id.raw());
   if (request.has_body) {
-    AppendHeader(m_out, "Content-Length", std::to_string(request.body.size()));
+    AppendHeader(m_write_buffer, "Content-Length",
+                 std::to_string(request.body.size()));
   }
-  m_out += "\r\n";
-  m_out += request.body;
-  m_pool.CountBytes(m_target, m_out.size());
+  m_write_buffer += "\r\n";
+  m_write_buffer += request.body;
+  m_pool.CountBytes(m_target, m_write_buffer.size());
   SystemError error;
-  const std::size_t written = m_socket.write_some(asio::buffer(m_out), error);
-  if (!error && written == m_out.size()) {
+  const std::size_t written =
+      m_socket.write_some(asio::buffer(m_write_buffer), error);
+  if (!error && written == m_write_buffer.size()) {
     return;
   }
   const bool blocked =
@@ -126,14 +129,14 @@
   if (error && !blocked) {
     asio::post(m_pool.m_loop, [self = shared_from_this()] {
       if (self->m_phase == Phase::kBusy) {
-        self->Fail(AttemptOutcome::kBroken, false);
+        self->FailAttempt(AttemptOutcome::kBroken, false);
       }
     });
     return;
   }
   m_writing = true;
   asio::async_write(
-      m_socket, asio::buffer(m_out) + (blocked ? 0 : written),
+      m_socket, asio::buffer(m_write_buffer) + (blocked ? 0 : written),
       [self = shared_from_this()](const SystemError& ended, std::size_t) {
         self->OnWritten(ended);
       });
@@ -158,17 +161,17 @@
   }
   std::size_t bytes = 0;
   if (!error) {
-    bytes = m_socket.read_some(m_buffer.prepare(kReadBytes), error);
+    bytes = m_socket.read_some(m_read_buffer.prepare(kReadBufferBytes), error);
   }
   if (error == asio::error::would_block || error == asio::error::try_again) {
     Read();
     return;
   }
   if (error) {
-    OnEnd(error);
+    OnReadError(error);
     return;
   }
-  m_buffer.commit(bytes);
+  m_read_buffer.commit(bytes);
   m_pool.CountBytes(m_target, bytes);
   if (m_phase != Phase::kBusy) {
     // Bytes that no request asked for.
@@ -179,25 +182,25 @@
 }
 
 void TargetConnection::Parse() {
-  while (m_buffer.size() > 0) {
+  while (m_read_buffer.size() > 0) {
     SystemError error;
-    const std::size_t used = m_parser->put(m_buffer.data(), error);
-    m_buffer.consume(used);
+    const std::size_t used = m_parser->put(m_read_buffer.data(), error);
+    m_read_buffer.consume(used);
     if (error && error != http::error::need_more) {
-      Fail(AttemptOutcome::kBroken, false);
+      FailAttempt(AttemptOutcome::kBroken, false);
       return;
     }
     if (m_parser->is_done()) {
       const bool informational =
           m_parser->get().result_int() < http_status::kOk;
-      if (!informational && !IsForeign()) {
-        TakeResponse();
+      if (!informational && !IsForeignResponse()) {
+        OnResponseComplete();
         return;
       }
       m_pool.m_counters.foreign_responses += informational ? 0 : 1;
       m_parser.emplace();
-      m_parser->header_limit(kMostHeaderBytes);
-      m_parser->body_limit(kMostAnswerBytes);
+      m_parser->header_limit(kMaxHeaderBytes);
+      m_parser->body_limit(kMaxResponseBytes);
       continue;
     }
     if (error == http::error::need_more || used == 0) {
@@ -207,12 +210,12 @@
   Read();
 }
 
-bool TargetConnection::IsForeign() const {
+bool TargetConnection::IsForeignResponse() const {
   const auto id = m_parser->get()[m_pool.m_protocol.request_id];
-  return !id.empty() && View(id) != m_attempt->request->request_id;
+  return !id.empty() && ToStringView(id) != m_attempt->request->request_id;
 }
 
-void TargetConnection::OnEnd(const SystemError& error) {
+void TargetConnection::OnReadError(const SystemError& error) {
   if (m_phase == Phase::kIdle) {
     Close();
     return;
@@ -221,19 +224,19 @@
   if (error == asio::error::eof && m_parser->got_some()) {
     SystemError ended;
     m_parser->put_eof(ended);
-    if (!ended && m_parser->is_done() && !IsForeign()) {
-      TakeResponse();
+    if (!ended && m_parser->is_done() && !IsForeignResponse()) {
+      OnResponseComplete();
       return;
     }
   }
-  Fail(AttemptOutcome::kBroken, !m_parser->got_some());
+  FailAttempt(AttemptOutcome::kBroken, !m_parser->got_some());
 }
 
-void TargetConnection::TakeResponse() {
-  AttemptEnd end = EndOf();
-  LearnIdleTime();
+void TargetConnection::OnResponseComplete() {
+  AttemptEnd end = MakeAttemptEnd();
+  ReadIdleTimeout();
   const bool reusable = m_parser->keep_alive() && !m_parser->need_eof() &&
-                        m_buffer.size() == 0 && !m_writing &&
+                        m_read_buffer.size() == 0 && !m_writing &&
                         !m_attempt->gives_back_connection &&
                         end.outcome != AttemptOutcome::kWrongTarget;
   auto message = m_parser->release();
@@ -241,9 +244,9 @@
   m_parser.reset();
   if (reusable) {
     m_phase = Phase::kIdle;
-    m_since = m_pool.m_clock.Now();
+    m_phase_started_at = m_pool.m_clock.Now();
     Read();
-    Report(end);
+    ReportEnd(end);
     return;
   }
   const auto self = shared_from_this();
@@ -253,7 +256,7 @@
   m_pool.m_sink.OnAttemptEnd(end);
 }
 
-AttemptEnd TargetConnection::EndOf() const {
+AttemptEnd TargetConnection::MakeAttemptEnd() const {
   const TargetProtocol& protocol = m_pool.m_protocol;
   const auto& message = m_parser->get();
   AttemptEnd end;
@@ -266,43 +269,47 @@
   }
   const auto load = message[protocol.load];
   if (!load.empty() && protocol.read_load != nullptr) {
-    end.load = protocol.read_load(View(load));
+    end.load = protocol.read_load(ToStringView(load));
   }
   end.response.status = static_cast<int>(message.result_int());
-  end.response.reason = View(message.reason());
-  end.response.stamp = View(message[protocol.stamp]);
+  end.response.reason = ToStringView(message.reason());
+  end.response.stamp = ToStringView(message[protocol.stamp]);
   end.response.encoded =
       message.find(http::field::content_encoding) != message.end();
   const bool head = m_attempt->request->method == "HEAD";
-  const std::string connection(View(message[http::field::connection]));
+  const std::string connection(ToStringView(message[http::field::connection]));
   for (const auto& field : message) {
     const bool length = field.name() == http::field::content_length;
-    if (IsHopHeader(View(field.name_string()), connection) ||
+    if (IsHopByHopHeader(ToStringView(field.name_string()), connection) ||
         (length && !head)) {
       continue;
     }
-    end.response.headers.push_back({std::string(View(field.name_string())),
-                                    std::string(View(field.value()))});
+    end.response.headers.push_back(
+        {std::string(ToStringView(field.name_string())),
+         std::string(ToStringView(field.value()))});
   }
   return end;
 }
 
-void TargetConnection::LearnIdleTime() {
+void TargetConnection::ReadIdleTimeout() {
   constexpr std::string_view kTimeout = "timeout=";
-  const std::string_view value = View(m_parser->get()[http::field::keep_alive]);
-  const std::size_t at = value.find(kTimeout);
-  if (at == value.npos) {
+  const std::string_view value =
+      ToStringView(m_parser->get()[http::field::keep_alive]);
+  const std::size_t timeout_start = value.find(kTimeout);
+  if (timeout_start == value.npos) {
     return;
   }
-  int stated = 0;
-  const char* begin = value.data() + at + kTimeout.size();
-  if (std::from_chars(begin, value.data() + value.size(), stated).ec ==
+  int stated_seconds = 0;
+  const char* begin = value.data() + timeout_start + kTimeout.size();
+  if (std::from_chars(begin, value.data() + value.size(), stated_seconds).ec ==
       std::errc()) {
-    m_idle_time = Duration(seconds(stated)) * kIdlePercent / 100;
+    m_idle_timeout =
+        Duration(seconds(stated_seconds)) * kIdleTimeoutPercent / 100;
   }
 }
 
-void TargetConnection::Fail(AttemptOutcome outcome, bool connection_lost) {
+void TargetConnection::FailAttempt(AttemptOutcome outcome,
+                                   bool connection_lost) {
   const auto self = shared_from_this();
   AttemptEnd end;
   end.id = m_attempt->id;
@@ -313,7 +320,7 @@
   m_pool.m_sink.OnAttemptEnd(end);
 }
 
-void TargetConnection::Report(AttemptEnd& end) {
+void TargetConnection::ReportEnd(AttemptEnd& end) {
   m_attempt.reset();
   m_pool.m_attempts.erase(end.id);
   m_pool.m_sink.OnAttemptEnd(end);
@@ -327,13 +334,14 @@
   m_attempt.reset();
   SystemError ignored;
   m_socket.close(ignored);
-  m_pool.Forget(*this);
+  m_pool.RemoveConnection(*this);
 }
 
 void TargetConnection::CheckTime(TimePoint now) {
-  if (m_phase == Phase::kOpening && now - m_since > kOpenTimeout) {
+  if (m_phase == Phase::kOpening &&
+      now - m_phase_started_at > kConnectTimeout) {
     ++m_pool.m_counters.open_failures;
-    Fail(AttemptOutcome::kNotSent, false);
+    FailAttempt(AttemptOutcome::kNotSent, false);
   } else if (m_phase == Phase::kIdle && now >= usable_until()) {
     Close();
   }
--- a/src/jacinthdeck/http/target_connection.h
+++ b/src/jacinthdeck/http/target_connection.h
@@ -31,11 +31,13 @@
 
   [[nodiscard]] const TargetEntry& target() const noexcept { return m_target; }
   [[nodiscard]] bool idle() const noexcept { return m_phase == Phase::kIdle; }
-  [[nodiscard]] TimePoint idle_since() const noexcept { return m_since; }
+  [[nodiscard]] TimePoint idle_since() const noexcept {
+    return m_phase_started_at;
+  }
 
   /*! \brief Moment after which the target may close it while it is idle. */
   [[nodiscard]] TimePoint usable_until() const noexcept {
-    return m_since + m_idle_time;
+    return m_phase_started_at + m_idle_timeout;
   }
 
   /*! \brief Opens the connection and sends the attempt on it. */
@@ -62,28 +64,28 @@
   void Read();
   void OnReadable(SystemError error);
   void Parse();
-  void OnEnd(const SystemError& error);
-  void TakeResponse();
-  [[nodiscard]] bool IsForeign() const;
-  [[nodiscard]] AttemptEnd EndOf() const;
-  void LearnIdleTime();
+  void OnReadError(const SystemError& error);
+  void OnResponseComplete();
+  [[nodiscard]] bool IsForeignResponse() const;
+  [[nodiscard]] AttemptEnd MakeAttemptEnd() const;
+  void ReadIdleTimeout();
   //! Ends the attempt without a response and the connection with it.
-  void Fail(AttemptOutcome outcome, bool connection_lost);
-  void Report(AttemptEnd& end);
+  void FailAttempt(AttemptOutcome outcome, bool connection_lost);
+  void ReportEnd(AttemptEnd& end);
 
   TargetPool& m_pool;
   const TargetEntry m_target;
   tcp::socket m_socket;
   Phase m_phase = Phase::kOpening;
   //! When the phase began.
-  TimePoint m_since;
+  TimePoint m_phase_started_at;
   //! How long it may stay idle before it is no longer used.
-  Duration m_idle_time;
-  boost::beast::flat_buffer m_buffer;
+  Duration m_idle_timeout;
+  boost::beast::flat_buffer m_read_buffer;
   std::optional<Parser> m_parser;
   //! The attempt under way; has a value exactly while opening or busy.
   std::optional<OutgoingAttempt> m_attempt;
-  std::string m_out;
+  std::string m_write_buffer;
   bool m_writing = false;
 };
 
--- a/src/jacinthdeck/http/target_pool.cc
+++ b/src/jacinthdeck/http/target_pool.cc
@@ -12,7 +12,7 @@
 
 //! A request that may not be sent twice only goes over a connection that was in
 //! use this short a time ago: the target is not about to close it.
-constexpr Duration kFreshEnough = std::chrono::milliseconds(700);
+constexpr Duration kMaxAtMostOnceIdle = std::chrono::milliseconds(700);
 
 }  // namespace
 
@@ -28,14 +28,14 @@
       m_sink(sink) {}
 
 void TargetPool::Send(const OutgoingAttempt& attempt) {
-  if (auto idle = TakeIdle(attempt)) {
+  if (auto idle = FindIdleConnection(attempt)) {
     m_attempts.emplace(attempt.id, idle);
     idle->Send(attempt);
     return;
   }
   Connections& connections = m_connections[attempt.target.id];
   if (connections.size() >= attempt.connection_limit) {
-    ++m_counters.no_room;
+    ++m_counters.limit_refusals;
     ReportNotSent(attempt.id);
     return;
   }
@@ -58,51 +58,52 @@
 }
 
 void TargetPool::Retain(std::span<const TargetEntry> targets) {
-  std::unordered_set<TargetId> named;
+  std::unordered_set<TargetId> retained;
   for (const TargetEntry& target : targets) {
-    named.insert(target.id);
+    retained.insert(target.id);
   }
-  Connections unwanted;
+  Connections to_close;
   for (const auto& [id, connections] : m_connections) {
-    if (named.contains(id)) {
+    if (retained.contains(id)) {
       continue;
     }
-    std::ranges::copy_if(connections, std::back_inserter(unwanted),
+    std::ranges::copy_if(connections, std::back_inserter(to_close),
                          &TargetConnection::idle);
   }
-  for (const auto& connection : unwanted) {
+  for (const auto& connection : to_close) {
     connection->Close();
   }
 }
 
 void TargetPool::CheckTimes() {
   const TimePoint now = m_clock.Now();
-  Connections all;
-  all.reserve(m_connection_count);
+  Connections all_connections;
+  all_connections.reserve(m_connection_count);
   for (const auto& [id, connections] : m_connections) {
-    all.insert(all.end(), connections.begin(), connections.end());
+    all_connections.insert(all_connections.end(), connections.begin(),
+                           connections.end());
   }
-  for (const auto& connection : all) {
+  for (const auto& connection : all_connections) {
     connection->CheckTime(now);
   }
 }
 
-std::shared_ptr<TargetConnection> TargetPool::TakeIdle(
+std::shared_ptr<TargetConnection> TargetPool::FindIdleConnection(
     const OutgoingAttempt& attempt) {
-  const auto of_target = m_connections.find(attempt.target.id);
-  if (of_target == m_connections.end()) {
+  const auto target_connections = m_connections.find(attempt.target.id);
+  if (target_connections == m_connections.end()) {
     return nullptr;
   }
   const TimePoint now = m_clock.Now();
   std::shared_ptr<TargetConnection> newest;
   Connections stale;
-  for (const auto& connection : of_target->second) {
+  for (const auto& connection : target_connections->second) {
     if (!connection->idle()) {
       continue;
     }
     if (now >= connection->usable_until() ||
         (attempt.at_most_once &&
-         now - connection->idle_since() > kFreshEnough)) {
+         now - connection->idle_since() > kMaxAtMostOnceIdle)) {
       stale.push_back(connection);
     } else if (newest == nullptr ||
                connection->idle_since() > newest->idle_since()) {
@@ -127,7 +128,7 @@
   });
 }
 
-void TargetPool::Forget(const TargetConnection& connection) {
+void TargetPool::RemoveConnection(const TargetConnection& connection) {
   const auto found = m_connections.find(connection.target().id);
   if (found == m_connections.end()) {
     return;
--- a/src/jacinthdeck/http/target_pool.h
+++ b/src/jacinthdeck/http/target_pool.h
@@ -26,7 +26,7 @@
   //! Responses that belonged to an earlier request and were thrown away.
   std::uint64_t foreign_responses = 0;
   //! Attempts that found no connection free and no room for one more.
-  std::uint64_t no_room = 0;
+  std::uint64_t limit_refusals = 0;
   //! Requests and responses, without what the network adds.
   LinkBytes bytes;
 };
@@ -77,13 +77,13 @@
   friend class TargetConnection;
   using Connections = std::vector<std::shared_ptr<TargetConnection>>;
 
-  [[nodiscard]] std::shared_ptr<TargetConnection> TakeIdle(
+  [[nodiscard]] std::shared_ptr<TargetConnection> FindIdleConnection(
       const OutgoingAttempt& attempt);
   void ReportNotSent(AttemptId attempt);
   void CountBytes(const TargetEntry& target, std::size_t bytes) {
     m_counters.bytes.Add(bytes, target.domain == m_domain);
   }
-  void Forget(const TargetConnection& connection);
+  void RemoveConnection(const TargetConnection& connection);
 
   asio::io_context& m_loop;
   const Clock& m_clock;
--- a/test/jacinthdeck/http/edge_server_test.cc
+++ b/test/jacinthdeck/http/edge_server_test.cc
@@ -41,7 +41,7 @@
     }
   }
 
-  void OnLeft(EdgeConnection& /*connection*/) override { ++left; }
+  void OnDisconnect(EdgeConnection& /*connection*/) override { ++left; }
 
   void Answer(const std::string& body) {
     EdgeResponse response;
