--- a/test/jacinthdeck/http/loop_fixture.h
+++ b/test/jacinthdeck/http/loop_fixture.h
@@ -15,16 +15,16 @@
 
 /*! \brief Steps the loop until something is so; the paused clock rules all
  * timeouts under test. */
-struct LoopFixture {
+struct EventLoopFixture {
   //! Bound on a test that hangs; never reached by one that passes.
-  static constexpr std::chrono::seconds kHang{20};
+  static constexpr std::chrono::seconds kTestTimeout{20};
 
   asio::io_context loop;
   ManualClock clock;
 
-  void Until(const std::function<bool()>& done) {
-    const auto end = std::chrono::steady_clock::now() + kHang;
-    while (!done()) {
+  void RunUntil(const std::function<bool()>& is_done) {
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
+    while (!is_done()) {
       BOOST_REQUIRE(std::chrono::steady_clock::now() < end);
       loop.restart();
       loop.run_one_for(std::chrono::milliseconds(5));
@@ -43,18 +43,18 @@
 
   //! Steps the loop until the peer has sent a text or closed.
   std::string ReadUntil(tcp::socket& socket, const std::string& text) {
-    std::string all;
+    std::string received;
     bool ended = false;
-    Until([&] {
-      all += ReadSome(socket, ended);
-      return ended || all.find(text) != std::string::npos;
+    RunUntil([&] {
+      received += ReadSome(socket, ended);
+      return ended || received.find(text) != std::string::npos;
     });
-    return all;
+    return received;
   }
 
   bool IsClosed(tcp::socket& socket) {
     bool ended = false;
-    Until([&] {
+    RunUntil([&] {
       (void)ReadSome(socket, ended);
       return ended;
     });
--- a/test/jacinthdeck/http/target_pool_test.cc
+++ b/test/jacinthdeck/http/target_pool_test.cc
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct PoolFixture : LoopFixture, TargetPoolSink {
+struct TargetPoolFixture : EventLoopFixture, TargetPoolSink {
   tcp::acceptor acceptor{loop,
                          tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
-  TargetPool pool{loop, clock, Protocol(), FailureDomain("z"), *this};
+  TargetPool pool{loop, clock, MakeProtocol(), FailureDomain("z"), *this};
   std::vector<AttemptEnd> ends;
-  std::uint64_t next = 1;
+  std::uint64_t next_attempt_id = 1;
 
-  [[nodiscard]] static TargetProtocol Protocol() {
+  [[nodiscard]] static TargetProtocol MakeProtocol() {
     TargetProtocol protocol;
     protocol.request_id = "Req";
     protocol.time_left_ms = "Left";
@@ -34,14 +34,14 @@
 
   void OnAttemptEnd(AttemptEnd& end) override { ends.push_back(end); }
 
-  OutgoingAttempt Attempt(const std::string& request_id = "r1") {
+  OutgoingAttempt MakeAttempt(const std::string& request_id = "r1") {
     auto request = std::make_shared<OpaqueRequest>();
     request->method = "GET";
     request->target = "/p?q=1";
     request->host = "desk";
     request->request_id = request_id;
     OutgoingAttempt attempt;
-    attempt.id = AttemptId(next++);
+    attempt.id = AttemptId(next_attempt_id++);
     attempt.target.id = TargetId("t1");
     attempt.target.address = "127.0.0.1";
     attempt.target.port = acceptor.local_endpoint().port();
@@ -56,51 +56,51 @@
     bool accepted = false;
     acceptor.async_accept(socket,
                           [&](const SystemError& error) { accepted = !error; });
-    Until([&] { return accepted; });
+    RunUntil([&] { return accepted; });
     return socket;
   }
 
-  void Reply(tcp::socket& socket, const std::string& text) {
+  void SendResponse(tcp::socket& socket, const std::string& text) {
     asio::write(socket, asio::buffer(text));
   }
 
-  AttemptEnd NextEnd() {
-    Until([&] { return !ends.empty(); });
+  AttemptEnd WaitForEnd() {
+    RunUntil([&] { return !ends.empty(); });
     AttemptEnd end = ends.front();
     ends.erase(ends.begin());
     return end;
   }
 };
 
-constexpr const char* kGood =
+constexpr const char* kValidResponse =
     "HTTP/1.1 200 OK\r\nReq: r1\r\nStamp: s\r\nContent-Length: 2\r\n\r\nok";
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(TargetPoolTest, PoolFixture)
+BOOST_FIXTURE_TEST_SUITE(TargetPoolTest, TargetPoolFixture)
 
-BOOST_AUTO_TEST_CASE(Send_TargetAnswers_RequestAndResponseAreWhole) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Send_TargetAnswers_RequestAndResponseAreComplete) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   const std::string request = ReadUntil(target, "\r\n\r\n");
   BOOST_TEST(request.starts_with("GET /p?q=1 HTTP/1.1\r\nHost: desk\r\n"));
   BOOST_TEST(request.find("Req: r1\r\n") != std::string::npos);
   BOOST_TEST(request.find("Left: 1000\r\n") != std::string::npos);
   BOOST_TEST(request.find("Expect-Id: t1\r\n") != std::string::npos);
-  Reply(target, kGood);
-  const AttemptEnd end = NextEnd();
+  SendResponse(target, kValidResponse);
+  const AttemptEnd end = WaitForEnd();
   BOOST_TEST((end.outcome == AttemptOutcome::kResponse));
   BOOST_TEST(end.response.body == "ok");
   BOOST_TEST(end.response.stamp == "s");
 }
 
-BOOST_AUTO_TEST_CASE(Send_ConnectionIsIdle_IsUsedAgain) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Send_IdleConnectionExists_IsReused) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, kGood);
-  (void)NextEnd();
-  pool.Send(Attempt());
+  SendResponse(target, kValidResponse);
+  (void)WaitForEnd();
+  pool.Send(MakeAttempt());
   (void)ReadUntil(target, "\r\n\r\n");
   BOOST_TEST(pool.counters().opened == 1U);
 }
@@ -108,126 +108,128 @@
 // A host that stands by has no share of a target's connections. Kept by all
 // such hosts, idle connections take the target past its limit, and it resets
 // those of hosts that have a share; so this one is closed with its answer.
-BOOST_AUTO_TEST_CASE(Response_ConnectionIsToBeGivenBack_IsClosedWithIt) {
-  OutgoingAttempt attempt = Attempt();
+BOOST_AUTO_TEST_CASE(Response_AttemptGivesBackConnection_ConnectionIsClosed) {
+  OutgoingAttempt attempt = MakeAttempt();
   attempt.gives_back_connection = true;
   pool.Send(attempt);
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, kGood);
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kResponse));
+  SendResponse(target, kValidResponse);
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kResponse));
   BOOST_TEST(IsClosed(target));
   BOOST_TEST(pool.connections() == 0U);
 }
 
 // The answer to an earlier request is sent twice; the copy arrives where the
 // next response is due. It must not be taken for it.
-BOOST_AUTO_TEST_CASE(Response_OfAnEarlierRequestComesAgain_IsThrownAway) {
-  pool.Send(Attempt("r1"));
+BOOST_AUTO_TEST_CASE(Response_DuplicateOfEarlierRequest_IsDiscarded) {
+  pool.Send(MakeAttempt("r1"));
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, kGood);
-  (void)NextEnd();
-  pool.Send(Attempt("r2"));
+  SendResponse(target, kValidResponse);
+  (void)WaitForEnd();
+  pool.Send(MakeAttempt("r2"));
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, kGood);
-  Reply(
+  SendResponse(target, kValidResponse);
+  SendResponse(
       target,
       "HTTP/1.1 200 OK\r\nReq: r2\r\nStamp: s\r\nContent-Length: 3\r\n\r\nnew");
-  BOOST_TEST(NextEnd().response.body == "new");
+  BOOST_TEST(WaitForEnd().response.body == "new");
   BOOST_TEST(pool.counters().foreign_responses == 1U);
 }
 
 // Bytes arrive while no request waits: the connection is closed, so that they
 // are never read as the next response.
-BOOST_AUTO_TEST_CASE(Response_ExtraBytesOnAnIdleConnection_ConnectionIsClosed) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(IdleConnection_UnexpectedBytes_IsClosed) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, kGood);
-  (void)NextEnd();
-  Reply(target, "HTTP/1.1 200 OK\r\n\r\n");
+  SendResponse(target, kValidResponse);
+  (void)WaitForEnd();
+  SendResponse(target, "HTTP/1.1 200 OK\r\n\r\n");
   BOOST_TEST(IsClosed(target));
   BOOST_TEST(pool.connections() == 0U);
 }
 
 // A target breaks off in the middle of a body. What came looks like an answer,
 // but is not the whole one.
-BOOST_AUTO_TEST_CASE(Response_IsCutShort_CountsAsBroken) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Response_Truncated_CountsAsBroken) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, "HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 9\r\n\r\nhalf");
+  SendResponse(target,
+               "HTTP/1.1 200 OK\r\nStamp: s\r\nContent-Length: 9\r\n\r\nhalf");
   target.close();
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kBroken));
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kBroken));
 }
 
-BOOST_AUTO_TEST_CASE(Response_WithoutLength_EndsWithItsConnection) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Response_WithoutLength_EndsAtConnectionClose) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, "HTTP/1.1 200 OK\r\nStamp: s\r\n\r\nall of it");
+  SendResponse(target, "HTTP/1.1 200 OK\r\nStamp: s\r\n\r\nall of it");
   target.shutdown(tcp::socket::shutdown_send);
-  BOOST_TEST(NextEnd().response.body == "all of it");
+  BOOST_TEST(WaitForEnd().response.body == "all of it");
 }
 
 // A reset on the way may have cut a body without a length anywhere.
 BOOST_AUTO_TEST_CASE(Response_WithoutLengthIsReset_CountsAsBroken) {
-  pool.Send(Attempt());
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, "HTTP/1.1 200 OK\r\nStamp: s\r\n\r\npart");
+  SendResponse(target, "HTTP/1.1 200 OK\r\nStamp: s\r\n\r\npart");
   loop.restart();
   loop.poll();
   target.set_option(asio::socket_base::linger(true, 0));
   target.close();
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kBroken));
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kBroken));
 }
 
-BOOST_AUTO_TEST_CASE(Response_SaysNotRun_IsToldAsSuch) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Response_NotExecutedHeader_IsReportedAsNotExecuted) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, "HTTP/1.1 503 x\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kNotExecuted));
+  SendResponse(target,
+               "HTTP/1.1 503 x\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kNotExecuted));
 }
 
-BOOST_AUTO_TEST_CASE(Response_OfAnotherTarget_IsToldAsSuch) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Response_Status421_IsReportedAsWrongTarget) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, "HTTP/1.1 421 x\r\nContent-Length: 0\r\n\r\n");
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kWrongTarget));
+  SendResponse(target, "HTTP/1.1 421 x\r\nContent-Length: 0\r\n\r\n");
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kWrongTarget));
 }
 
-BOOST_AUTO_TEST_CASE(Send_NobodyListens_NothingWasSent) {
-  OutgoingAttempt attempt = Attempt();
+BOOST_AUTO_TEST_CASE(Send_PortIsClosed_IsReportedAsNotSent) {
+  OutgoingAttempt attempt = MakeAttempt();
   acceptor.close();
   pool.Send(attempt);
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kNotSent));
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kNotSent));
 }
 
 // All kept connections are too old for a claim that must not be sent twice.
 // They are closed to make room, and the claim goes over a new one.
-BOOST_AUTO_TEST_CASE(Send_ClaimFindsOnlyOldConnections_OpensANewOne) {
-  pool.Send(Attempt());
+BOOST_AUTO_TEST_CASE(Send_AtMostOnceFindsOldConnections_OpensNewOne) {
+  pool.Send(MakeAttempt());
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
-  Reply(target, kGood);
-  (void)NextEnd();
+  SendResponse(target, kValidResponse);
+  (void)WaitForEnd();
   clock.Advance(seconds(2));
-  OutgoingAttempt claim = Attempt();
-  claim.at_most_once = true;
-  claim.connection_limit = 1;
-  pool.Send(claim);
-  tcp::socket fresh = Accept();
-  (void)ReadUntil(fresh, "\r\n\r\n");
-  Reply(fresh, kGood);
-  BOOST_TEST((NextEnd().outcome == AttemptOutcome::kResponse));
+  OutgoingAttempt non_repeatable = MakeAttempt();
+  non_repeatable.at_most_once = true;
+  non_repeatable.connection_limit = 1;
+  pool.Send(non_repeatable);
+  tcp::socket new_connection = Accept();
+  (void)ReadUntil(new_connection, "\r\n\r\n");
+  SendResponse(new_connection, kValidResponse);
+  BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kResponse));
 }
 
-BOOST_AUTO_TEST_CASE(Cancel_AttemptIsUnderWay_ConnectionIsClosed) {
-  const OutgoingAttempt attempt = Attempt();
+BOOST_AUTO_TEST_CASE(Cancel_AttemptInProgress_ConnectionIsClosed) {
+  const OutgoingAttempt attempt = MakeAttempt();
   pool.Send(attempt);
   tcp::socket target = Accept();
   (void)ReadUntil(target, "\r\n\r\n");
@@ -236,14 +238,14 @@
   BOOST_TEST(ends.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Send_LimitIsReached_NothingWasSent) {
-  OutgoingAttempt attempt = Attempt();
+BOOST_AUTO_TEST_CASE(Send_ConnectionLimitReached_IsReportedAsNotSent) {
+  OutgoingAttempt attempt = MakeAttempt();
   attempt.connection_limit = 1;
   pool.Send(attempt);
-  OutgoingAttempt second = Attempt();
+  OutgoingAttempt second = MakeAttempt();
   second.connection_limit = 1;
   pool.Send(second);
-  const AttemptEnd end = NextEnd();
+  const AttemptEnd end = WaitForEnd();
   BOOST_TEST(end.id == second.id);
   BOOST_TEST((end.outcome == AttemptOutcome::kNotSent));
 }
