--- a/test/platform/codecs_test.cc
+++ b/test/platform/codecs_test.cc
@@ -41,13 +41,13 @@
 BOOST_AUTO_TEST_CASE(Config_AllForms_AreRead) {
   const auto config = ReadOk(kConfig);
   BOOST_TEST(config->version() == 7U);
-  const Route* fan = config->Find("h", "/a/x");
-  BOOST_REQUIRE(fan != nullptr);
-  BOOST_TEST(fan->shards.size() == 2U);
-  BOOST_TEST(fan->top_records == 5U);
-  BOOST_TEST(fan->min_share == 0.75);
-  BOOST_TEST((fan->objective == std::chrono::milliseconds(60)));
-  BOOST_TEST((fan->repeat == RepeatRule::kIdempotent));
+  const Route* fan_out = config->Find("h", "/a/x");
+  BOOST_REQUIRE(fan_out != nullptr);
+  BOOST_TEST(fan_out->shards.size() == 2U);
+  BOOST_TEST(fan_out->top_records == 5U);
+  BOOST_TEST(fan_out->min_share == 0.75);
+  BOOST_TEST((fan_out->objective == std::chrono::milliseconds(60)));
+  BOOST_TEST((fan_out->repeat == RepeatRule::kIdempotent));
   const Route* split = config->Find("h", "/b/x");
   BOOST_REQUIRE(split != nullptr);
   BOOST_TEST(split->services.size() == 1U);
@@ -61,7 +61,7 @@
 }
 
 // Guards against a bound that is taken for "no bound".
-BOOST_AUTO_TEST_CASE(Config_ColdBoundIsWrong_ErrorNamesIt) {
+BOOST_AUTO_TEST_CASE(Config_InvalidColdRate_ErrorNamesTheField) {
   for (const std::string bound : {"-1", "\"many\"", "null"}) {
     const auto read = Capture([&] {
       return ReadConfig(
@@ -73,7 +73,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Config_FieldIsWrong_ErrorNamesIt) {
+BOOST_AUTO_TEST_CASE(Config_InvalidField_ErrorNamesTheField) {
   const auto read = Capture([] {
     return ReadConfig(
         R"({"version":1,"services":[],"routes":[{"name":"r","host":"h",)"
@@ -87,21 +87,21 @@
 BOOST_AUTO_TEST_CASE(Base64_AllLengths_RoundTrip) {
   std::string bytes;
   for (int i = 0; i < 40; ++i) {
-    const auto back =
+    const auto decoded =
         Capture([&] { return DecodeBase64(EncodeBase64(bytes)); });
-    BOOST_REQUIRE_EQUAL(back.index(), 0U);
-    BOOST_TEST(std::get<0>(back) == bytes);
+    BOOST_REQUIRE_EQUAL(decoded.index(), 0U);
+    BOOST_TEST(std::get<0>(decoded) == bytes);
     bytes += static_cast<char>(i * 37);
   }
 }
 
-BOOST_AUTO_TEST_CASE(Base64_NoPaddedBase64_IsRefused) {
+BOOST_AUTO_TEST_CASE(Base64_InvalidOrUnpadded_IsRejected) {
   for (const char* text : {"a", "ab", "a===", "ab*=", "====", "ab=c"}) {
     BOOST_TEST(Capture([&] { return DecodeBase64(text); }).index() == 1U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(Load_ThreeOrFourFigures_AreRead) {
+BOOST_AUTO_TEST_CASE(Load_ThreeOrFourFields_AreParsed) {
   const auto read = MakeTargetProtocol().read_load;
   BOOST_REQUIRE(read("3,2,8").has_value());
   BOOST_TEST(read("3,2,8")->waiting == 2U);
@@ -112,7 +112,7 @@
   BOOST_TEST(!read("1,1,0").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_ItemsAndRemovals_AreToldApart) {
+BOOST_AUTO_TEST_CASE(Watch_ItemsAndRemovals_AreDistinguished) {
   const StoreCodec codec;
   const WatchBatch batch = codec.ReadBatch(
       {200,
@@ -127,7 +127,7 @@
   BOOST_TEST(batch.position.revision == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(Statuses_OfTheStore_AreToldApart) {
+BOOST_AUTO_TEST_CASE(StoreStatus_HttpStatus_IsMapped) {
   const StoreCodec codec;
   const auto status = [&](int code) {
     return codec.ReadBatch({code, "", "", false}, StoreEra{}).status;
@@ -143,7 +143,7 @@
 
 // Guards against a reply of a restored store that is taken for one of the
 // history before: errors name the era too.
-BOOST_AUTO_TEST_CASE(Era_InAnyReply_IsRead) {
+BOOST_AUTO_TEST_CASE(Era_InReplyOfAnyStatus_IsRead) {
   const StoreCodec codec;
   const auto reply = [](int status, const std::string& era) {
     ClientReply made{status, R"({"events":[],"readRev":5})", "", false};
@@ -167,7 +167,7 @@
 }
 
 // Guards against a crash, or an era out of nothing, by a header of any bytes.
-BOOST_AUTO_TEST_CASE(Era_AnyBytes_GiveTheirNumberOrTheCurrentEra) {
+BOOST_AUTO_TEST_CASE(Era_RandomHeaderBytes_GiveNumberOrCurrentEra) {
   const StoreCodec codec;
   Random random(1);
   for (int round = 0; round < 20000; ++round) {
@@ -189,7 +189,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Directory_CallAndAnswer_AreInThePlatformsForm) {
+BOOST_AUTO_TEST_CASE(Directory_RequestAndResponse_FollowPlatformFormat) {
   BOOST_TEST(ReadDirectoryCall("/-/resolve?name=x&region=r&zone=z-a").raw() ==
              "z-a");
   BOOST_TEST(ReadDirectoryCall("/-/resolve").raw().empty());
