--- a/src/jacinthdeck/http/asio.h
+++ b/src/jacinthdeck/http/asio.h
@@ -1,4 +1,4 @@
-// Short names of the event loop's types.
+// Aliases for the Boost.Asio types that the http module uses.
 #ifndef JACINTHDECK_HTTP_ASIO_H_
 #define JACINTHDECK_HTTP_ASIO_H_
 
--- a/src/jacinthdeck/http/blocking_client.cc
+++ b/src/jacinthdeck/http/blocking_client.cc
@@ -1,4 +1,4 @@
-// An event loop for the length of one call.
+// Implements the blocking call with an event loop that exists for its duration.
 #include "jacinthdeck/http/blocking_client.h"
 
 namespace jacinthdeck {
--- a/src/jacinthdeck/http/blocking_client.h
+++ b/src/jacinthdeck/http/blocking_client.h
@@ -1,4 +1,4 @@
-// Makes one call and waits for it, for command lines and tests.
+// Blocking HTTP client for one call, used by command-line tools and tests.
 #ifndef JACINTHDECK_HTTP_BLOCKING_CLIENT_H_
 #define JACINTHDECK_HTTP_BLOCKING_CLIENT_H_
 
@@ -8,7 +8,12 @@
 
 namespace jacinthdeck {
 
-/*! \brief Calls a server over a connection of its own and waits for the end. */
+/**
+ * \brief Calls a server over a new connection and blocks until the response
+ * arrives or the call fails.
+ * \return Reply with status 0 and an error if there is no response within the
+ * timeout.
+ */
 [[nodiscard]] ClientReply CallAndWait(const Endpoint& endpoint,
                                       const ClientRequest& request,
                                       Duration timeout);
--- a/src/jacinthdeck/http/client_session.cc
+++ b/src/jacinthdeck/http/client_session.cc
@@ -1,4 +1,4 @@
-// One call at a time over Boost.Beast.
+// Writes each call as HTTP/1.1 and reads its response with Boost.Beast.
 #include "jacinthdeck/http/client_session.h"
 
 #include <algorithm>
@@ -16,7 +16,8 @@
 
 namespace http = boost::beast::http;
 
-//! Replies hold pages of entries.
+//! Limit on the body of a response; a response may hold a page of store
+//! entries.
 constexpr std::uint64_t kMaxBodyBytes = 16ULL << 20U;
 
 }  // namespace
--- a/src/jacinthdeck/http/client_session.h
+++ b/src/jacinthdeck/http/client_session.h
@@ -1,4 +1,4 @@
-// A kept connection to a server of the platform: one call at a time.
+// Persistent HTTP connection to a server of the platform; one call at a time.
 #ifndef JACINTHDECK_HTTP_CLIENT_SESSION_H_
 #define JACINTHDECK_HTTP_CLIENT_SESSION_H_
 
@@ -20,40 +20,42 @@
 
 namespace jacinthdeck {
 
-/*! \brief One call. */
+/*! \brief Request of one call. */
 struct ClientRequest {
   std::string method;
   //! Path and query.
   std::string target;
-  //! Empty for none; otherwise JSON.
+  //! JSON, or empty if the request has no body.
   std::string body;
-  //! Beside those of the connection and the body.
+  //! Headers beyond Host, Content-Type and Content-Length, which the session
+  //! writes.
   std::vector<Header> headers = {};
 };
 
-/*! \brief How a call ended. */
+/*! \brief Response of a call, or the reason why there is none. */
 struct ClientReply {
-  //! 0 if there is no response; then error says why.
+  //! HTTP status code; 0 if there is no response, then `error` says why.
   int status = 0;
   std::string body;
   std::string error;
-  //! No byte of the call left this host.
+  //! True if no byte of the request was sent.
   bool not_sent = false;
   std::vector<Header> headers = {};
 
   [[nodiscard]] bool answered() const noexcept { return status != 0; }
 
-  /*! \brief Finds a header's first value, whatever the case of its name; null
-   * if there is none. */
+  /*! \brief Returns the first value of a header, whose name is compared without
+   * case; null if the header is absent. */
   [[nodiscard]] const std::string* FindHeader(std::string_view name) const;
 };
 
 /**
  * \brief Makes calls one after the other, each with its own timeout.
  *
- * After a call without a response the connection is given up: what still comes
- * on it could not be told from the response to a later call. The session must
- * be idle when a call is made, and must not be destroyed within a callback.
+ * After a call without a response the connection is closed: bytes that still
+ * arrive on it could not be told apart from the response to a later call. The
+ * session must be idle when a call is made, and must not be destroyed within a
+ * callback.
  */
 class ClientSession {
  public:
@@ -68,10 +70,12 @@
 
   [[nodiscard]] bool busy() const noexcept { return m_callback != nullptr; }
 
-  /*! \brief Makes a call; the callback comes later, exactly once. */
+  /*! \brief Starts a call. The callback is invoked later, never from within
+   * Call(), and exactly once unless the call is aborted. */
   void Call(const ClientRequest& request, Duration timeout, Callback callback);
 
-  /*! \brief Drops the call under way without a callback. */
+  /*! \brief Aborts the current call without invoking its callback and closes
+   * the connection. */
   void Abort();
 
  private:
@@ -94,9 +98,11 @@
   std::unique_ptr<Parser> m_parser;
   std::string m_write_buffer;
   Callback m_callback;
-  //! Handlers of an earlier call see another number and do nothing.
+  //! Number of the current call. Completion handlers of an earlier call find
+  //! another number and do nothing.
   std::uint64_t m_call_number = 0;
-  //! Guards handlers that outlive the session.
+  //! Set to false by the destructor; completion handlers that run after it
+  //! check this flag before they touch the session.
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
   bool m_write_started = false;
   bool m_reused = false;
--- a/src/jacinthdeck/http/edge_connection.cc
+++ b/src/jacinthdeck/http/edge_connection.cc
@@ -1,4 +1,4 @@
-// Reading, parsing and writing of one connection.
+// Reads and parses requests and writes responses on one server connection.
 #include "jacinthdeck/http/edge_connection.h"
 
 #include <algorithm>
@@ -21,16 +21,17 @@
 using internal::AppendHeader;
 using internal::ToStringView;
 
-//! Bytes asked for in one read.
+//! Maximum number of bytes per read.
 constexpr std::size_t kReadBufferBytes = 4096;
-//! Bytes of later requests that are taken in while one is being answered;
-//! beyond this the peer has to wait.
+//! Bytes of pipelined requests that are buffered while a request awaits its
+//! response; beyond this the connection stops reading until it is answered.
 constexpr std::size_t kMaxPipelinedBytes = 65536;
-//! Time for a peer to take a response off the connection.
+//! Time within which the peer must accept a whole response.
 constexpr Duration kWriteTimeout = std::chrono::seconds(10);
-//! Time for a peer to close after the last response.
+//! Time within which the peer must close after the last response.
 constexpr Duration kLingerTimeout = std::chrono::seconds(1);
-//! Time for the body after its header; a body at the limit over a slow link.
+//! Time added to the header timeout once the header is complete: enough for a
+//! body of the maximum size over a slow link.
 constexpr Duration kBodyTimeout = std::chrono::seconds(15);
 
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -67,7 +68,8 @@
     return;
   }
   m_read_pending = true;
-  // Waiting needs no buffer, so that thousands of idle connections cost little.
+  // Waiting for readability needs no buffer, so thousands of idle connections
+  // use little memory.
   m_socket.async_wait(tcp::socket::wait_read,
                       [self = shared_from_this()](const SystemError& error) {
                         self->m_read_pending = false;
@@ -286,7 +288,8 @@
     Read();
     return;
   }
-  // Not from here: requests that a caller sent ahead would nest.
+  // Parse() is posted instead of called: each pipelined request would otherwise
+  // add a level of recursion.
   asio::post(m_socket.get_executor(),
              [self = shared_from_this()] { self->Parse(); });
 }
--- a/src/jacinthdeck/http/edge_connection.h
+++ b/src/jacinthdeck/http/edge_connection.h
@@ -1,4 +1,4 @@
-// One connection of a server, from its first byte to its end.
+// Server side of one HTTP connection.
 #ifndef JACINTHDECK_HTTP_EDGE_CONNECTION_H_
 #define JACINTHDECK_HTTP_EDGE_CONNECTION_H_
 
@@ -19,31 +19,37 @@
 class EdgeServer;
 
 /**
- * \brief Reads one request at a time and writes its response.
+ * \brief Reads one request at a time, hands it to the server's handler and
+ * writes its response.
  *
- * A read is outstanding also while a request is being answered, so that a peer
- * that leaves is noticed at once and its work can be cancelled.
+ * A read stays outstanding while a request awaits its response, so that a peer
+ * that disconnects is noticed at once and its work can be cancelled.
  */
 class EdgeConnection : public std::enable_shared_from_this<EdgeConnection> {
  public:
-  /*! \brief Takes an accepted socket; the server outlives the connection. */
+  /*! \brief Wraps an accepted socket; the server must outlive the connection.
+   * \param id Number of the connection, unique within the server. */
   EdgeConnection(EdgeServer& server, tcp::socket socket, std::uint64_t id);
 
   [[nodiscard]] std::uint64_t id() const noexcept { return m_id; }
 
-  /*! \brief Begins to read. */
+  /*! \brief Starts reading requests. */
   void Start();
 
-  /*! \brief Answers the request under way; has no effect without one. */
+  /*! \brief Writes the response to the current request; has no effect if no
+   * request awaits a response. */
   void Respond(EdgeResponse response);
 
-  /*! \brief Ends the connection at once. */
+  /*! \brief Closes the connection at once and removes it from the server. */
   void Close();
 
-  /*! \brief Acts on what lasted too long; called now and then. */
+  /*! \brief Answers 408 to a request that arrives too slowly, and closes a
+   * connection that stays idle, writes or lingers beyond its timeout. Called
+   * periodically. */
   void CheckTime(TimePoint now);
 
-  /*! \brief Ends the connection if no request is under way. */
+  /*! \brief Closes the connection if no byte of a request has arrived and none
+   * awaits its response. */
   void CloseIfIdle();
 
  private:
@@ -51,15 +57,16 @@
       boost::beast::http::request_parser<boost::beast::http::string_body>;
 
   enum class Phase {
-    //! Nothing of a request is in.
+    //! No byte of the next request has been parsed.
     kIdle,
-    //! Some of a request is in.
+    //! A request has arrived in part.
     kReading,
-    //! A whole request is in and has no response.
+    //! A complete request has arrived and has no response yet.
     kAwaitingResponse,
     kWriting,
-    //! The response is out; what still comes is thrown away until the peer
-    //! closes, since closing over unread bytes would reset the response away.
+    //! The last response is written; bytes that still arrive are discarded
+    //! until the peer closes. Closing a socket with unread bytes would send a
+    //! reset, and the peer could lose the response.
     kLingering,
     kClosed,
   };
@@ -81,13 +88,13 @@
   boost::beast::flat_buffer m_read_buffer;
   std::optional<Parser> m_parser;
   Phase m_phase = Phase::kIdle;
-  //! When the phase began, for its time limit.
+  //! Start of the current phase, to which its timeout applies.
   TimePoint m_phase_started_at;
   bool m_header_complete = false;
   bool m_read_pending = false;
-  //! The request under way allows another one after it.
+  //! The connection may be kept open after the current request.
   bool m_keep_alive = false;
-  //! The response must have no body.
+  //! The current request is a HEAD request: its response has no body.
   bool m_is_head_request = false;
   bool m_close_after_write = false;
   std::string m_write_buffer;
--- a/src/jacinthdeck/http/edge_handler.h
+++ b/src/jacinthdeck/http/edge_handler.h
@@ -1,4 +1,4 @@
-// Receiver of the requests of a server.
+// Interface through which an HTTP server hands out its requests.
 #ifndef JACINTHDECK_HTTP_EDGE_HANDLER_H_
 #define JACINTHDECK_HTTP_EDGE_HANDLER_H_
 
@@ -12,25 +12,26 @@
 
 class EdgeConnection;
 
-/*! \brief Takes requests and answers each of them once on its connection. */
+/*! \brief Receives requests and answers each of them once on its connection. */
 class EdgeHandler {
  public:
   virtual ~EdgeHandler() = default;
 
   /**
-   * \brief Takes a whole request.
+   * \brief Handles a complete request.
    *
-   * The connection takes no other request before EdgeConnection::Respond(),
-   * which may be called at once or later.
-   * \param request Request.
-   * \param arrived When its last byte was read.
+   * The connection delivers no other request before EdgeConnection::Respond()
+   * is called, which may happen within this function or later.
+   * \param connection Connection on which the request is answered.
+   * \param request Complete request with its body.
+   * \param arrived Time at which its last byte was read.
    */
   virtual void OnRequest(const std::shared_ptr<EdgeConnection>& connection,
                          EdgeRequest request,
                          TimePoint arrived) = 0;
 
-  /*! \brief The peer left before its request was answered; Respond() has no
-   * effect any more. */
+  /*! \brief Called when the peer disconnects before its request is answered;
+   * Respond() has no effect from then on. */
   virtual void OnDisconnect(EdgeConnection& connection) = 0;
 };
 
--- a/src/jacinthdeck/http/edge_message.cc
+++ b/src/jacinthdeck/http/edge_message.cc
@@ -1,4 +1,4 @@
-// Lookup of request headers.
+// Finds request headers by name.
 #include "jacinthdeck/http/edge_message.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/http/edge_message.h
+++ b/src/jacinthdeck/http/edge_message.h
@@ -1,4 +1,4 @@
-// Requests and responses of the servers' edge.
+// HTTP requests that a server of this host receives and the responses to them.
 #ifndef JACINTHDECK_HTTP_EDGE_MESSAGE_H_
 #define JACINTHDECK_HTTP_EDGE_MESSAGE_H_
 
@@ -11,33 +11,36 @@
 
 namespace jacinthdeck {
 
-/*! \brief Bounds on what a peer may send, and how long it may take. */
+/*! \brief Limits on the size and duration of requests. */
 struct EdgeLimits {
   std::uint32_t header_bytes = 16384;
   std::uint64_t body_bytes = 1048576;
+  //! Time from the first byte of a request to the end of its header.
   Duration header_timeout = std::chrono::seconds(10);
+  //! Time for which a connection without a request stays open.
   Duration idle_timeout = std::chrono::seconds(60);
 };
 
-/*! \brief A whole request. */
+/*! \brief Complete HTTP request. */
 struct EdgeRequest {
   std::string method;
-  //! Path and query as they were sent.
+  //! Path and query exactly as sent.
   std::string target;
   std::string host;
-  //! All other headers but those of the connection and the body's framing.
+  //! All headers except Host, Content-Length, Expect and hop-by-hop headers.
   std::vector<Header> headers;
   std::string body;
   bool has_body = false;
 
-  /*! \brief Value of a header; empty if it is absent. */
+  /*! \brief Returns the first value of a header, whose name is compared without
+   * case; empty if the header is absent. */
   [[nodiscard]] std::string_view Find(std::string_view name) const;
 };
 
-/*! \brief A response; its framing is the connection's business. */
+/*! \brief HTTP response; EdgeConnection adds Content-Length and Connection. */
 struct EdgeResponse {
   int status = 200;
-  //! Empty stands for the usual phrase of the status.
+  //! Reason phrase; if empty, the standard phrase of the status is sent.
   std::string reason;
   std::vector<Header> headers;
   std::string body;
--- a/src/jacinthdeck/http/edge_server.cc
+++ b/src/jacinthdeck/http/edge_server.cc
@@ -1,4 +1,4 @@
-// Accepting, with a pause when descriptors run out.
+// Accepts connections and pauses when the process runs out of descriptors.
 #include "jacinthdeck/http/edge_server.h"
 
 #include <utility>
@@ -11,8 +11,9 @@
 
 namespace {
 
-//! Pause after a failed accept, mostly for want of descriptors: without it the
-//! loop would spin on the same connection.
+//! Pause after a failed accept, which is mostly due to a lack of file
+//! descriptors. Without the pause the event loop would retry the same pending
+//! connection continuously.
 constexpr std::chrono::milliseconds kAcceptPause{50};
 
 }  // namespace
--- a/src/jacinthdeck/http/edge_server.h
+++ b/src/jacinthdeck/http/edge_server.h
@@ -1,4 +1,4 @@
-// A listening socket and its connections.
+// HTTP server: a listening socket and its connections.
 #ifndef JACINTHDECK_HTTP_EDGE_SERVER_H_
 #define JACINTHDECK_HTTP_EDGE_SERVER_H_
 
@@ -15,37 +15,38 @@
 
 namespace jacinthdeck {
 
-/*! \brief Counts of a server since its start. */
+/*! \brief Counters of a server since its start. */
 struct EdgeCounters {
   std::uint64_t accepted = 0;
   std::uint64_t requests = 0;
-  //! Requests that were refused before they were whole: malformed, too large
-  //! or too slow.
+  //! Requests rejected by the server before they reached the handler because
+  //! they were malformed, too large or too slow.
   std::uint64_t rejected = 0;
-  //! Connections refused for their number.
+  //! Connections closed on accept because the connection limit was reached.
   std::uint64_t over_limit = 0;
 };
 
 /**
  * \brief Accepts connections and hands their requests to a handler.
  *
- * Everything happens on the thread that runs the event loop.
+ * All functions and callbacks run on the event loop's thread.
  */
 class EdgeServer {
  public:
   /**
-   * \brief Makes a server that does not listen yet.
-   * \param loop Event loop; outlives the server, as do the handler and clock.
+   * \brief Creates a server that does not listen yet; the event loop, clock and
+   * handler must outlive it.
    */
   EdgeServer(asio::io_context& loop, const Clock& clock, EdgeHandler& handler);
   EdgeServer(const EdgeServer&) = delete;
   EdgeServer& operator=(const EdgeServer&) = delete;
 
   /**
-   * \brief Opens the port and begins to accept.
-   * \param address IPv4 number.
-   * \param port 0 lets the kernel choose.
-   * \param max_connections Further ones are closed at once.
+   * \brief Binds the port and starts accepting connections.
+   * \param address IPv4 address in dotted decimal form.
+   * \param port Port; 0 lets the kernel choose one.
+   * \param max_connections Open connections beyond this number are closed on
+   * accept.
    */
   [[nodiscard]] Result<void> Listen(const std::string& address,
                                     std::uint16_t port,
@@ -61,21 +62,22 @@
     return m_counters;
   }
 
-  /*! \brief Replaces the limits, for requests from now on. */
+  /*! \brief Replaces the limits. Size limits apply to requests that start from
+   * now on, timeouts to all connections. */
   void SetLimits(const EdgeLimits& limits) { m_limits = limits; }
 
-  /*! \brief From now on each response asks its caller to close; requests are
-   * still taken. */
+  /*! \brief Makes each further response close its connection; requests are
+   * still accepted. */
   void Drain() noexcept { m_draining = true; }
 
-  /*! \brief Takes no new connections; those that are open go on. */
+  /*! \brief Stops accepting connections; open connections are unaffected. */
   void StopListening();
 
-  /*! \brief Closes connections without a request under way. */
+  /*! \brief Closes all connections that have no request in progress. */
   void CloseIdle();
 
-  /*! \brief Ends connections that are idle or slow beyond the limits; called a
-   * few times a second. */
+  /*! \brief Applies the timeouts of all connections; called a few times per
+   * second. */
   void CheckTimes();
 
  private:
--- a/src/jacinthdeck/http/fwd.h
+++ b/src/jacinthdeck/http/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the http module: connections to callers, targets and
-// the store, all on one event loop.
+// Forward declarations of the http module: connections from callers and to
+// targets and the store, all on one event loop.
 #ifndef JACINTHDECK_HTTP_FWD_H_
 #define JACINTHDECK_HTTP_FWD_H_
 
--- a/src/jacinthdeck/http/header_text.h
+++ b/src/jacinthdeck/http/header_text.h
@@ -1,4 +1,4 @@
-// Text of HTTP heads.
+// Helpers for reading and writing HTTP header text.
 #ifndef JACINTHDECK_HTTP_HEADER_TEXT_H_
 #define JACINTHDECK_HTTP_HEADER_TEXT_H_
 
@@ -8,13 +8,13 @@
 
 namespace jacinthdeck::internal {
 
-/*! \brief The library's text as the standard's. */
+/*! \brief Converts a Boost.Beast string view to a std::string_view. */
 [[nodiscard]] inline std::string_view ToStringView(
     boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
-/*! \brief Appends one header line. */
+/*! \brief Appends the line `name: value` with its line end. */
 inline void AppendHeader(std::string& out,
                          std::string_view name,
                          std::string_view value) {
--- a/src/jacinthdeck/http/hop_headers.cc
+++ b/src/jacinthdeck/http/hop_headers.cc
@@ -1,4 +1,4 @@
-// Tokens and comparison come from Boost.Beast.
+// Recognizes hop-by-hop headers with the token list of Boost.Beast.
 #include "jacinthdeck/http/hop_headers.h"
 
 #include <algorithm>
--- a/src/jacinthdeck/http/hop_headers.h
+++ b/src/jacinthdeck/http/hop_headers.h
@@ -1,4 +1,4 @@
-// Headers that concern one connection only and are never passed on.
+// Hop-by-hop headers, which apply to one connection and are never forwarded.
 #ifndef JACINTHDECK_HTTP_HOP_HEADERS_H_
 #define JACINTHDECK_HTTP_HOP_HEADERS_H_
 
@@ -7,17 +7,19 @@
 namespace jacinthdeck {
 
 /**
- * \brief Tells whether a header ends at the next hop.
- * \param name Name in any case.
- * \param connection Value of the Connection header, which may name more.
+ * \brief Returns whether a header is a hop-by-hop header.
+ * \param name Header name in any case.
+ * \param connection Value of the message's Connection header, which may name
+ * further hop-by-hop headers; may be empty.
  */
 [[nodiscard]] bool IsHopByHopHeader(std::string_view name,
                                     std::string_view connection);
 
-/*! \brief Finds a token in a comma-separated header value, in any case. */
+/*! \brief Returns whether a comma-separated header value contains a token,
+ * compared without case. */
 [[nodiscard]] bool HasToken(std::string_view list, std::string_view token);
 
-/*! \brief Compares header names. */
+/*! \brief Compares two header names without case. */
 [[nodiscard]] bool HeaderNamesEqual(std::string_view left,
                                     std::string_view right);
 
--- a/src/jacinthdeck/http/listening.cc
+++ b/src/jacinthdeck/http/listening.cc
@@ -1,4 +1,4 @@
-// Each step is left out once one has failed.
+// Binds a listening socket; after a failed step the remaining ones are skipped.
 #include "jacinthdeck/http/listening.h"
 
 namespace jacinthdeck {
--- a/src/jacinthdeck/http/listening.h
+++ b/src/jacinthdeck/http/listening.h
@@ -1,4 +1,4 @@
-// Opening the port of a server.
+// Binds the listening socket of a server.
 #ifndef JACINTHDECK_HTTP_LISTENING_H_
 #define JACINTHDECK_HTTP_LISTENING_H_
 
@@ -11,17 +11,17 @@
 namespace jacinthdeck {
 
 /**
- * \brief Opens, binds and listens.
- * \param acceptor A closed one.
- * \param address IPv4 number.
- * \param port 0 lets the kernel pick.
- * \return kUnavailable, naming address and port, if any step fails.
+ * \brief Opens an acceptor, binds it to an address and port, and listens.
+ * \param acceptor Closed acceptor.
+ * \param address IPv4 address in dotted decimal form.
+ * \param port Port; 0 lets the kernel choose one.
+ * \return kUnavailable with address and port as subject if any step fails.
  */
 Result<void> StartListening(tcp::acceptor& acceptor,
                             const std::string& address,
                             std::uint16_t port);
 
-/*! \brief Port that an acceptor listens on; 0 if it is closed. */
+/*! \brief Returns the port on which an acceptor listens; 0 if it is closed. */
 [[nodiscard]] std::uint16_t ListeningPort(const tcp::acceptor& acceptor);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/http/socket_options.cc
+++ b/src/jacinthdeck/http/socket_options.cc
@@ -1,4 +1,4 @@
-// Linux spells some of these options itself.
+// Sets TCP_USER_TIMEOUT, which is specific to Linux, with setsockopt().
 #include "jacinthdeck/http/socket_options.h"
 
 #include <netinet/in.h>
@@ -9,8 +9,9 @@
 
 namespace {
 
-//! Unacknowledged data ends the connection after this time, in milliseconds:
-//! shorter than any caller waits, longer than a lost packet is resent.
+//! Time in milliseconds after which unacknowledged data closes the connection:
+//! shorter than any caller waits, longer than TCP needs to resend a lost
+//! packet.
 constexpr int kUserTimeoutMilliseconds = 4000;
 
 }  // namespace
--- a/src/jacinthdeck/http/socket_options.h
+++ b/src/jacinthdeck/http/socket_options.h
@@ -1,4 +1,4 @@
-// Options of every stream socket.
+// Options set on every connected TCP socket.
 #ifndef JACINTHDECK_HTTP_SOCKET_OPTIONS_H_
 #define JACINTHDECK_HTTP_SOCKET_OPTIONS_H_
 
@@ -7,11 +7,12 @@
 namespace jacinthdeck {
 
 /**
- * \brief Makes a connected socket non-blocking, without delayed small writes,
- * and ends it when a peer stays silent.
+ * \brief Makes a socket non-blocking, disables Nagle's algorithm, and sets a
+ * timeout on unacknowledged data.
  *
- * A peer that lost power answers neither data nor keep-alive probes; without
- * bounds the connection would hang for minutes and hold whatever waits on it.
+ * A peer that lost power acknowledges neither data nor keep-alive probes.
+ * Without a timeout the connection would hang for minutes, and with it every
+ * request that waits on it.
  */
 void SetStreamOptions(tcp::socket& socket);
 
--- a/src/jacinthdeck/http/status.h
+++ b/src/jacinthdeck/http/status.h
@@ -1,8 +1,8 @@
-// The status codes of HTTP that are sent or understood here.
+// HTTP status codes that this project sends or interprets.
 #ifndef JACINTHDECK_HTTP_STATUS_H_
 #define JACINTHDECK_HTTP_STATUS_H_
 
-/*! \brief Status codes by their names in RFC 9110 and RFC 6585. */
+/*! \brief Status codes, named as in RFC 9110 and RFC 6585. */
 namespace jacinthdeck::http_status {
 
 inline constexpr int kOk = 200;
