--- a/src/jacinthdeck/http/target_connection.cc
+++ b/src/jacinthdeck/http/target_connection.cc
@@ -1,4 +1,4 @@
-// Framing and judgement of responses.
+// Writes requests to a target, parses its responses and classifies them.
 #include "jacinthdeck/http/target_connection.h"
 
 #include <algorithm>
@@ -25,15 +25,19 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kReadBufferBytes = 8192;
-//! Bounds on what a target may answer.
+//! Limits on the size of a target's response.
 constexpr std::uint32_t kMaxHeaderBytes = 65536;
 constexpr std::uint64_t kMaxResponseBytes = 64ULL << 20U;
-//! Time for a connection to open: some dozen round trips of the farthest
-//! target. A lost opening packet is resent after a second, which is too late.
+//! Time for a connection to open: about a dozen round trips to the farthest
+//! target. TCP resends a lost SYN only after one second, which is too late to
+//! wait for.
 constexpr Duration kConnectTimeout = milliseconds(300);
-//! Time that an idle connection is used if its target states none.
+//! Idle time after which a connection is no longer used if its target sends no
+//! Keep-Alive timeout.
 constexpr Duration kDefaultIdleTimeout = seconds(4);
-//! Part of a stated idle time: the target's clock started before ours.
+//! Percentage of the target's Keep-Alive timeout for which an idle connection
+//! is used. The target starts to count before its response arrives here, so it
+//! would close the connection before the full timeout has passed.
 constexpr int kIdleTimeoutPercent = 60;
 
 }  // namespace
@@ -144,7 +148,8 @@
 
 void TargetConnection::OnWritten(const SystemError& error) {
   m_writing = false;
-  // A target that answers early closes its side; the read says how it ended.
+  // A write fails if the target responds early and closes its side. The
+  // outstanding read decides how the attempt ends.
   (void)error;
 }
 
@@ -174,7 +179,8 @@
   m_read_buffer.commit(bytes);
   m_pool.CountBytes(m_target, bytes);
   if (m_phase != Phase::kBusy) {
-    // Bytes that no request asked for.
+    // No request is in progress: these bytes must not be taken for the response
+    // to the next one.
     Close();
     return;
   }
@@ -220,7 +226,8 @@
     Close();
     return;
   }
-  // Only an orderly end completes a response without a length.
+  // A response without a length is complete only if the target closes the
+  // connection in an orderly way; after a reset its body may be truncated.
   if (error == asio::error::eof && m_parser->got_some()) {
     SystemError ended;
     m_parser->put_eof(ended);
--- a/src/jacinthdeck/http/target_connection.h
+++ b/src/jacinthdeck/http/target_connection.h
@@ -1,4 +1,4 @@
-// One connection to a target: one request at a time.
+// One HTTP connection to a target; one request at a time.
 #ifndef JACINTHDECK_HTTP_TARGET_CONNECTION_H_
 #define JACINTHDECK_HTTP_TARGET_CONNECTION_H_
 
@@ -18,15 +18,17 @@
 class TargetPool;
 
 /**
- * \brief Sends an attempt, judges what comes back and says how it ended.
+ * \brief Sends attempts one after the other, classifies their responses and
+ * reports the end of each attempt to the pool's sink.
  *
- * A read is outstanding all the time: a target that closes an idle connection,
- * or sends bytes that no request asked for, is noticed before the next request
- * is sent, and those bytes are never taken for its response.
+ * A read is always outstanding. If a target closes an idle connection or sends
+ * bytes that no request asked for, this is noticed before the next request is
+ * sent, and those bytes are never taken for the response to it.
  */
 class TargetConnection : public std::enable_shared_from_this<TargetConnection> {
  public:
-  /*! \brief Makes a connection that is not open; the pool outlives it. */
+  /*! \brief Creates a connection that is not open yet; the pool must outlive
+   * it. */
   TargetConnection(TargetPool& pool, const TargetEntry& target);
 
   [[nodiscard]] const TargetEntry& target() const noexcept { return m_target; }
@@ -35,21 +37,24 @@
     return m_phase_started_at;
   }
 
-  /*! \brief Moment after which the target may close it while it is idle. */
+  /*! \brief Time from which an idle connection is no longer used, because the
+   * target may be about to close it. */
   [[nodiscard]] TimePoint usable_until() const noexcept {
     return m_phase_started_at + m_idle_timeout;
   }
 
-  /*! \brief Opens the connection and sends the attempt on it. */
+  /*! \brief Connects to the target and then sends the attempt. */
   void Open(const OutgoingAttempt& attempt);
 
   /*! \brief Sends an attempt on an idle connection. */
   void Send(const OutgoingAttempt& attempt);
 
-  /*! \brief Ends the connection; an attempt on it gets no end. */
+  /*! \brief Closes the connection and removes it from the pool. The end of an
+   * attempt on it is not reported. */
   void Close();
 
-  /*! \brief Gives up an opening that takes too long. */
+  /*! \brief Fails the attempt if connecting takes too long, and closes the
+   * connection if it has been idle until usable_until(). */
   void CheckTime(TimePoint now);
 
  private:
@@ -69,7 +74,8 @@
   [[nodiscard]] bool IsForeignResponse() const;
   [[nodiscard]] AttemptEnd MakeAttemptEnd() const;
   void ReadIdleTimeout();
-  //! Ends the attempt without a response and the connection with it.
+  //! Closes the connection and reports that its attempt ended without a
+  //! response.
   void FailAttempt(AttemptOutcome outcome, bool connection_lost);
   void ReportEnd(AttemptEnd& end);
 
@@ -77,13 +83,13 @@
   const TargetEntry m_target;
   tcp::socket m_socket;
   Phase m_phase = Phase::kOpening;
-  //! When the phase began.
+  //! Start of the current phase.
   TimePoint m_phase_started_at;
-  //! How long it may stay idle before it is no longer used.
+  //! Idle time after which the connection is no longer used.
   Duration m_idle_timeout;
   boost::beast::flat_buffer m_read_buffer;
   std::optional<Parser> m_parser;
-  //! The attempt under way; has a value exactly while opening or busy.
+  //! Current attempt; has a value exactly in the phases kOpening and kBusy.
   std::optional<OutgoingAttempt> m_attempt;
   std::string m_write_buffer;
   bool m_writing = false;
--- a/src/jacinthdeck/http/target_pool.cc
+++ b/src/jacinthdeck/http/target_pool.cc
@@ -1,4 +1,4 @@
-// Choice of a connection for an attempt.
+// Selects a connection for each attempt and keeps track of all connections.
 #include "jacinthdeck/http/target_pool.h"
 
 #include <algorithm>
@@ -10,8 +10,9 @@
 
 namespace {
 
-//! A request that may not be sent twice only goes over a connection that was in
-//! use this short a time ago: the target is not about to close it.
+//! Maximum idle time of a connection that is reused for a request that must not
+//! be sent twice. A target is not about to close a connection that was in use
+//! so recently; a close would leave it unknown whether the request ran.
 constexpr Duration kMaxAtMostOnceIdle = std::chrono::milliseconds(700);
 
 }  // namespace
@@ -111,7 +112,7 @@
     }
   }
   if (newest == nullptr) {
-    // Make room for a new one.
+    // Closes unusable connections, so that the limit leaves room for a new one.
     for (const auto& connection : stale) {
       connection->Close();
     }
--- a/src/jacinthdeck/http/target_pool.h
+++ b/src/jacinthdeck/http/target_pool.h
@@ -1,4 +1,4 @@
-// Connections to all targets.
+// Pool of the HTTP connections to all targets.
 #ifndef JACINTHDECK_HTTP_TARGET_POOL_H_
 #define JACINTHDECK_HTTP_TARGET_POOL_H_
 
@@ -19,30 +19,35 @@
 
 namespace jacinthdeck {
 
-/*! \brief Counts of a pool since its start. */
+/*! \brief Counters of a pool since its start. */
 struct PoolCounters {
+  //! Connections opened, including those that then failed to connect.
   std::uint64_t opened = 0;
   std::uint64_t open_failures = 0;
-  //! Responses that belonged to an earlier request and were thrown away.
+  //! Responses discarded because they carried the id of another request.
   std::uint64_t foreign_responses = 0;
-  //! Attempts that found no connection free and no room for one more.
+  //! Attempts not sent because all connections to their target were busy and
+  //! the connection limit was reached.
   std::uint64_t limit_refusals = 0;
-  //! Requests and responses, without what the network adds.
+  //! Bytes of requests and responses, without the overhead of the network.
   LinkBytes bytes;
 };
 
 /**
- * \brief Sends attempts over kept connections, within a limit for each target.
+ * \brief Sends attempts over persistent connections, within a connection limit
+ * per target.
  *
- * Everything happens on the thread that runs the event loop.
+ * All functions and callbacks run on the event loop's thread.
  */
 class TargetPool {
  public:
   /**
-   * \brief Makes a pool without connections.
-   * \param domain Failure domain of this host, for counting.
-   * \param sink Told of the ends of attempts; outlives the pool, as loop and
-   * clock do.
+   * \brief Creates a pool without connections; the event loop, clock and sink
+   * must outlive it.
+   * \param protocol Header names used in requests and responses.
+   * \param domain Failure domain of this host; bytes are counted separately for
+   * targets inside and outside it.
+   * \param sink Receives the end of each attempt.
    */
   TargetPool(asio::io_context& loop,
              const Clock& clock,
@@ -59,18 +64,20 @@
     return m_connection_count;
   }
 
-  /*! \brief Sends an attempt; its end is reported later. */
+  /*! \brief Sends an attempt; its end is reported to the sink later, never from
+   * within this call. */
   void Send(const OutgoingAttempt& attempt);
 
-  /*! \brief Ends an attempt and its connection without a report: only a closed
-   * connection makes a target stop its work. */
+  /*! \brief Cancels an attempt without reporting its end and closes its
+   * connection, since a target stops its work only if the connection closes. */
   void Cancel(AttemptId attempt);
 
-  /*! \brief Closes idle connections to targets that are not named. */
+  /*! \brief Closes the idle connections to all targets other than the given
+   * ones. */
   void Retain(std::span<const TargetEntry> targets);
 
-  /*! \brief Ends openings that take too long and connections that idled too
-   * long; called some times a second. */
+  /*! \brief Applies the connect and idle timeouts of all connections; called a
+   * few times per second. */
   void CheckTimes();
 
  private:
@@ -93,7 +100,7 @@
   PoolCounters m_counters;
   std::unordered_map<TargetId, Connections> m_connections;
   std::size_t m_connection_count = 0;
-  //! Attempts on a connection.
+  //! Attempts in progress and the connections they use.
   std::unordered_map<AttemptId, std::shared_ptr<TargetConnection>> m_attempts;
 };
 
--- a/src/jacinthdeck/http/target_pool_sink.h
+++ b/src/jacinthdeck/http/target_pool_sink.h
@@ -1,4 +1,4 @@
-// Receiver of the ends of attempts.
+// Interface through which the target pool reports the ends of attempts.
 #ifndef JACINTHDECK_HTTP_TARGET_POOL_SINK_H_
 #define JACINTHDECK_HTTP_TARGET_POOL_SINK_H_
 
@@ -6,13 +6,14 @@
 
 namespace jacinthdeck {
 
-/*! \brief Gets the end of each attempt once; never from within a call to the
- * pool. */
+/*! \brief Receives the end of each attempt that is not cancelled exactly once,
+ * never from within a call to the pool. */
 class TargetPoolSink {
  public:
   virtual ~TargetPoolSink() = default;
 
-  /*! \brief Takes an end; the response may be moved from. */
+  /*! \brief Handles the end of an attempt.
+   * \param end End of the attempt; its response may be moved from. */
   virtual void OnAttemptEnd(AttemptEnd& end) = 0;
 };
 
--- a/src/jacinthdeck/http/target_protocol.h
+++ b/src/jacinthdeck/http/target_protocol.h
@@ -1,5 +1,5 @@
-// How targets are spoken to beyond plain HTTP: the headers that carry ids, time
-// left, proofs and load.
+// Headers of the protocol between hosts and targets: request ids, remaining
+// time, stamps and load.
 #ifndef JACINTHDECK_HTTP_TARGET_PROTOCOL_H_
 #define JACINTHDECK_HTTP_TARGET_PROTOCOL_H_
 
@@ -11,25 +11,25 @@
 
 namespace jacinthdeck {
 
-/*! \brief Names of headers, and the reading of the one that has a form. */
+/*! \brief Header names, and the parser for the value of the load header. */
 struct TargetProtocol {
-  //! Id of one attempt of a caller; targets send it back.
+  //! Id of one attempt of a caller; the target returns it in its response.
   std::string request_id;
-  //! Milliseconds that the sender still waits.
+  //! Milliseconds for which the sender still waits.
   std::string time_left_ms;
-  //! Id of the target that must run the request; any other refuses.
+  //! Id of the target that must run the request; any other target refuses it.
   std::string expected_target;
-  //! Proof of a target that a response is its own.
+  //! Value by which a target proves that a response is its own.
   std::string stamp;
-  //! Present where the target did not run the request.
+  //! Present in a response if the target did not run the request.
   std::string not_executed;
-  //! Load of the target.
+  //! Current load of the target.
   std::string load;
-  //! Merged answers: the stamps of the parts that are in.
+  //! In merged answers: stamps of the parts that are included.
   std::string part_stamps;
-  //! Merged answers: how many parts are left out.
+  //! In merged answers: number of parts that are missing.
   std::string missing_parts;
-  //! Reads the value of the load header.
+  //! Parses the value of the load header; empty result if it is malformed.
   std::optional<LoadReport> (*read_load)(std::string_view value) = nullptr;
 };
 
--- a/test/jacinthdeck/http/edge_server_test.cc
+++ b/test/jacinthdeck/http/edge_server_test.cc
@@ -1,4 +1,4 @@
-// Tests of the callers' edge against raw sockets.
+// Tests of the HTTP server for callers, with raw sockets as clients.
 #include "jacinthdeck/http/edge_server.h"
 
 #include <memory>
@@ -90,8 +90,9 @@
   BOOST_TEST(requests[1].target == "/2");
 }
 
-// A request with two lengths is read by each hop as it likes; the rest of it
-// would become a request of its own at a target. It is refused whole.
+// Guards against request smuggling: hops disagree on the length of a request
+// with ambiguous framing, and the rest of its body would become a separate
+// request at a target. Such a request is rejected as a whole.
 BOOST_AUTO_TEST_CASE(Request_AmbiguousFraming_IsRejected) {
   for (const char* framing :
        {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -131,8 +132,8 @@
   BOOST_TEST(requests.empty());
 }
 
-// The caller leaves while its request is under way: that is noticed without
-// writing to it, so that its work can be cancelled.
+// A caller disconnects while its request is in progress. The server must notice
+// without writing to it, so that the work for the request can be cancelled.
 BOOST_AUTO_TEST_CASE(Caller_DisconnectsBeforeResponse_HandlerIsNotified) {
   respond_immediately = false;
   {
@@ -168,7 +169,8 @@
   BOOST_TEST(IsClosed(caller));
 }
 
-// A host that stops still answers what comes, and asks each caller to leave.
+// A host that is shutting down still answers requests that arrive, and closes
+// each connection with its response.
 BOOST_AUTO_TEST_CASE(Drain_RequestArrives_IsAnsweredWithClose) {
   tcp::socket caller = Connect();
   SendText(caller, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/test/jacinthdeck/http/loop_fixture.h
+++ b/test/jacinthdeck/http/loop_fixture.h
@@ -1,4 +1,5 @@
-// An event loop that the test steps, and raw sockets at its ends.
+// Fixture with an event loop that the test runs step by step, and helpers for
+// raw sockets.
 #ifndef JACINTHDECK_TEST_HTTP_LOOP_FIXTURE_H_
 #define JACINTHDECK_TEST_HTTP_LOOP_FIXTURE_H_
 
@@ -13,10 +14,10 @@
 
 namespace jacinthdeck {
 
-/*! \brief Steps the loop until something is so; the paused clock rules all
- * timeouts under test. */
+/*! \brief Runs the loop until a condition holds. The timeouts under test follow
+ * a manual clock that only the test advances. */
 struct EventLoopFixture {
-  //! Bound on a test that hangs; never reached by one that passes.
+  //! Real time after which a hanging test fails; passing tests never reach it.
   static constexpr std::chrono::seconds kTestTimeout{20};
 
   asio::io_context loop;
@@ -31,7 +32,8 @@
     }
   }
 
-  //! Reads what is there, without waiting.
+  //! Reads the available bytes without waiting; `ended` is set if the peer has
+  //! closed or reset the connection.
   static std::string ReadSome(tcp::socket& socket, bool& ended) {
     std::array<char, 4096> bytes{};
     SystemError error;
@@ -41,7 +43,8 @@
     return {bytes.data(), count};
   }
 
-  //! Steps the loop until the peer has sent a text or closed.
+  //! Runs the loop until the received bytes contain a text or the peer closes;
+  //! returns all bytes received.
   std::string ReadUntil(tcp::socket& socket, const std::string& text) {
     std::string received;
     bool ended = false;
@@ -52,6 +55,8 @@
     return received;
   }
 
+  //! Runs the loop until the peer closes the connection; fails the test if it
+  //! does not.
   bool IsClosed(tcp::socket& socket) {
     bool ended = false;
     RunUntil([&] {
--- a/test/jacinthdeck/http/target_pool_test.cc
+++ b/test/jacinthdeck/http/target_pool_test.cc
@@ -1,4 +1,4 @@
-// Tests of connections to targets against a socket that the test plays.
+// Tests of the target pool; the test acts as the target on a raw socket.
 #include "jacinthdeck/http/target_pool.h"
 
 #include <memory>
@@ -105,9 +105,10 @@
   BOOST_TEST(pool.counters().opened == 1U);
 }
 
-// A host that stands by has no share of a target's connections. Kept by all
-// such hosts, idle connections take the target past its limit, and it resets
-// those of hosts that have a share; so this one is closed with its answer.
+// A host that may use a target only as a fallback has no share of its
+// connections. If all such hosts kept idle connections, the target would exceed
+// its limit and reset those of hosts that have a share. Such a connection is
+// therefore closed with its response.
 BOOST_AUTO_TEST_CASE(Response_AttemptGivesBackConnection_ConnectionIsClosed) {
   OutgoingAttempt attempt = MakeAttempt();
   attempt.gives_back_connection = true;
@@ -120,8 +121,8 @@
   BOOST_TEST(pool.connections() == 0U);
 }
 
-// The answer to an earlier request is sent twice; the copy arrives where the
-// next response is due. It must not be taken for it.
+// A target sends the response to an earlier request twice, and the copy arrives
+// while the next response is awaited. It must not be taken for that response.
 BOOST_AUTO_TEST_CASE(Response_DuplicateOfEarlierRequest_IsDiscarded) {
   pool.Send(MakeAttempt("r1"));
   tcp::socket target = Accept();
@@ -138,8 +139,8 @@
   BOOST_TEST(pool.counters().foreign_responses == 1U);
 }
 
-// Bytes arrive while no request waits: the connection is closed, so that they
-// are never read as the next response.
+// Bytes arrive while no request is in progress. The connection is closed, so
+// that they are never taken for the next response.
 BOOST_AUTO_TEST_CASE(IdleConnection_UnexpectedBytes_IsClosed) {
   pool.Send(MakeAttempt());
   tcp::socket target = Accept();
@@ -151,8 +152,8 @@
   BOOST_TEST(pool.connections() == 0U);
 }
 
-// A target breaks off in the middle of a body. What came looks like an answer,
-// but is not the whole one.
+// A target closes the connection in the middle of a body. The partial body must
+// not be taken for a complete response.
 BOOST_AUTO_TEST_CASE(Response_Truncated_CountsAsBroken) {
   pool.Send(MakeAttempt());
   tcp::socket target = Accept();
@@ -172,7 +173,8 @@
   BOOST_TEST(WaitForEnd().response.body == "all of it");
 }
 
-// A reset on the way may have cut a body without a length anywhere.
+// A body without a length may be truncated at any point if the connection is
+// reset.
 BOOST_AUTO_TEST_CASE(Response_WithoutLengthIsReset_CountsAsBroken) {
   pool.Send(MakeAttempt());
   tcp::socket target = Accept();
@@ -209,8 +211,8 @@
   BOOST_TEST((WaitForEnd().outcome == AttemptOutcome::kNotSent));
 }
 
-// All kept connections are too old for a claim that must not be sent twice.
-// They are closed to make room, and the claim goes over a new one.
+// All idle connections are too old for a request that must not be sent twice.
+// They are closed to make room, and the request is sent over a new connection.
 BOOST_AUTO_TEST_CASE(Send_AtMostOnceFindsOldConnections_OpensNewOne) {
   pool.Send(MakeAttempt());
   tcp::socket target = Accept();
