--- a/test/jacinthdeck/http/target_pool_test.cc
+++ b/test/jacinthdeck/http/target_pool_test.cc
@@ -105,10 +105,10 @@
   BOOST_TEST(pool.counters().opened == 1U);
 }
 
-// A host that may use a target only as a fallback has no share of its
-// connections. If all such hosts kept idle connections, the target would exceed
-// its limit and reset those of hosts that have a share. Such a connection is
-// therefore closed with its response.
+// A standby host has no share of a target's connections. If all standby hosts
+// kept idle connections, the target would exceed its limit and reset those of
+// hosts that have a share. Such a connection is therefore closed with its
+// response.
 BOOST_AUTO_TEST_CASE(Response_AttemptGivesBackConnection_ConnectionIsClosed) {
   OutgoingAttempt attempt = MakeAttempt();
   attempt.gives_back_connection = true;
--- a/test/platform/codecs_test.cc
+++ b/test/platform/codecs_test.cc
@@ -1,4 +1,4 @@
-// Tests of the platform's formats.
+// Tests of the adapter's codecs for the platform's formats.
 #include <boost/test/unit_test.hpp>
 #include <string>
 
@@ -52,7 +52,7 @@
   BOOST_REQUIRE(split != nullptr);
   BOOST_TEST(split->services.size() == 1U);
   BOOST_TEST((split->repeat == RepeatRule::kAtMostOnce));
-  // A kind that is not known must not be repeated.
+  // A request of an unknown route type must not be repeated.
   BOOST_TEST((config->Find("h", "/c/x")->repeat == RepeatRule::kAtMostOnce));
   BOOST_TEST(config->TargetConnections(ServiceId("s1")) == 30U);
   BOOST_TEST(config->ColdRate(ServiceId("s1")) == 12.5);
@@ -60,7 +60,7 @@
   BOOST_TEST(config->limits().body_bytes == 200U);
 }
 
-// Guards against a bound that is taken for "no bound".
+// Guards against an invalid limit that is taken for "no limit".
 BOOST_AUTO_TEST_CASE(Config_InvalidColdRate_ErrorNamesTheField) {
   for (const std::string bound : {"-1", "\"many\"", "null"}) {
     const auto read = Capture([&] {
@@ -142,7 +142,7 @@
 }
 
 // Guards against a reply of a restored store that is taken for one of the
-// history before: errors name the era too.
+// history before the restore. Replies with an error status carry the era too.
 BOOST_AUTO_TEST_CASE(Era_InReplyOfAnyStatus_IsRead) {
   const StoreCodec codec;
   const auto reply = [](int status, const std::string& era) {
@@ -166,7 +166,8 @@
               StorePosition{StoreEra(2), 5}));
 }
 
-// Guards against a crash, or an era out of nothing, by a header of any bytes.
+// Guards against a crash or an invented era if the header holds arbitrary
+// bytes.
 BOOST_AUTO_TEST_CASE(Era_RandomHeaderBytes_GiveNumberOrCurrentEra) {
   const StoreCodec codec;
   Random random(1);
