--- a/src/jacinthdeck/http/edge_connection.cc
+++ b/src/jacinthdeck/http/edge_connection.cc
@@ -22,7 +22,7 @@
 using internal::ToStringView;
 
 //! Maximum number of bytes per read.
-constexpr std::size_t kReadBufferBytes = 4096;
+constexpr std::size_t kRequestReadBytes = 4096;
 //! Bytes of pipelined requests that are buffered while a request awaits its
 //! response; beyond this the connection stops reading until it is answered.
 constexpr std::size_t kMaxPipelinedBytes = 65536;
@@ -83,7 +83,7 @@
   }
   std::size_t bytes = 0;
   if (!error) {
-    bytes = m_socket.read_some(m_read_buffer.prepare(kReadBufferBytes), error);
+    bytes = m_socket.read_some(m_read_buffer.prepare(kRequestReadBytes), error);
   }
   if (error == asio::error::would_block || error == asio::error::try_again) {
     Read();
--- a/src/jacinthdeck/http/target_connection.cc
+++ b/src/jacinthdeck/http/target_connection.cc
@@ -24,7 +24,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kReadBufferBytes = 8192;
+constexpr std::size_t kResponseReadBytes = 8192;
 //! Limits on the size of a target's response.
 constexpr std::uint32_t kMaxHeaderBytes = 65536;
 constexpr std::uint64_t kMaxResponseBytes = 64ULL << 20U;
@@ -166,7 +166,8 @@
   }
   std::size_t bytes = 0;
   if (!error) {
-    bytes = m_socket.read_some(m_read_buffer.prepare(kReadBufferBytes), error);
+    bytes =
+        m_socket.read_some(m_read_buffer.prepare(kResponseReadBytes), error);
   }
   if (error == asio::error::would_block || error == asio::error::try_again) {
     Read();
