--- a/src/jacinthdeck/http/client_session.h
+++ b/src/jacinthdeck/http/client_session.h
@@ -71,7 +71,8 @@
   [[nodiscard]] bool busy() const noexcept { return m_callback != nullptr; }
 
   /*! \brief Starts a call. The callback is invoked later, never from within
-   * Call(), and exactly once unless the call is aborted. */
+   * Call(), and exactly once unless the call is aborted or the session is
+   * destroyed. */
   void Call(const ClientRequest& request, Duration timeout, Callback callback);
 
   /*! \brief Aborts the current call without invoking its callback and closes
--- a/src/jacinthdeck/http/edge_connection.cc
+++ b/src/jacinthdeck/http/edge_connection.cc
@@ -21,7 +21,7 @@
 using internal::AppendHeader;
 using internal::ToStringView;
 
-//! Maximum number of bytes per read.
+//! Maximum number of bytes per read of a request.
 constexpr std::size_t kRequestReadBytes = 4096;
 //! Bytes of pipelined requests that are buffered while a request awaits its
 //! response; beyond this the connection stops reading until it is answered.
