--- a/soak/stage_store.cc
+++ b/soak/stage_store.cc
@@ -38,7 +38,7 @@
     R"({"outage":"none","delay_ms":0,"lose_reply_share":0})";
 
 [[nodiscard]] std::string EvacuationKey() {
-  return std::string(platform::wire::kEvacuationKeys) + kDomain;
+  return std::string(platform::wire::kEvacuationPrefix) + kDomain;
 }
 
 }  // namespace
--- a/soak/target_main.cc
+++ b/soak/target_main.cc
@@ -140,7 +140,7 @@
         m_options.service.c_str(), "address", address.c_str(), "zone",
         m_options.domain.c_str(), "version", "v1", "slots", kSlots, "state",
         m_leaving ? "draining" : "ready", "coldRemainingMs", 0));
-    const std::string key = std::string(wire::kTargetKeys) + m_options.id;
+    const std::string key = std::string(wire::kTargetPrefix) + m_options.id;
     const JsonPtr message(
         json_pack("{s:[{s:s, s:s, s:i}]}", "put", "key", key.c_str(), "value",
                   DumpJson(*entry).c_str(), "ttl_ms", kLifeMs));
--- a/test/jacinthdeck/entry/entry_node_test.cc
+++ b/test/jacinthdeck/entry/entry_node_test.cc
@@ -137,7 +137,7 @@
 // The kernel picks the port on which others ask; the host told the store the
 // port 0 of its settings, so others dialled a port that nobody listens on.
 BOOST_AUTO_TEST_CASE(Host_PeersPortIsOfTheKernel_RecordNamesTheRealOne) {
-  const std::string key = std::string(platform::wire::kHostKeys) + "h1";
+  const std::string key = std::string(platform::wire::kHostPrefix) + "h1";
   BOOST_TEST(Until([&] { return store.content().Get(key).has_value(); }));
   const auto record =
       Capture([&] { return codec.ReadHost(*store.content().Get(key)->value); });
