--- a/src/jacinthdeck/http/edge_server.cc
+++ b/src/jacinthdeck/http/edge_server.cc
@@ -1,4 +1,4 @@
-// Accepting, with a pause when descriptors run out.
+// Accepts connections and pauses when the process runs out of descriptors.
 #include "jacinthdeck/http/edge_server.h"
 
 #include <utility>
@@ -11,8 +11,9 @@
 
 namespace {
 
-//! Pause after a failed accept, mostly for want of descriptors: without it the
-//! loop would spin on the same connection.
+//! Pause after a failed accept, which is mostly due to a lack of file
+//! descriptors. Without the pause the event loop would retry the same pending
+//! connection continuously.
 constexpr std::chrono::milliseconds kAcceptPause{50};
 
 }  // namespace
@@ -27,8 +28,8 @@
 
 Result<void> EdgeServer::Listen(const std::string& address,
                                 std::uint16_t port,
-                                std::size_t most_connections) {
-  m_most_connections = most_connections;
+                                std::size_t max_connections) {
+  m_max_connections = max_connections;
   BOOST_LEAF_CHECK(StartListening(m_acceptor, address, port));
   Accept();
   return {};
@@ -86,7 +87,7 @@
     });
     return;
   }
-  if (m_connections.size() >= m_most_connections) {
+  if (m_connections.size() >= m_max_connections) {
     ++m_counters.over_limit;
   } else {
     ++m_counters.accepted;
@@ -100,7 +101,7 @@
   Accept();
 }
 
-void EdgeServer::Forget(const EdgeConnection& connection) {
+void EdgeServer::RemoveConnection(const EdgeConnection& connection) {
   m_connections.erase(connection.id());
 }
 
--- a/test/jacinthdeck/http/loop_fixture.h
+++ b/test/jacinthdeck/http/loop_fixture.h
@@ -1,4 +1,5 @@
-// An event loop that the test steps, and raw sockets at its ends.
+// Fixture with an event loop that the test runs step by step, and helpers for
+// raw sockets.
 #ifndef JACINTHDECK_TEST_HTTP_LOOP_FIXTURE_H_
 #define JACINTHDECK_TEST_HTTP_LOOP_FIXTURE_H_
 
@@ -13,25 +14,26 @@
 
 namespace jacinthdeck {
 
-/*! \brief Steps the loop until something is so; the paused clock rules all
- * timeouts under test. */
-struct LoopFixture {
-  //! Bound on a test that hangs; never reached by one that passes.
-  static constexpr std::chrono::seconds kHang{20};
+/*! \brief Runs the loop until a condition holds. The timeouts under test follow
+ * a manual clock that only the test advances. */
+struct EventLoopFixture {
+  //! Real time after which a hanging test fails; passing tests never reach it.
+  static constexpr std::chrono::seconds kTestTimeout{20};
 
   asio::io_context loop;
   ManualClock clock;
 
-  void Until(const std::function<bool()>& done) {
-    const auto end = std::chrono::steady_clock::now() + kHang;
-    while (!done()) {
+  void RunUntil(const std::function<bool()>& is_done) {
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
+    while (!is_done()) {
       BOOST_REQUIRE(std::chrono::steady_clock::now() < end);
       loop.restart();
       loop.run_one_for(std::chrono::milliseconds(5));
     }
   }
 
-  //! Reads what is there, without waiting.
+  //! Reads the available bytes without waiting; `ended` is set if the peer has
+  //! closed or reset the connection.
   static std::string ReadSome(tcp::socket& socket, bool& ended) {
     std::array<char, 4096> bytes{};
     SystemError error;
@@ -41,20 +43,23 @@
     return {bytes.data(), count};
   }
 
-  //! Steps the loop until the peer has sent a text or closed.
+  //! Runs the loop until the received bytes contain a text or the peer closes;
+  //! returns all bytes received.
   std::string ReadUntil(tcp::socket& socket, const std::string& text) {
-    std::string all;
+    std::string received;
     bool ended = false;
-    Until([&] {
-      all += ReadSome(socket, ended);
-      return ended || all.find(text) != std::string::npos;
+    RunUntil([&] {
+      received += ReadSome(socket, ended);
+      return ended || received.find(text) != std::string::npos;
     });
-    return all;
+    return received;
   }
 
+  //! Runs the loop until the peer closes the connection; fails the test if it
+  //! does not.
   bool IsClosed(tcp::socket& socket) {
     bool ended = false;
-    Until([&] {
+    RunUntil([&] {
       (void)ReadSome(socket, ended);
       return ended;
     });
