--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -1,4 +1,5 @@
-// Start, and the traffic between callers, decisions and targets.
+// Start-up, the periodic tick, and the calls that pass between the callers, the
+// forwarder and the target pool.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <unistd.h>
@@ -18,25 +19,27 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! Precision of the timeouts of openings, idle connections and held removals.
+//! Interval of the tick. It is the precision of the timeouts of connection
+//! attempts, idle connections and delayed removals.
 constexpr Duration kTick = milliseconds(100);
-//! The same until a configuration is known: whom to learn it from is decided in
-//! a tick, and a host without one turns callers away.
+//! Interval of the tick while no configuration is known. The tick decides which
+//! host to learn it from, and a host without one rejects callers.
 constexpr Duration kStartTick = milliseconds(10);
-//! Time after the start for which that is worth its wake-ups: then the store is
-//! away, and a tenth of a second more changes nothing.
+//! Time after the start in which the shorter interval justifies its wake-ups.
+//! After that the store is unavailable, and a delay of another 100 ms does not
+//! matter.
 constexpr Duration kStartSpan = milliseconds(500);
-//! Between two lines on calls to the store and bytes.
+//! Interval of the log line on store calls and transferred bytes.
 constexpr Duration kTrafficEvery = seconds(10);
-//! A tick later than this means that the process stood still.
+//! Time between two ticks above which the process is taken to have been paused.
 constexpr Duration kPause = milliseconds(700);
-//! Descriptors kept for targets, the store and files.
+//! File descriptors reserved for targets, the store and files.
 constexpr std::uint32_t kOwnDescriptors = 600;
 constexpr std::size_t kSmallPortConnections = 128;
-//! How long a higher count of hosts is remembered: one that fell silent may
-//! only be cut off, and still spend its share.
+//! How long a higher host count stays in effect. A host that is no longer heard
+//! from may only be partitioned, and still use its share of the limits.
 constexpr Duration kHostWindow = seconds(25);
-//! Hosts of which nothing is known yet when this one starts.
+//! Host count that is assumed at start-up, before any host is known.
 constexpr std::uint32_t kLeastHosts = 1;
 
 [[nodiscard]] std::uint64_t UnixMilliseconds() {
@@ -114,8 +117,9 @@
       m_stop_timer(m_loop) {}
 
 Result<void> EntryNode::Start() {
-  // Before anyone can know that this process is there: a SIGHUP that found no
-  // handler would end it, and a SIGTERM would cut the first requests.
+  // The handlers are installed before the ports open. Without one, a SIGHUP
+  // would end the process, and a SIGTERM would cut off the first requests.
+  // Nobody can know of the process and signal it before this point.
   WaitForSignal();
   const std::uint32_t most = m_settings.descriptors > 2 * kOwnDescriptors
                                  ? m_settings.descriptors - kOwnDescriptors
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -1,5 +1,5 @@
-// A host of the tier: its ports, its knowledge and its decisions on one event
-// loop.
+// The server of one host: its listening ports, discovery state and routing
+// decisions, all on one event loop.
 #ifndef JACINTHDECK_ENTRY_ENTRY_NODE_H_
 #define JACINTHDECK_ENTRY_ENTRY_NODE_H_
 
@@ -32,12 +32,13 @@
 namespace jacinthdeck {
 
 /**
- * \brief Joins edges, forwarder, pool and store session.
+ * \brief Connects the listening servers, the forwarder, the target pool and the
+ * store session of a host.
  *
- * All of it runs on the thread that calls Run(); only the log has a thread of
- * its own, since writing it may wait. A request passes from socket to socket
- * without a change of threads: each change would cost two wake-ups for each of
- * the dozens of messages of one query.
+ * Everything runs on the thread that calls Run(). Only the log has its own
+ * thread, because writing it may block. A request passes from socket to socket
+ * without changing threads: each change would cost two wake-ups for each of the
+ * dozens of messages of one query.
  */
 class EntryNode final : private CallerSink,
                         private ForwardPort,
@@ -47,20 +48,22 @@
  public:
   EntryNode(EntrySettings settings, EntryProtocol protocol);
 
-  /*! \brief Opens the ports and begins to read the store. */
+  /*! \brief Opens the ports and starts reading the store. */
   [[nodiscard]] Result<void> Start();
 
-  /*! \brief Serves until it has stopped by a signal. */
+  /*! \brief Serves requests until a signal has stopped the host. */
   void Run();
 
-  /*! \brief Called when the process is asked to read its settings again. */
+  /*! \brief Sets the function that is called on SIGHUP, to reload the settings.
+   */
   void OnReload(std::function<void()> reload) { m_reload = std::move(reload); }
 
-  /*! \brief Takes settings that may change while it runs. */
+  /*! \brief Applies the settings that may change at runtime. */
   void Apply(const EntrySettings& settings);
 
  private:
-  // Ends of the parts, in entry_node.cc and entry_node_knowledge.cc.
+  // Callbacks from the components, defined in entry_node.cc and
+  // entry_node_knowledge.cc.
   void OnCall(ForwardCall call) override;
   void OnCallerLeft(CallId call,
                     const std::string& request_id,
@@ -88,33 +91,34 @@
   void OnRegistration(StoreStatus status) override;
 
   void TakeHosts(TimePoint now);
-  //! Chooses who keeps this host's record, and has it kept.
+  //! Chooses which host writes this host's record to the store, and publishes
+  //! the record if that choice changed.
   void KeepRecord(TimePoint now);
   void TellRecord();
   void TakeTyped(const DiscoveryChange& change, TimePoint now);
 
-  // In entry_node_answers.cc.
+  // Defined in entry_node_answers.cc.
   [[nodiscard]] EdgeResponse AnswerReady(const EdgeRequest& request) const;
   [[nodiscard]] EdgeResponse AnswerDirectory(const EdgeRequest& request) const;
   [[nodiscard]] EdgeResponse AnswerMetrics(const EdgeRequest& request) const;
   [[nodiscard]] std::string AnswerStatus() const;
   [[nodiscard]] bool IsReady() const;
 
-  // In entry_node.cc.
+  // Defined in entry_node.cc.
   void ArmDecisions();
   void OnDecisionTimer();
   void Tick();
   void TellReadiness();
   void TellTraffic(TimePoint now);
-  // In entry_node_stop.cc.
+  // Defined in entry_node_stop.cc.
   void WaitForSignal();
   void OnSignal(int signal);
   void BeginStop();
   void Stop();
-  // In entry_node_knowledge.cc.
+  // Defined in entry_node_knowledge.cc.
   [[nodiscard]] HostRecord OwnRecord() const;
-  //! What of the own record the settings say: all that may be asked before the
-  //! ports and their servers exist.
+  //! Returns the part of this host's record that comes from the settings. Only
+  //! this part may be requested before the ports and their servers exist.
   [[nodiscard]] HostRecord SettledRecord() const;
   [[nodiscard]] Duration KnowledgeAge() const;
 
@@ -143,23 +147,23 @@
   RecordWriterChoice m_record_writer;
   TypedService m_typed;
   EdgeServer m_queries;
-  //! Hosts that callers are sent to.
+  //! Hosts that the directory sends callers to.
   std::vector<HostRecord> m_fronts;
-  //! Their number over a while.
+  //! Highest number of hosts that served callers within a time window.
   HostCountWindow m_front_count;
   LoopLag m_lag;
   asio::steady_timer m_decision_timer;
-  //! When the decision timer is set to; max() while it is not.
+  //! Expiry of the decision timer; max() while it is not armed.
   TimePoint m_decision_at = TimePoint::max();
   asio::steady_timer m_tick;
   TimePoint m_ticked;
-  //! When the traffic is told next.
+  //! Time of the next log line on traffic.
   TimePoint m_traffic_at;
   asio::steady_timer m_stop_timer;
   std::function<void()> m_reload;
-  //! When the callers' ports were closed; the epoch while they are open.
+  //! When the ports for callers were closed; the epoch while they are open.
   TimePoint m_ports_closed;
-  //! Callers are sent to this host.
+  //! Whether the directory sends callers to this host.
   bool m_is_front = false;
   bool m_stopping = false;
   bool m_told_ready = false;
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -1,4 +1,5 @@
-// What the host learns and what it tells others of itself.
+// Applies discovery changes to the host's components and publishes the host's
+// own record.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <algorithm>
@@ -13,14 +14,15 @@
 
 using std::chrono::milliseconds;
 
-//! How long a record outlives its host: callers are sent to a dead host for
-//! that long at most.
+//! Lease of the record of a host that serves callers. Callers are sent to a dead
+//! host for at most this long.
 constexpr Duration kFrontLease = milliseconds(3500);
-//! The same of a host that no callers are sent to.
+//! Lease of the record of a host that no callers are sent to.
 constexpr Duration kStandbyLease = milliseconds(9000);
 
-//! Tells whether typed calls keep away from a target. They do not count what it
-//! gets from all hosts, so that one with a bound gets none while it is cold.
+//! Returns whether typed calls avoid a target. They do not count the requests
+//! that it gets from all hosts, so a target whose service limits the rate of cold
+//! targets gets no typed calls while it is cold.
 [[nodiscard]] bool IsAvoided(const TargetEntry& entry,
                              const DiscoveryState& discovery_state,
                              TimePoint now) {
@@ -29,7 +31,7 @@
   return !entry.AcceptsRequests() || (bounded && entry.IsCold(now));
 }
 
-//! The registry's targets in the terms of typed calls.
+//! Converts the targets of the discovery state for the typed calls.
 [[nodiscard]] std::vector<TargetInfo> TargetInfosOf(
     const DiscoveryState& discovery_state,
     TimePoint now) {
@@ -139,8 +141,9 @@
   m_is_front = std::ranges::find(m_fronts, m_settings.name,
                                  &HostRecord::name) != m_fronts.end();
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
-  // A front that dies must not be named for long; of the others only the
-  // budget of calls to the store matters.
+  // A host that serves callers gets a short lease, so that the directory stops
+  // listing it soon after it dies. For the other hosts only the number of calls
+  // to the store matters.
   const bool small = hosts.size() <= kSmallFleetSize;
   m_store.SetLeaseDuration(m_is_front || small ? kFrontLease : kStandbyLease);
   m_feed.SetServesCallers(m_is_front || small);
