--- a/src/jacinthdeck/entry/caller_handler.h
+++ b/src/jacinthdeck/entry/caller_handler.h
@@ -1,4 +1,4 @@
-// Joins the callers' connections to the forwarder.
+// Connects the callers' connections to the forwarder.
 #ifndef JACINTHDECK_ENTRY_CALLER_HANDLER_H_
 #define JACINTHDECK_ENTRY_CALLER_HANDLER_H_
 
@@ -20,21 +20,23 @@
 
 namespace jacinthdeck {
 
-/*! \brief Takes what becomes of callers' requests. */
+/*! \brief Receives the calls of callers and is notified of callers that leave.
+ */
 class CallerSink {
  public:
   virtual ~CallerSink() = default;
 
-  /*! \brief A request came. */
+  /*! \brief Called for each request that was received. */
   virtual void OnCall(ForwardCall call) = 0;
 
-  /*! \brief The caller of a request left. */
+  /*! \brief Called when a caller disconnects before its answer.
+   * \param after Time since the request arrived. */
   virtual void OnCallerLeft(CallId call,
                             const std::string& request_id,
                             Duration after) = 0;
 };
 
-/*! \brief One request that waits for its answer. */
+/*! \brief The connection of a caller that waits for an answer. */
 struct WaitingCaller {
   std::shared_ptr<EdgeConnection> connection;
   std::string request_id;
@@ -42,7 +44,8 @@
 };
 
 /**
- * \brief Reads requests into calls and writes answers to where they came from.
+ * \brief Converts requests to calls and keeps the connection of each call until
+ * it is answered.
  */
 class CallerHandler final : public EdgeHandler {
  public:
@@ -55,13 +58,13 @@
                  TimePoint arrived) override;
   void OnLeft(EdgeConnection& connection) override;
 
-  /*! \brief Callers that wait for an answer. */
+  /*! \brief Returns the number of callers that wait for an answer. */
   [[nodiscard]] std::size_t waiting() const noexcept {
     return m_waiting.size();
   }
 
-  /*! \brief Takes a caller off the list, to answer it; its connection is null
-   * if it has left. */
+  /*! \brief Removes and returns the waiting caller of a call. Its connection is
+   * null if the caller has left. */
   [[nodiscard]] WaitingCaller Take(CallId call);
 
  private:
@@ -72,7 +75,7 @@
   CallerSink& m_sink;
   std::uint64_t m_next_call = 1;
   std::unordered_map<CallId, WaitingCaller> m_waiting;
-  //! Call of each connection that waits.
+  //! Call that is open on each connection.
   std::unordered_map<const EdgeConnection*, CallId> m_by_connection;
 };
 
--- a/src/jacinthdeck/entry/entry_node_answers.cc
+++ b/src/jacinthdeck/entry/entry_node_answers.cc
@@ -1,4 +1,5 @@
-// Answers to the platform, to operators and to callers that look for a host.
+// Answers to readiness probes of the platform, to directory requests of
+// callers, and to requests for metrics and status.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <string_view>
@@ -12,7 +13,7 @@
 
 namespace {
 
-//! The callers' addresses that one directory answer holds.
+//! Maximum number of host addresses in one directory answer.
 constexpr std::size_t kMostAddresses = 64;
 
 [[nodiscard]] EdgeResponse Plain(int status) {
@@ -39,7 +40,8 @@
   DirectoryRequest question;
   question.caller_domain = m_protocol.read_directory_call(request.target);
   question.self = OwnRecord();
-  // A host that knows no front yet names itself rather than nobody.
+  // While no host that serves callers is known, this host lists itself, because
+  // the answer would otherwise be empty.
   question.self_accepts_callers = IsReady() && (m_is_front || m_fronts.empty());
   question.max_addresses = kMostAddresses;
   const std::vector<std::string> addresses =
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -14,15 +14,15 @@
 
 using std::chrono::milliseconds;
 
-//! Lease of the record of a host that serves callers. Callers are sent to a dead
-//! host for at most this long.
+//! Lease of the record of a host that serves callers. Callers are sent to a
+//! dead host for at most this long.
 constexpr Duration kFrontLease = milliseconds(3500);
 //! Lease of the record of a host that no callers are sent to.
 constexpr Duration kStandbyLease = milliseconds(9000);
 
 //! Returns whether typed calls avoid a target. They do not count the requests
-//! that it gets from all hosts, so a target whose service limits the rate of cold
-//! targets gets no typed calls while it is cold.
+//! that it gets from all hosts, so a target whose service limits the rate of
+//! cold targets gets no typed calls while it is cold.
 [[nodiscard]] bool IsAvoided(const TargetEntry& entry,
                              const DiscoveryState& discovery_state,
                              TimePoint now) {
--- a/src/jacinthdeck/entry/entry_node_stop.cc
+++ b/src/jacinthdeck/entry/entry_node_stop.cc
@@ -1,4 +1,4 @@
-// Signals, and the end without a cut request.
+// Signal handling, and the graceful stop that does not cut off requests.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <signal.h>
@@ -14,9 +14,9 @@
 
 using std::chrono::milliseconds;
 
-//! Time kept back at the end of the grace for the last answers.
+//! Part at the end of the grace period that is reserved for the last answers.
 constexpr Duration kStopMargin = milliseconds(900);
-//! Time for the requests that were on their way when the ports closed.
+//! Minimum time after the ports closed, for requests that were in transit then.
 constexpr Duration kSettle = milliseconds(250);
 
 }  // namespace
@@ -57,8 +57,9 @@
       .Milliseconds("grace_ms", m_settings.grace);
   m_log.Add(std::move(line));
   TellReadiness();
-  // Callers keep a directory answer for a while, and some for longer, so the
-  // port stays open and requests are served until the end of the grace.
+  // Callers cache a directory answer for its time to live, and some for longer.
+  // The port therefore stays open, and requests are served, until the end of
+  // the grace period.
   m_stop_timer.expires_after(
       std::max(m_settings.grace - kStopMargin, Duration::zero()));
   m_stop_timer.async_wait([this](const SystemError& ended) {
@@ -68,9 +69,10 @@
   });
 }
 
-// A caller whose connection is refused goes elsewhere; one whose connection
-// ends after it was accepted cannot know whether its request was read. So the
-// ports close first, and what was accepted has time to be answered.
+// A caller whose connection is refused tries another host. A caller whose
+// connection is closed after it was accepted cannot know whether its request
+// was read. Therefore the ports close first, and requests on accepted
+// connections get time to be answered.
 void EntryNode::Stop() {
   const TimePoint now = m_clock.Now();
   if (m_ports_closed == TimePoint{}) {
--- a/src/jacinthdeck/entry/entry_protocol.h
+++ b/src/jacinthdeck/entry/entry_protocol.h
@@ -1,4 +1,4 @@
-// What an entry is given by the platform it runs on.
+// Message formats and paths of the platform that a host runs on.
 #ifndef JACINTHDECK_ENTRY_ENTRY_PROTOCOL_H_
 #define JACINTHDECK_ENTRY_ENTRY_PROTOCOL_H_
 
@@ -13,18 +13,18 @@
 
 namespace jacinthdeck {
 
-/*! \brief Formats of the platform, joined for an entry. */
+/*! \brief Collects the platform's formats and paths that an EntryNode needs. */
 struct EntryProtocol {
   TargetProtocol targets;
-  //! Never null; outlives the entry.
+  //! Reads and writes store entries; never null, must outlive the EntryNode.
   const PlatformCodec* codec = nullptr;
-  //! Path that the platform asks for readiness.
+  //! Path of the platform's readiness probe.
   std::string ready_path;
-  //! Path that callers ask for hosts.
+  //! Path at which callers request the addresses of hosts.
   std::string directory_path;
-  //! Finds the caller's failure domain in the directory call's target.
+  //! Parses the caller's failure domain from the target of a directory request.
   FailureDomain (*read_directory_call)(const std::string& target) = nullptr;
-  //! Builds the directory's answer.
+  //! Builds the answer to a directory request.
   EdgeResponse (*write_directory_answer)(
       const std::vector<std::string>& addresses,
       Duration ttl) = nullptr;
--- a/src/jacinthdeck/entry/feed_hub.cc
+++ b/src/jacinthdeck/entry/feed_hub.cc
@@ -1,4 +1,5 @@
-// Does what the choice says.
+// Carries out the actions of the feeder selection, and passes changes between
+// the store session, the feeder and the followers.
 #include "jacinthdeck/entry/feed_hub.h"
 
 #include <chrono>
@@ -8,7 +9,8 @@
 
 namespace {
 
-//! Between two signs of life to followers; FeederSelector counts on it.
+//! Interval of the heartbeats to followers. The timeouts of FeederSelector rely
+//! on it.
 constexpr Duration kBeatEvery = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -68,7 +70,9 @@
     m_link.Open(*actions.open_link_to, {m_name, m_store.position(), m_told});
   }
   TellRecord();
-  // Whoever feeds, a host that knows nothing must not go on knowing nothing.
+  // A host that has no content yet although its link is steady watches the
+  // store itself. Otherwise it would stay without content, whichever host feeds
+  // it.
   const bool knows_nothing =
       !m_store.loaded() && m_choice.IsLinkSteady(m_clock.Now());
   m_store.SetWatching(actions.watch_store || knows_nothing ||
@@ -80,8 +84,9 @@
   TellRecord();
 }
 
-// Each feeder that is told writes the record, and all hosts hear of each write:
-// one that is left again at once is not told.
+// Each feeder that receives the record writes it to the store, and each write
+// is sent to all hosts. The record is therefore sent only once the link is
+// steady, so that a feeder that is left again at once does not write it.
 void FeedHub::TellRecord() {
   if (m_told == m_record || !m_choice.IsLinkSteady(m_clock.Now())) {
     return;
@@ -125,7 +130,8 @@
 void FeedHub::OnFeedHeartbeat(const FeedHeartbeat& beat) {
   FeedHeartbeat taken = beat;
   if (beat.position.era < m_store.position().era) {
-    // Whenever it heard the store, it was before the store came back.
+    // The feeder last heard from the store before the restore that began the
+    // current era, so its age says nothing about the current content.
     taken.age.reset();
   }
   m_choice.OnHeartbeat(taken, m_clock.Now());
--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -1,4 +1,5 @@
-// Joins the store session to the hosts that this one learns from and teaches.
+// Connects the store session to the feeder that this host gets store changes
+// from and to the followers that it sends them to.
 #ifndef JACINTHDECK_ENTRY_FEED_HUB_H_
 #define JACINTHDECK_ENTRY_FEED_HUB_H_
 
@@ -18,7 +19,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Told when the host begins or ends to learn from another one. */
+/*! \brief Is notified when the feed from another host is opened or ends. */
 class FeedHubObserver {
  public:
   virtual ~FeedHubObserver() = default;
@@ -28,14 +29,17 @@
 };
 
 /**
- * \brief Keeps the knowledge fresh: from a watcher while that one is fresh,
- * else from the store.
+ * \brief Keeps the discovery state current.
+ *
+ * The changes come from a feeder while that one is up to date, otherwise from a
+ * watch of the store. The hub passes all changes on to its followers.
  */
 class FeedHub final : private FeedSource,
                       private FeedLinkSink,
                       private FollowerObserver {
  public:
-  /*! \brief Makes a hub; all that it is given outlives it. */
+  /*! \brief Constructs a hub. All objects passed by reference must outlive it.
+   */
   FeedHub(asio::io_context& loop,
           const Clock& clock,
           StoreSession& store,
@@ -52,39 +56,39 @@
   [[nodiscard]] std::size_t followers() const noexcept {
     return m_server.followers();
   }
-  /*! \brief Tells whether a feeder is heard. */
+  /*! \brief Returns whether a feeder is connected and sends messages. */
   [[nodiscard]] bool IsLinked() const {
     return m_choice.IsLinked(m_clock.Now());
   }
 
-  /*! \brief Has this host's record kept in the store by its feeder, or no
-   * longer.
-   * \param value As the store holds it; empty: no longer. */
+  /*! \brief Sets the record that the feeder keeps in the store for this host.
+   * \param value The record as stored; empty to end the delegation. */
   void SetRecord(std::string value);
 
-  /*! \brief Opens the port on which other hosts ask. */
+  /*! \brief Opens the port for followers. */
   [[nodiscard]] Result<void> Listen(const Endpoint& endpoint);
 
-  /*! \brief Bytes from feeders since the start. */
+  /*! \brief Returns the bytes received from feeders since the start. */
   [[nodiscard]] const LinkBytes& received() const noexcept {
     return m_received;
   }
 
-  /*! \brief Sends the followers to other feeders: this host stops. */
+  /*! \brief Directs the followers to other feeders, because this host stops. */
   void Drain() { m_server.Drain(); }
 
-  /*! \brief Says whether callers are sent to this host. */
+  /*! \brief Sets whether callers are sent to this host. */
   void SetServesCallers(bool serves) { m_choice.SetServesCallers(serves); }
 
-  /*! \brief Takes the hosts that are known. */
+  /*! \brief Sets the known hosts, from which feeders are selected. */
   void OnHosts(const std::vector<HostRecord>& hosts);
 
-  /*! \brief Hands changes of the store's content on. */
+  /*! \brief Publishes changes of the store's content to the followers. */
   void OnContent(const std::vector<StoreChange>& changes,
                  const StorePosition& position,
                  bool whole);
 
-  /*! \brief Acts on time that has passed; called some times a second. */
+  /*! \brief Sends due heartbeats and opens or closes the link to a feeder; must
+   * be called several times a second. */
   void Tick();
 
  private:
@@ -97,7 +101,7 @@
   void OnFollowerHello(const FeedHello& hello) override;
   void OnFollowerLeft(const HostId& host) override;
   void TellRecord();
-  //! Counts what the link received since the last time.
+  //! Adds the bytes that the link received since the last call to the counters.
   void CountReceived();
 
   const Clock& m_clock;
@@ -109,9 +113,10 @@
   FeederSelector m_choice;
   TimePoint m_beat_at;
   LinkBytes m_received;
-  //! What the feeder is to keep in the store for this host; empty: nothing.
+  //! Record that the feeder is to keep in the store for this host; empty if
+  //! none.
   std::string m_record;
-  //! What the present feeder was told of that.
+  //! Record that was last sent to the current feeder; empty if none.
   std::string m_told;
 };
 
--- a/src/jacinthdeck/entry/fwd.h
+++ b/src/jacinthdeck/entry/fwd.h
@@ -1,4 +1,5 @@
-// Forward declarations of the entry module: a host of the tier as one process.
+// Forward declarations of the entry module, which runs a host of the query tier
+// as one process.
 #ifndef JACINTHDECK_ENTRY_FWD_H_
 #define JACINTHDECK_ENTRY_FWD_H_
 
--- a/src/jacinthdeck/entry/loop_lag.h
+++ b/src/jacinthdeck/entry/loop_lag.h
@@ -1,4 +1,4 @@
-// Tells whether the process gets too little processor for its work.
+// Detects that the process gets too little processor time for its work.
 #ifndef JACINTHDECK_ENTRY_LOOP_LAG_H_
 #define JACINTHDECK_ENTRY_LOOP_LAG_H_
 
@@ -8,27 +8,30 @@
 namespace jacinthdeck {
 
 /**
- * \brief Watches how late a regular timer fires.
+ * \brief Measures how late a periodic timer fires, and derives whether the host
+ * is busy.
  *
- * A host whose processor is the bottleneck answers everything late, and looks
- * to its callers like slow targets. Its timers are late by the work that waits
- * in the loop. The verdict changes slowly, since each change is told to all
- * hosts.
+ * A host whose processor is the bottleneck answers everything late, which to
+ * its callers looks like slow targets. Its timers are late by the work that is
+ * queued in the loop. The busy state changes slowly, because each change is
+ * sent to all hosts.
  */
 class LoopLag {
  public:
-  //! Mean lateness from which the host is busy: a tenth of a usual objective.
+  //! Mean delay above which the host becomes busy: a tenth of a usual latency
+  //! objective.
   static constexpr Duration kBusyAbove = std::chrono::milliseconds(12);
-  //! Mean lateness below which it is no longer.
+  //! Mean delay below which the host is no longer busy.
   static constexpr Duration kFreeBelow = std::chrono::milliseconds(3);
-  //! A verdict stands at least this long.
+  //! Minimum time between two changes of the busy state.
   static constexpr Duration kHold = std::chrono::seconds(5);
 
   [[nodiscard]] bool busy() const noexcept { return m_busy; }
 
   /**
-   * \brief Takes one firing of the timer.
-   * \return True if the verdict changed.
+   * \brief Adds one expiry of the timer.
+   * \param late Time between the due and the actual expiry.
+   * \return True if the busy state changed.
    */
   bool Add(Duration late, TimePoint now) noexcept {
     m_late.Add(static_cast<double>(late.count()));
@@ -44,7 +47,7 @@
   }
 
  private:
-  //! Firings that the mean remembers: two seconds of ticks.
+  //! Number of expiries that the mean covers: two seconds of ticks.
   static constexpr std::uint32_t kMemory = 20;
 
   DecayingAverage m_late{kMemory};
--- a/src/jacinthdeck/entry/simple_handler.h
+++ b/src/jacinthdeck/entry/simple_handler.h
@@ -1,4 +1,4 @@
-// Answers requests at once by a function.
+// Handler that answers each request synchronously with a function.
 #ifndef JACINTHDECK_ENTRY_SIMPLE_HANDLER_H_
 #define JACINTHDECK_ENTRY_SIMPLE_HANDLER_H_
 
@@ -11,7 +11,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Handler of the small ports: readiness, directory, metrics. */
+/*! \brief Handles requests for readiness, the directory and metrics. */
 class SimpleHandler final : public EdgeHandler {
  public:
   using Answer = std::function<EdgeResponse(const EdgeRequest&)>;
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -1,5 +1,5 @@
-// Tests of where a host's knowledge comes from, over loopback sockets. Times of
-// the host are those of a clock that the test advances.
+// Tests over loopback sockets of whether a host gets the store's content from a
+// feeder or from the store. The host uses a clock that the test advances.
 #include "jacinthdeck/entry/feed_hub.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! A feeder that heard the store a moment ago, as it says.
+//! Source of a feeder that reports that it heard from the store 1 ms ago.
 struct FreshSource final : FeedSource {
   StorePosition position = At(1);
 
@@ -63,7 +63,7 @@
   void OnFollowerHello(const FeedHello& /*hello*/) override {}
   void OnFollowerLeft(const HostId& /*host*/) override {}
 
-  //! Begins with the feeder as the only host that is known.
+  //! Starts the hub with the feeder as its only seed.
   void Begin() {
     BOOST_REQUIRE(static_cast<bool>(feeder.Listen("127.0.0.1", 0)));
     HostRecord self;
@@ -88,7 +88,8 @@
     }
   }
 
-  //! Calls to the store in a while, once all is settled.
+  //! Returns the number of calls to the store during five changes of its
+  //! content, after 3 s for the links to settle.
   [[nodiscard]] std::uint64_t CallsWhenSettled() {
     RunFor(seconds(3));
     const std::uint64_t before = Calls();
@@ -116,8 +117,8 @@
   BOOST_TEST(CallsWhenSettled() == 0U);
 }
 
-// Guards against a host that relies on a feeder which has not heard of a
-// restored store, and learns nothing of the new era.
+// Guards against a host that relies on a feeder that has not heard of a restore
+// of the store, and therefore does not learn of the new era.
 BOOST_AUTO_TEST_CASE(Beat_IsOfAnEraBefore_StoreIsAsked) {
   Begin();
   session.ApplyPeerContent({}, At(1, 2), true);
