--- a/src/jacinthdeck/entry/caller_handler.cc
+++ b/src/jacinthdeck/entry/caller_handler.cc
@@ -13,19 +13,19 @@
 namespace {
 
 //! Longest time until the deadline that a caller can request, in milliseconds.
-constexpr std::int64_t kMostMilliseconds = 3'600'000;
+constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 
 //! Returns when the caller stops waiting; max() if the text is empty, not a
 //! number or negative.
 [[nodiscard]] TimePoint DeadlineOf(std::string_view text, TimePoint arrived) {
-  std::int64_t wanted = 0;
+  std::int64_t requested_ms = 0;
   const char* end = text.data() + text.size();
-  const auto read = std::from_chars(text.data(), end, wanted);
-  if (text.empty() || read.ec != std::errc() || wanted < 0) {
+  const auto parsed = std::from_chars(text.data(), end, requested_ms);
+  if (text.empty() || parsed.ec != std::errc() || requested_ms < 0) {
     return TimePoint::max();
   }
   return arrived +
-         std::chrono::milliseconds(std::min(wanted, kMostMilliseconds));
+         std::chrono::milliseconds(std::min(requested_ms, kMaxDeadlineMs));
 }
 
 }  // namespace
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -21,26 +21,26 @@
 
 //! Interval of the tick. It is the precision of the timeouts of connection
 //! attempts, idle connections and delayed removals.
-constexpr Duration kTick = milliseconds(100);
+constexpr Duration kTickInterval = milliseconds(100);
 //! Interval of the tick while no configuration is known. The tick decides which
 //! host to learn it from, and a host without one rejects callers.
-constexpr Duration kStartTick = milliseconds(10);
+constexpr Duration kStartTickInterval = milliseconds(10);
 //! Time after the start in which the shorter interval justifies its wake-ups.
 //! After that the store is unavailable, and a delay of another 100 ms does not
 //! matter.
-constexpr Duration kStartSpan = milliseconds(500);
+constexpr Duration kStartPeriod = milliseconds(500);
 //! Interval of the log line on store calls and transferred bytes.
-constexpr Duration kTrafficEvery = seconds(10);
+constexpr Duration kTrafficLogInterval = seconds(10);
 //! Time between two ticks above which the process is taken to have been paused.
-constexpr Duration kPause = milliseconds(700);
+constexpr Duration kPauseThreshold = milliseconds(700);
 //! File descriptors reserved for targets, the store and files.
-constexpr std::uint32_t kOwnDescriptors = 600;
+constexpr std::uint32_t kReservedDescriptors = 600;
 constexpr std::size_t kSmallPortConnections = 128;
 //! How long a higher host count stays in effect. A host that is no longer heard
 //! from may only be partitioned, and still use its share of the limits.
 constexpr Duration kHostWindow = seconds(25);
 //! Host count that is assumed at start-up, before any host is known.
-constexpr std::uint32_t kLeastHosts = 1;
+constexpr std::uint32_t kMinHosts = 1;
 
 [[nodiscard]] std::uint64_t UnixMilliseconds() {
   return static_cast<std::uint64_t>(
@@ -65,10 +65,10 @@
       m_protocol(std::move(protocol)),
       m_started(m_clock.Now()),
       m_started_ms(UnixMilliseconds()),
-      m_writer(STDOUT_FILENO),
+      m_log_writer(STDOUT_FILENO),
       m_log({m_settings.name.raw(), m_settings.log_bytes_per_second},
             m_clock,
-            m_writer),
+            m_log_writer),
       m_decisions(m_log, m_settings.log_sample),
       m_loop(1),
       m_caller_handler(m_clock, m_protocol.targets, *this),
@@ -77,9 +77,9 @@
           [this](const EdgeRequest& r) { return AnswerDirectory(r); }),
       m_metrics_handler(
           [this](const EdgeRequest& r) { return AnswerMetrics(r); }),
-      m_callers(m_loop, m_clock, m_caller_handler),
-      m_ready(m_loop, m_clock, m_ready_handler),
-      m_directory(m_loop, m_clock, m_directory_handler),
+      m_callers_server(m_loop, m_clock, m_caller_handler),
+      m_ready_server(m_loop, m_clock, m_ready_handler),
+      m_directory_server(m_loop, m_clock, m_directory_handler),
       m_metrics_server(m_loop, m_clock, m_metrics_handler),
       m_pool(m_loop, m_clock, m_protocol.targets, m_settings.domain, *this),
       m_forwarder(ForwardOptionsOf(m_settings),
@@ -93,27 +93,27 @@
               m_settings.name,
               m_settings.store,
               std::random_device{}()),
-      m_feed(m_loop,
-             m_clock,
-             m_store,
-             *this,
-             SettledRecord(),
-             m_settings.seeds,
-             m_settings.fleet_starts,
-             std::random_device{}()),
+      m_feed_hub(m_loop,
+                 m_clock,
+                 m_store,
+                 *this,
+                 ConfiguredRecord(),
+                 m_settings.seeds,
+                 m_settings.fleet_starts,
+                 std::random_device{}()),
       m_record_writer(m_settings.fleet_starts, m_started),
-      m_typed(
+      m_typed_service(
           m_clock,
           m_pool,
           m_metrics,
           [this] { return m_store.discovery_state().Hosts(); },
           std::random_device{}()),
-      m_queries(m_loop, m_clock, m_typed),
-      m_front_count(kHostWindow, kLeastHosts),
+      m_queries_server(m_loop, m_clock, m_typed_service),
+      m_front_count(kHostWindow, kMinHosts),
       m_decision_timer(m_loop),
-      m_tick(m_loop),
-      m_ticked(m_started),
-      m_traffic_at(m_started + kTrafficEvery),
+      m_tick_timer(m_loop),
+      m_last_tick(m_started),
+      m_next_traffic_log(m_started + kTrafficLogInterval),
       m_stop_timer(m_loop) {}
 
 Result<void> EntryNode::Start() {
@@ -121,36 +121,38 @@
   // would end the process, and a SIGTERM would cut off the first requests.
   // Nobody can know of the process and signal it before this point.
   WaitForSignal();
-  const std::uint32_t most = m_settings.descriptors > 2 * kOwnDescriptors
-                                 ? m_settings.descriptors - kOwnDescriptors
-                                 : m_settings.descriptors / 2;
-  BOOST_LEAF_CHECK(m_callers.Listen(m_settings.callers.address,
-                                    m_settings.callers.port, most));
+  const std::uint32_t max_connections =
+      m_settings.descriptors > 2 * kReservedDescriptors
+          ? m_settings.descriptors - kReservedDescriptors
+          : m_settings.descriptors / 2;
+  BOOST_LEAF_CHECK(m_callers_server.Listen(
+      m_settings.callers.address, m_settings.callers.port, max_connections));
   struct SmallPort {
     EdgeServer& server;
     const Endpoint& address;
   };
-  for (const SmallPort& port : {SmallPort{m_ready, m_settings.ready},
-                                SmallPort{m_directory, m_settings.directory},
-                                SmallPort{m_metrics_server, m_settings.metrics},
-                                SmallPort{m_queries, m_settings.queries}}) {
+  for (const SmallPort& port :
+       {SmallPort{m_ready_server, m_settings.ready},
+        SmallPort{m_directory_server, m_settings.directory},
+        SmallPort{m_metrics_server, m_settings.metrics},
+        SmallPort{m_queries_server, m_settings.queries}}) {
     if (!port.address.address.empty()) {
       BOOST_LEAF_CHECK(port.server.Listen(
           port.address.address, port.address.port, kSmallPortConnections));
     }
   }
   if (!m_settings.peers.address.empty()) {
-    BOOST_LEAF_CHECK(m_feed.Listen(m_settings.peers));
+    BOOST_LEAF_CHECK(m_feed_hub.Listen(m_settings.peers));
   }
   LogLine line = m_log.Begin(LogEvent::kStarted);
   line.Text("failure_domain", m_settings.domain.raw())
       .Text("address", m_settings.callers.address)
-      .Count("callers_port", m_callers.port())
+      .Count("callers_port", m_callers_server.port())
       .Count("metrics_port", m_metrics_server.port())
-      .Count("queries_port", m_queries.port())
+      .Count("queries_port", m_queries_server.port())
       .Count("started_unix_ms", m_started_ms);
   m_log.Add(std::move(line));
-  m_feed.Tick();
+  m_feed_hub.Tick();
   Tick();
   return {};
 }
@@ -194,15 +196,15 @@
 
 void EntryNode::Deliver(CallId call,
                         ForwardAnswer answer,
-                        const CallTrace& story) {
+                        const CallTrace& trace) {
   const WaitingCaller caller = m_caller_handler.Take(call);
   if (caller.connection == nullptr) {
     return;
   }
   const Duration took = m_clock.Now() - caller.arrived;
-  m_decisions.OnCallEnd({caller.request_id, answer, story, took, KnowledgeAge(),
+  m_decisions.OnCallEnd({caller.request_id, answer, trace, took, KnowledgeAge(),
                          m_forwarder.open_calls()});
-  m_metrics.Add(LabelsOf(answer, story), took);
+  m_metrics.Add(LabelsOf(answer, trace), took);
   caller.connection->Respond(
       EncodeAnswer(m_protocol.targets, std::move(answer)));
 }
@@ -216,7 +218,7 @@
 
 void EntryNode::OnAttemptEnd(AttemptEnd& end) {
   if (TypedService::Owns(end.id)) {
-    m_typed.OnAttemptEnd(end);
+    m_typed_service.OnAttemptEnd(end);
     ArmDecisions();
     return;
   }
@@ -226,7 +228,7 @@
 
 void EntryNode::ArmDecisions() {
   auto next = m_forwarder.NextTimer();
-  const auto typed = m_typed.calls().NextTimer();
+  const auto typed = m_typed_service.calls().NextTimer();
   if (typed && (!next || *typed < *next)) {
     next = typed;
   }
@@ -246,61 +248,62 @@
 void EntryNode::OnDecisionTimer() {
   m_decision_at = TimePoint::max();
   m_forwarder.OnTimer(m_clock.Now());
-  m_typed.calls().OnTimer(m_clock.Now());
+  m_typed_service.calls().OnTimer(m_clock.Now());
   ArmDecisions();
 }
 
 void EntryNode::Tick() {
   const TimePoint now = m_clock.Now();
-  if (now - m_ticked > kPause) {
+  if (now - m_last_tick > kPauseThreshold) {
     LogLine line = m_log.Begin(LogEvent::kPaused);
-    line.Milliseconds("for_ms", now - m_ticked);
+    line.Milliseconds("for_ms", now - m_last_tick);
     m_log.Add(std::move(line));
   }
-  if (m_lag.Add(std::max(now - m_ticked - kTick, Duration::zero()), now) &&
+  if (m_loop_lag.Add(
+          std::max(now - m_last_tick - kTickInterval, Duration::zero()), now) &&
       !m_stopping) {
-    TellRecord();
+    PublishRecord();
   }
-  m_ticked = now;
+  m_last_tick = now;
   m_pool.CheckTimes();
-  m_callers.CheckTimes();
-  m_ready.CheckTimes();
-  m_directory.CheckTimes();
+  m_callers_server.CheckTimes();
+  m_ready_server.CheckTimes();
+  m_directory_server.CheckTimes();
   m_metrics_server.CheckTimes();
-  m_queries.CheckTimes();
+  m_queries_server.CheckTimes();
   ArmDecisions();
   m_store.CheckTimes();
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
-  m_feed.Tick();
-  KeepRecord(now);
-  TellTraffic(now);
+  m_feed_hub.Tick();
+  UpdateRecordWriter(now);
+  LogTraffic(now);
   m_log.Flush();
-  const bool knows_nothing =
-      m_forwarder.config() == nullptr && now - m_started < kStartSpan;
-  m_tick.expires_after(knows_nothing ? kStartTick : kTick);
-  m_tick.async_wait([this](const SystemError& ended) {
+  const bool lacks_config =
+      m_forwarder.config() == nullptr && now - m_started < kStartPeriod;
+  m_tick_timer.expires_after(lacks_config ? kStartTickInterval : kTickInterval);
+  m_tick_timer.async_wait([this](const SystemError& ended) {
     if (!ended) {
       Tick();
     }
   });
 }
 
-void EntryNode::TellTraffic(TimePoint now) {
-  if (now < m_traffic_at) {
+void EntryNode::LogTraffic(TimePoint now) {
+  if (now < m_next_traffic_log) {
     return;
   }
-  m_traffic_at = now + kTrafficEvery;
-  m_decisions.OnTraffic({m_store.counters(), m_feed.received(),
+  m_next_traffic_log = now + kTrafficLogInterval;
+  m_decisions.OnTraffic({m_store.counters(), m_feed_hub.received(),
                          m_pool.counters().bytes, m_forwarder.counters()});
 }
 
-void EntryNode::TellReadiness() {
-  if (IsReady() == m_told_ready) {
+void EntryNode::LogReadiness() {
+  if (IsReady() == m_logged_ready) {
     return;
   }
-  m_told_ready = IsReady();
+  m_logged_ready = IsReady();
   LogLine line = m_log.Begin(LogEvent::kReadiness);
-  line.Flag("ready", m_told_ready)
+  line.Flag("ready", m_logged_ready)
       .Count("targets", m_forwarder.targets().size())
       .Flag("stopping", m_stopping);
   m_log.Add(std::move(line));
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -72,7 +72,7 @@
   void Cancel(AttemptId attempt) override;
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallTrace& story) override;
+               const CallTrace& trace) override;
   void ShareQuarantine(Fingerprint fingerprint) override;
   void OnAttemptEnd(AttemptEnd& end) override;
   void OnDiscoveryChange(const DiscoveryChange& change,
@@ -90,12 +90,12 @@
   void OnStoreRegained() override;
   void OnRegistration(StoreStatus status) override;
 
-  void TakeHosts(TimePoint now);
+  void UpdateHosts(TimePoint now);
   //! Chooses which host writes this host's record to the store, and publishes
   //! the record if that choice changed.
-  void KeepRecord(TimePoint now);
-  void TellRecord();
-  void TakeTyped(const DiscoveryChange& change, TimePoint now);
+  void UpdateRecordWriter(TimePoint now);
+  void PublishRecord();
+  void UpdateTypedCalls(const DiscoveryChange& change, TimePoint now);
 
   // Defined in entry_node_answers.cc.
   [[nodiscard]] EdgeResponse AnswerReady(const EdgeRequest& request) const;
@@ -108,8 +108,8 @@
   void ArmDecisions();
   void OnDecisionTimer();
   void Tick();
-  void TellReadiness();
-  void TellTraffic(TimePoint now);
+  void LogReadiness();
+  void LogTraffic(TimePoint now);
   // Defined in entry_node_stop.cc.
   void WaitForSignal();
   void OnSignal(int signal);
@@ -119,7 +119,7 @@
   [[nodiscard]] HostRecord OwnRecord() const;
   //! Returns the part of this host's record that comes from the settings. Only
   //! this part may be requested before the ports and their servers exist.
-  [[nodiscard]] HostRecord SettledRecord() const;
+  [[nodiscard]] HostRecord ConfiguredRecord() const;
   [[nodiscard]] Duration KnowledgeAge() const;
 
   EntrySettings m_settings;
@@ -127,7 +127,7 @@
   const BoottimeClock m_clock;
   const TimePoint m_started;
   const std::uint64_t m_started_ms;
-  LogWriter m_writer;
+  LogWriter m_log_writer;
   EventLog m_log;
   DecisionLog m_decisions;
   Metrics m_metrics;
@@ -136,29 +136,29 @@
   SimpleHandler m_ready_handler;
   SimpleHandler m_directory_handler;
   SimpleHandler m_metrics_handler;
-  EdgeServer m_callers;
-  EdgeServer m_ready;
-  EdgeServer m_directory;
+  EdgeServer m_callers_server;
+  EdgeServer m_ready_server;
+  EdgeServer m_directory_server;
   EdgeServer m_metrics_server;
   TargetPool m_pool;
   Forwarder m_forwarder;
   StoreSession m_store;
-  FeedHub m_feed;
+  FeedHub m_feed_hub;
   RecordWriterChoice m_record_writer;
-  TypedService m_typed;
-  EdgeServer m_queries;
+  TypedService m_typed_service;
+  EdgeServer m_queries_server;
   //! Hosts that the directory sends callers to.
   std::vector<HostRecord> m_fronts;
   //! Highest number of hosts that served callers within a time window.
   HostCountWindow m_front_count;
-  LoopLag m_lag;
+  LoopLag m_loop_lag;
   asio::steady_timer m_decision_timer;
   //! Expiry of the decision timer; max() while it is not armed.
   TimePoint m_decision_at = TimePoint::max();
-  asio::steady_timer m_tick;
-  TimePoint m_ticked;
+  asio::steady_timer m_tick_timer;
+  TimePoint m_last_tick;
   //! Time of the next log line on traffic.
-  TimePoint m_traffic_at;
+  TimePoint m_next_traffic_log;
   asio::steady_timer m_stop_timer;
   std::function<void()> m_reload;
   //! When the ports for callers were closed; the epoch while they are open.
@@ -166,7 +166,7 @@
   //! Whether the directory sends callers to this host.
   bool m_is_front = false;
   bool m_stopping = false;
-  bool m_told_ready = false;
+  bool m_logged_ready = false;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/entry_node_answers.cc
+++ b/src/jacinthdeck/entry/entry_node_answers.cc
@@ -14,7 +14,7 @@
 namespace {
 
 //! Maximum number of host addresses in one directory answer.
-constexpr std::size_t kMostAddresses = 64;
+constexpr std::size_t kMaxDirectoryAddresses = 64;
 
 [[nodiscard]] EdgeResponse Plain(int status) {
   EdgeResponse response;
@@ -37,15 +37,17 @@
   if (path != m_protocol.directory_path) {
     return Plain(http_status::kNotFound);
   }
-  DirectoryRequest question;
-  question.caller_domain = m_protocol.read_directory_call(request.target);
-  question.self = OwnRecord();
+  DirectoryRequest directory_request;
+  directory_request.caller_domain =
+      m_protocol.read_directory_call(request.target);
+  directory_request.self = OwnRecord();
   // While no host that serves callers is known, this host lists itself, because
   // the answer would otherwise be empty.
-  question.self_accepts_callers = IsReady() && (m_is_front || m_fronts.empty());
-  question.max_addresses = kMostAddresses;
+  directory_request.self_accepts_callers =
+      IsReady() && (m_is_front || m_fronts.empty());
+  directory_request.max_addresses = kMaxDirectoryAddresses;
   const std::vector<std::string> addresses =
-      ChooseCallerAddresses(question, m_fronts);
+      ChooseCallerAddresses(directory_request, m_fronts);
   if (addresses.empty()) {
     return Plain(http_status::kUnavailable);
   }
@@ -60,9 +62,10 @@
     return response;
   }
   response.headers.push_back({"Content-Type", "text/plain; version=0.0.4"});
-  response.body = m_metrics.Render() +
-                  RenderNodeMetrics({m_forwarder, m_pool, m_callers, m_store,
-                                     m_log, IsReady(), KnowledgeAge()});
+  response.body =
+      m_metrics.Render() +
+      RenderNodeMetrics({m_forwarder, m_pool, m_callers_server, m_store, m_log,
+                         IsReady(), KnowledgeAge()});
   return response;
 }
 
@@ -88,7 +91,7 @@
            EvacuationsText(discovery_state.Evacuations(), m_clock.Now()))
       .Count("hosts", discovery_state.Hosts().size())
       .Count("open_calls", m_forwarder.open_calls())
-      .Count("caller_connections", m_callers.connections())
+      .Count("caller_connections", m_callers_server.connections())
       .Count("target_connections", m_pool.connections());
   return std::move(status).Finish();
 }
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -69,7 +69,8 @@
   const TimePoint now = m_clock.Now();
   const DiscoveryState& discovery_state = m_store.discovery_state();
   if (change.config && m_forwarder.SetConfig(discovery_state.config())) {
-    m_callers.SetLimits(EdgeLimitsOf(discovery_state.config()->limits()));
+    m_callers_server.SetLimits(
+        EdgeLimitsOf(discovery_state.config()->limits()));
   }
   if (change.targets) {
     const std::vector<TargetEntry> targets = discovery_state.Targets();
@@ -77,23 +78,23 @@
     m_pool.Retain(targets);
   }
   if (change.hosts || change.config) {
-    TakeHosts(now);
+    UpdateHosts(now);
   }
   for (const Fingerprint fingerprint : change.convictions) {
     m_forwarder.QuarantineRequest(fingerprint, now);
   }
-  KeepRecord(now);
-  TakeTyped(change, now);
+  UpdateRecordWriter(now);
+  UpdateTypedCalls(change, now);
   m_decisions.OnDiscoveryChange(change, discovery_state, position,
                                 now - m_started, now);
-  TellReadiness();
+  LogReadiness();
   ArmDecisions();
 }
 
 void EntryNode::OnContent(const std::vector<StoreChange>& changes,
                           const StorePosition& position,
                           bool whole) {
-  m_feed.OnContent(changes, position, whole);
+  m_feed_hub.OnContent(changes, position, whole);
 }
 
 void EntryNode::OnStoreRestored(StoreEra before,
@@ -120,17 +121,17 @@
   m_log.Add(std::move(line));
 }
 
-void EntryNode::TakeHosts(TimePoint now) {
+void EntryNode::UpdateHosts(TimePoint now) {
   const std::vector<HostRecord> hosts = m_store.discovery_state().Hosts();
-  m_feed.OnHosts(hosts);
+  m_feed_hub.OnHosts(hosts);
   const std::shared_ptr<const RoutingConfig>& config =
       m_store.discovery_state().config();
   std::vector<HostRecord> fronts = ChooseFronts(
       hosts, config == nullptr ? 0 : config->MinTargetConnections());
-  const bool same = std::ranges::equal(fronts, m_fronts, {}, &HostRecord::name,
-                                       &HostRecord::name);
+  const bool same_fronts = std::ranges::equal(
+      fronts, m_fronts, {}, &HostRecord::name, &HostRecord::name);
   m_fronts = std::move(fronts);
-  if (!same) {
+  if (!same_fronts) {
     m_decisions.OnFronts(m_fronts);
     std::vector<HostId> names;
     std::ranges::transform(m_fronts, std::back_inserter(names),
@@ -144,54 +145,55 @@
   // A host that serves callers gets a short lease, so that the directory stops
   // listing it soon after it dies. For the other hosts only the number of calls
   // to the store matters.
-  const bool small = hosts.size() <= kSmallFleetSize;
-  m_store.SetLeaseDuration(m_is_front || small ? kFrontLease : kStandbyLease);
-  m_feed.SetServesCallers(m_is_front || small);
+  const bool small_fleet = hosts.size() <= kSmallFleetSize;
+  m_store.SetLeaseDuration(m_is_front || small_fleet ? kFrontLease
+                                                     : kStandbyLease);
+  m_feed_hub.SetServesCallers(m_is_front || small_fleet);
 }
 
-void EntryNode::KeepRecord(TimePoint now) {
+void EntryNode::UpdateRecordWriter(TimePoint now) {
   if (m_stopping) {
     return;
   }
-  const FleetRole part{
+  const FleetRole role{
       .knows_hosts = m_store.position().revision > 0,
       .hosts = m_store.discovery_state().host_count(),
       .is_front = m_is_front,
-      .feeds_others = m_feed.is_watcher() || m_feed.followers() > 0,
-      .has_feeder = m_feed.IsLinked()};
-  if (m_record_writer.Update(part, now)) {
+      .feeds_others = m_feed_hub.is_watcher() || m_feed_hub.followers() > 0,
+      .has_feeder = m_feed_hub.IsLinked()};
+  if (m_record_writer.Update(role, now)) {
     LogLine line = m_log.Begin(LogEvent::kRecordWriter);
     line.Text("writer", kRecordWriterNames.Name(m_record_writer.writer()))
-        .Count("hosts", part.hosts);
+        .Count("hosts", role.hosts);
     m_log.Add(std::move(line));
-    TellRecord();
+    PublishRecord();
   }
 }
 
-void EntryNode::TellRecord() {
+void EntryNode::PublishRecord() {
   const HostRecord record = OwnRecord();
   switch (m_record_writer.writer()) {
     case RecordWriter::kNobody:
       break;
     case RecordWriter::kSelf:
-      m_feed.SetRecord({});
+      m_feed_hub.SetRecord({});
       m_store.Register(record);
       break;
     case RecordWriter::kFeeder:
       m_store.DelegateRecord();
-      m_feed.SetRecord(m_store.ValueOf(record));
+      m_feed_hub.SetRecord(m_store.ValueOf(record));
       break;
   }
 }
 
-void EntryNode::TakeTyped(const DiscoveryChange& change, TimePoint now) {
+void EntryNode::UpdateTypedCalls(const DiscoveryChange& change, TimePoint now) {
   if (m_settings.queries.address.empty()) {
     return;
   }
-  TypedCallRunner& calls = m_typed.calls();
+  TypedCallRunner& calls = m_typed_service.calls();
   const DiscoveryState& discovery_state = m_store.discovery_state();
-  const auto tell = [&](const std::string& subject, const auto& taken) {
-    const auto* error = std::get_if<Error>(&taken);
+  const auto log_result = [&](const std::string& subject, const auto& result) {
+    const auto* error = std::get_if<Error>(&result);
     LogLine line = m_log.Begin(error == nullptr ? LogEvent::kSchemaApplied
                                                 : LogEvent::kEntryUnreadable);
     line.Text("entry", subject);
@@ -201,17 +203,17 @@
     m_log.Add(std::move(line));
   };
   if (change.schema) {
-    tell("schema", Capture([&]() -> Result<bool> {
-           BOOST_LEAF_CHECK(calls.SetSchema(discovery_state.schema()));
-           return true;
-         }));
+    log_result("schema", Capture([&]() -> Result<bool> {
+                 BOOST_LEAF_CHECK(calls.SetSchema(discovery_state.schema()));
+                 return true;
+               }));
   }
   for (const ServiceId& service : change.indexes) {
-    tell(service.raw(), Capture([&]() -> Result<bool> {
-           BOOST_LEAF_CHECK(
-               calls.SetIndex(service, discovery_state.IndexOf(service)));
-           return true;
-         }));
+    log_result(service.raw(), Capture([&]() -> Result<bool> {
+                 BOOST_LEAF_CHECK(
+                     calls.SetIndex(service, discovery_state.IndexOf(service)));
+                 return true;
+               }));
   }
   if (change.targets || change.config) {
     calls.SetTargets(TargetInfosOf(discovery_state, now), now);
@@ -247,27 +249,28 @@
 }
 
 void EntryNode::OnRegistration(StoreStatus status) {
-  const bool well = status == StoreStatus::kOk;
+  const bool ok = status == StoreStatus::kOk;
   LogLine line =
-      m_log.Begin(well ? LogEvent::kRegistered : LogEvent::kRegistrationFailed);
+      m_log.Begin(ok ? LogEvent::kRegistered : LogEvent::kRegistrationFailed);
   line.Text("status", kStoreStatusNames.Name(status));
   m_log.Add(std::move(line));
 }
 
 HostRecord EntryNode::OwnRecord() const {
-  const auto address = [](const Endpoint& asked, std::uint16_t port) {
-    return asked.address.empty() ? std::string()
-                                 : Endpoint{asked.address, port}.ToString();
+  const auto address = [](const Endpoint& configured, std::uint16_t port) {
+    return configured.address.empty()
+               ? std::string()
+               : Endpoint{configured.address, port}.ToString();
   };
-  HostRecord record = SettledRecord();
-  record.callers = address(m_settings.callers, m_callers.port());
-  record.queries = address(m_settings.queries, m_queries.port());
-  record.peers = address(m_settings.peers, m_feed.port());
-  record.busy = m_lag.busy();
+  HostRecord record = ConfiguredRecord();
+  record.callers = address(m_settings.callers, m_callers_server.port());
+  record.queries = address(m_settings.queries, m_queries_server.port());
+  record.peers = address(m_settings.peers, m_feed_hub.port());
+  record.busy = m_loop_lag.busy();
   return record;
 }
 
-HostRecord EntryNode::SettledRecord() const {
+HostRecord EntryNode::ConfiguredRecord() const {
   constexpr double kThousandths = 1000;
   HostRecord record;
   record.name = m_settings.name;
@@ -282,8 +285,8 @@
 }
 
 Duration EntryNode::KnowledgeAge() const {
-  const auto heard = m_store.last_contact();
-  return m_clock.Now() - heard.value_or(m_started);
+  const auto last_contact_at = m_store.last_contact();
+  return m_clock.Now() - last_contact_at.value_or(m_started);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/entry_node_stop.cc
+++ b/src/jacinthdeck/entry/entry_node_stop.cc
@@ -17,7 +17,7 @@
 //! Part at the end of the grace period that is reserved for the last answers.
 constexpr Duration kStopMargin = milliseconds(900);
 //! Minimum time after the ports closed, for requests that were in transit then.
-constexpr Duration kSettle = milliseconds(250);
+constexpr Duration kSettleTime = milliseconds(250);
 
 }  // namespace
 
@@ -46,17 +46,17 @@
 
 void EntryNode::BeginStop() {
   m_stopping = true;
-  m_feed.SetRecord({});
-  m_feed.Drain();
+  m_feed_hub.SetRecord({});
+  m_feed_hub.Drain();
   m_store.Unregister();
-  m_callers.Drain();
-  m_queries.Drain();
+  m_callers_server.Drain();
+  m_queries_server.Drain();
   LogLine line = m_log.Begin(LogEvent::kStopping);
   line.Count("open_calls", m_forwarder.open_calls())
-      .Count("connections", m_callers.connections())
+      .Count("connections", m_callers_server.connections())
       .Milliseconds("grace_ms", m_settings.grace);
   m_log.Add(std::move(line));
-  TellReadiness();
+  LogReadiness();
   // Callers cache a directory answer for its time to live, and some for longer.
   // The port therefore stays open, and requests are served, until the end of
   // the grace period.
@@ -77,19 +77,19 @@
   const TimePoint now = m_clock.Now();
   if (m_ports_closed == TimePoint{}) {
     m_ports_closed = now;
-    m_callers.StopListening();
-    m_queries.StopListening();
+    m_callers_server.StopListening();
+    m_queries_server.StopListening();
   }
-  const bool settled = now - m_ports_closed >= kSettle &&
+  const bool settled = now - m_ports_closed >= kSettleTime &&
                        m_caller_handler.waiting() == 0 &&
-                       m_typed.waiting() == 0;
+                       m_typed_service.waiting() == 0;
   if (settled || now - m_ports_closed >= kStopMargin) {
-    m_callers.CloseIdle();
+    m_callers_server.CloseIdle();
     m_loop.stop();
     return;
   }
-  constexpr Duration kLook = milliseconds(20);
-  m_stop_timer.expires_after(kLook);
+  constexpr Duration kStopPollInterval = milliseconds(20);
+  m_stop_timer.expires_after(kStopPollInterval);
   m_stop_timer.async_wait([this](const SystemError& ended) {
     if (!ended) {
       Stop();
--- a/src/jacinthdeck/entry/feed_hub.cc
+++ b/src/jacinthdeck/entry/feed_hub.cc
@@ -11,7 +11,7 @@
 
 //! Interval of the heartbeats to followers. The timeouts of FeederSelector rely
 //! on it.
-constexpr Duration kBeatEvery = std::chrono::milliseconds(500);
+constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -29,14 +29,14 @@
       m_name(self.name),
       m_server(loop, *this, *this),
       m_link(loop, *this),
-      m_choice(self, seeds, fleet_starts, seed, clock.Now()) {}
+      m_feeder_selector(self, seeds, fleet_starts, seed, clock.Now()) {}
 
 Result<void> FeedHub::Listen(const Endpoint& endpoint) {
   return m_server.Listen(endpoint.address, endpoint.port);
 }
 
 void FeedHub::OnHosts(const std::vector<HostRecord>& hosts) {
-  m_choice.OnHosts(hosts, m_clock.Now());
+  m_feeder_selector.OnHosts(hosts, m_clock.Now());
 }
 
 void FeedHub::OnContent(const std::vector<StoreChange>& changes,
@@ -49,50 +49,52 @@
   const std::uint64_t counted =
       m_received.own_domain + m_received.other_domains;
   m_received.Add(m_link.received_bytes() - counted,
-                 m_choice.IsFeederInOwnDomain());
+                 m_feeder_selector.IsFeederInOwnDomain());
 }
 
 void FeedHub::Tick() {
   const TimePoint now = m_clock.Now();
   CountReceived();
-  if (now >= m_beat_at) {
+  if (now >= m_next_heartbeat) {
     m_server.SendHeartbeat();
-    m_beat_at = now + kBeatEvery;
+    m_next_heartbeat = now + kHeartbeatInterval;
   }
-  const FeederActions actions = m_choice.Step(now);
+  const FeederActions actions = m_feeder_selector.Step(now);
   if (actions.close_link) {
     m_link.Close();
     m_observer.OnFeedEnded("given up");
   }
   if (actions.open_link_to) {
     m_observer.OnFeedOpened(*actions.open_link_to);
-    m_told.clear();
-    m_link.Open(*actions.open_link_to, {m_name, m_store.position(), m_told});
+    m_sent_record.clear();
+    m_link.Open(*actions.open_link_to,
+                {m_name, m_store.position(), m_sent_record});
   }
-  TellRecord();
+  SendRecord();
   // A host that has no content yet although its link is steady watches the
   // store itself. Otherwise it would stay without content, whichever host feeds
   // it.
-  const bool knows_nothing =
-      !m_store.loaded() && m_choice.IsLinkSteady(m_clock.Now());
-  m_store.SetWatching(actions.watch_store || knows_nothing ||
+  const bool lacks_content =
+      !m_store.loaded() && m_feeder_selector.IsLinkSteady(m_clock.Now());
+  m_store.SetWatching(actions.watch_store || lacks_content ||
                       m_store.IsNewEraOverdue());
 }
 
 void FeedHub::SetRecord(std::string value) {
-  m_record = std::move(value);
-  TellRecord();
+  m_delegated_record = std::move(value);
+  SendRecord();
 }
 
 // Each feeder that receives the record writes it to the store, and each write
 // is sent to all hosts. The record is therefore sent only once the link is
 // steady, so that a feeder that is left again at once does not write it.
-void FeedHub::TellRecord() {
-  if (m_told == m_record || !m_choice.IsLinkSteady(m_clock.Now())) {
+void FeedHub::SendRecord() {
+  if (m_sent_record == m_delegated_record ||
+      !m_feeder_selector.IsLinkSteady(m_clock.Now())) {
     return;
   }
-  m_told = m_record;
-  m_link.SendHello({m_name, m_store.position(), m_record});
+  m_sent_record = m_delegated_record;
+  m_link.SendHello({m_name, m_store.position(), m_delegated_record});
 }
 
 void FeedHub::OnFollowerHello(const FeedHello& hello) {
@@ -112,35 +114,35 @@
 }
 
 FeedHeartbeat FeedHub::Heartbeat() const {
-  const auto heard = m_store.last_contact();
-  FeedHeartbeat beat;
-  beat.position = m_store.position();
-  beat.store_away = m_store.discovery_state().store_away();
-  if (heard) {
-    beat.age = m_clock.Now() - *heard;
+  const auto last_contact_at = m_store.last_contact();
+  FeedHeartbeat heartbeat;
+  heartbeat.position = m_store.position();
+  heartbeat.store_away = m_store.discovery_state().store_away();
+  if (last_contact_at) {
+    heartbeat.age = m_clock.Now() - *last_contact_at;
   }
-  return beat;
+  return heartbeat;
 }
 
 void FeedHub::OnFeedChanges(const FeedChanges& changes) {
-  m_choice.OnChanges(m_clock.Now());
+  m_feeder_selector.OnChanges(m_clock.Now());
   m_store.ApplyPeerContent(changes.changes, changes.position, changes.whole);
 }
 
-void FeedHub::OnFeedHeartbeat(const FeedHeartbeat& beat) {
-  FeedHeartbeat taken = beat;
-  if (beat.position.era < m_store.position().era) {
+void FeedHub::OnFeedHeartbeat(const FeedHeartbeat& heartbeat) {
+  FeedHeartbeat adjusted = heartbeat;
+  if (heartbeat.position.era < m_store.position().era) {
     // The feeder last heard from the store before the restore that began the
     // current era, so its age says nothing about the current content.
-    taken.age.reset();
+    adjusted.age.reset();
   }
-  m_choice.OnHeartbeat(taken, m_clock.Now());
-  m_store.ApplyPeerAge(taken.age, taken.store_away);
+  m_feeder_selector.OnHeartbeat(adjusted, m_clock.Now());
+  m_store.ApplyPeerAge(adjusted.age, adjusted.store_away);
   Tick();
 }
 
 void FeedHub::OnFeedLost(const std::string& problem) {
-  m_choice.OnLinkLost(m_clock.Now());
+  m_feeder_selector.OnLinkLost(m_clock.Now());
   m_observer.OnFeedEnded(problem);
 }
 
--- a/src/jacinthdeck/entry/feed_hub.h
+++ b/src/jacinthdeck/entry/feed_hub.h
@@ -51,14 +51,14 @@
 
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
   [[nodiscard]] bool is_watcher() const noexcept {
-    return m_choice.is_watcher();
+    return m_feeder_selector.is_watcher();
   }
   [[nodiscard]] std::size_t followers() const noexcept {
     return m_server.followers();
   }
   /*! \brief Returns whether a feeder is connected and sends messages. */
   [[nodiscard]] bool IsLinked() const {
-    return m_choice.IsLinked(m_clock.Now());
+    return m_feeder_selector.IsLinked(m_clock.Now());
   }
 
   /*! \brief Sets the record that the feeder keeps in the store for this host.
@@ -77,7 +77,9 @@
   void Drain() { m_server.Drain(); }
 
   /*! \brief Sets whether callers are sent to this host. */
-  void SetServesCallers(bool serves) { m_choice.SetServesCallers(serves); }
+  void SetServesCallers(bool serves) {
+    m_feeder_selector.SetServesCallers(serves);
+  }
 
   /*! \brief Sets the known hosts, from which feeders are selected. */
   void OnHosts(const std::vector<HostRecord>& hosts);
@@ -96,11 +98,11 @@
       const StorePosition& position) const override;
   [[nodiscard]] FeedHeartbeat Heartbeat() const override;
   void OnFeedChanges(const FeedChanges& changes) override;
-  void OnFeedHeartbeat(const FeedHeartbeat& beat) override;
+  void OnFeedHeartbeat(const FeedHeartbeat& heartbeat) override;
   void OnFeedLost(const std::string& problem) override;
   void OnFollowerHello(const FeedHello& hello) override;
   void OnFollowerLeft(const HostId& host) override;
-  void TellRecord();
+  void SendRecord();
   //! Adds the bytes that the link received since the last call to the counters.
   void CountReceived();
 
@@ -110,14 +112,14 @@
   const HostId m_name;
   FeedServer m_server;
   FeedLink m_link;
-  FeederSelector m_choice;
-  TimePoint m_beat_at;
+  FeederSelector m_feeder_selector;
+  TimePoint m_next_heartbeat;
   LinkBytes m_received;
   //! Record that the feeder is to keep in the store for this host; empty if
   //! none.
-  std::string m_record;
+  std::string m_delegated_record;
   //! Record that was last sent to the current feeder; empty if none.
-  std::string m_told;
+  std::string m_sent_record;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/loop_lag.h
+++ b/src/jacinthdeck/entry/loop_lag.h
@@ -24,35 +24,36 @@
   //! Mean delay below which the host is no longer busy.
   static constexpr Duration kFreeBelow = std::chrono::milliseconds(3);
   //! Minimum time between two changes of the busy state.
-  static constexpr Duration kHold = std::chrono::seconds(5);
+  static constexpr Duration kMinHold = std::chrono::seconds(5);
 
   [[nodiscard]] bool busy() const noexcept { return m_busy; }
 
   /**
    * \brief Adds one expiry of the timer.
-   * \param late Time between the due and the actual expiry.
+   * \param delay Time between the due and the actual expiry.
    * \return True if the busy state changed.
    */
-  bool Add(Duration late, TimePoint now) noexcept {
-    m_late.Add(static_cast<double>(late.count()));
-    const double mean = m_late.value();
-    const bool turn = m_busy ? mean < static_cast<double>(kFreeBelow.count())
+  bool Add(Duration delay, TimePoint now) noexcept {
+    m_mean_delay.Add(static_cast<double>(delay.count()));
+    const double mean = m_mean_delay.value();
+    const bool crossed = m_busy
+                             ? mean < static_cast<double>(kFreeBelow.count())
                              : mean > static_cast<double>(kBusyAbove.count());
-    if (!turn || now - m_since < kHold) {
+    if (!crossed || now - m_changed_at < kMinHold) {
       return false;
     }
     m_busy = !m_busy;
-    m_since = now;
+    m_changed_at = now;
     return true;
   }
 
  private:
   //! Number of expiries that the mean covers: two seconds of ticks.
-  static constexpr std::uint32_t kMemory = 20;
+  static constexpr std::uint32_t kMeanWindow = 20;
 
-  DecayingAverage m_late{kMemory};
+  DecayingAverage m_mean_delay{kMeanWindow};
   bool m_busy = false;
-  TimePoint m_since;
+  TimePoint m_changed_at;
 };
 
 }  // namespace jacinthdeck
--- a/test/jacinthdeck/entry/entry_node_test.cc
+++ b/test/jacinthdeck/entry/entry_node_test.cc
@@ -94,7 +94,7 @@
     return CallAndWait({"127.0.0.1", port}, {"GET", path, ""}, seconds(5));
   }
 
-  static bool Until(const std::function<bool()>& done) {
+  static bool WaitUntil(const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + seconds(20);
     while (!done()) {
       if (std::chrono::steady_clock::now() > end) {
@@ -105,7 +105,7 @@
     return true;
   }
 
-  void PutAll() {
+  void PutConfigAndTarget() {
     standins::StoreControl control;
     control.puts.push_back(
         {"op/config",
@@ -138,9 +138,9 @@
 // for followers that the kernel chose. Other hosts then connected to a port
 // that nobody listens on, so no host got the store's content from another one,
 // and each read the store itself.
-BOOST_AUTO_TEST_CASE(Host_PeersPortIsOfTheKernel_RecordNamesTheRealOne) {
+BOOST_AUTO_TEST_CASE(Host_KernelChoosesPeersPort_RecordHoldsChosenPort) {
   const std::string key = std::string(platform::wire::kHostKeys) + "h1";
-  BOOST_TEST(Until([&] { return store.content().Get(key).has_value(); }));
+  BOOST_TEST(WaitUntil([&] { return store.content().Get(key).has_value(); }));
   const auto record =
       Capture([&] { return codec.ReadHost(*store.content().Get(key)->value); });
   BOOST_REQUIRE_EQUAL(record.index(), 0U);
@@ -150,27 +150,27 @@
   BOOST_TEST(std::get<Endpoint>(peers).port != 0);
 }
 
-BOOST_AUTO_TEST_CASE(Host_LearnsFromTheStore_ServesAndIsNamed) {
-  PutAll();
-  BOOST_TEST(Until([&] { return Get(ready, "/-/ready").status == 200; }));
+BOOST_AUTO_TEST_CASE(Host_ReadsConfigFromStore_ServesAndIsInDirectory) {
+  PutConfigAndTarget();
+  BOOST_TEST(WaitUntil([&] { return Get(ready, "/-/ready").status == 200; }));
   // The target of this test does not prove its identity in its answers, so they
   // do not count as a success.
-  BOOST_TEST(Until([&] { return Get(callers, "/a/1").status == 502; }));
+  BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
   BOOST_TEST(Get(callers, "/b/1").status == 404);
-  const ClientReply named = Get(directory, "/-/resolve?name=x&zone=z");
-  BOOST_TEST(named.status == 200);
-  BOOST_TEST(named.body.find(std::to_string(callers)) != std::string::npos);
+  const ClientReply resolved = Get(directory, "/-/resolve?name=x&zone=z");
+  BOOST_TEST(resolved.status == 200);
+  BOOST_TEST(resolved.body.find(std::to_string(callers)) != std::string::npos);
 }
 
 // Guards against a host that still sends requests to an evacuated failure
 // domain, and against one that sends none after the evacuation has ended.
 BOOST_AUTO_TEST_CASE(Host_DomainIsEvacuatedAndGivenBack_RefusesAndServes) {
-  PutAll();
-  BOOST_TEST(Until([&] { return Get(callers, "/a/1").status == 502; }));
+  PutConfigAndTarget();
+  BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
   standins::StoreControl evacuate;
   evacuate.puts.push_back({"op/evacuate/z", "{}", {}});
   store.Apply(evacuate);
-  BOOST_TEST(Until([&] { return Get(callers, "/a/1").status == 503; }));
+  BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 503; }));
   BOOST_TEST(Get(metrics, "/status")
                  .body.find(R"("evacuated":[{"failure_domain":"z",)") !=
              std::string::npos);
@@ -180,28 +180,28 @@
   standins::StoreControl give_back;
   give_back.removes.push_back("op/evacuate/z");
   store.Apply(give_back);
-  BOOST_TEST(Until([&] { return Get(callers, "/a/1").status == 502; }));
+  BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
 }
 
 // Guards against a reload of the settings by SIGHUP that drops connections. A
 // caller that has sent half of a request sends the rest after the reload, and
 // must be answered on the same connection.
-BOOST_AUTO_TEST_CASE(Settings_AreReadAgain_ConnectionsAndRequestsGoOn) {
+BOOST_AUTO_TEST_CASE(Settings_ReloadedBySighup_OpenRequestIsAnswered) {
   asio::io_context loop;
   tcp::socket caller(loop);
   caller.connect({asio::ip::address_v4::loopback(), callers});
   asio::write(caller, asio::buffer(std::string("GET /a/1 HTTP/1.1\r\n")));
   (void)raise(SIGHUP);
-  BOOST_TEST(Until([&] { return reloaded.load(); }));
+  BOOST_TEST(WaitUntil([&] { return reloaded.load(); }));
   asio::write(caller, asio::buffer(std::string("Host: 127.0.0.1\r\n\r\n")));
   std::string head;
   asio::read_until(caller, asio::dynamic_buffer(head), "\r\n");
   BOOST_TEST(head.starts_with("HTTP/1.1 503"));
 }
 
-BOOST_AUTO_TEST_CASE(Metrics_AreRead_EachLineIsOfTheTextFormat) {
-  PutAll();
-  BOOST_TEST(Until([&] { return Get(callers, "/a/1").status == 502; }));
+BOOST_AUTO_TEST_CASE(Metrics_Requested_EachLineMatchesTextFormat) {
+  PutConfigAndTarget();
+  BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
   const std::regex line(
       R"(^(# (TYPE|HELP) .*|[a-zA-Z_:][a-zA-Z0-9_:]*(\{[a-z_]+="[^"\n]*")"
       R"((,[a-z_]+="[^"\n]*")*\})? -?[0-9.e+-]+)$)");
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -64,7 +64,7 @@
   void OnFollowerLeft(const HostId& /*host*/) override {}
 
   //! Starts the hub with the feeder as its only seed.
-  void Begin() {
+  void StartHub() {
     BOOST_REQUIRE(static_cast<bool>(feeder.Listen("127.0.0.1", 0)));
     HostRecord self;
     self.name = HostId("h");
@@ -90,19 +90,19 @@
 
   //! Returns the number of calls to the store during five changes of its
   //! content, after 3 s for the links to settle.
-  [[nodiscard]] std::uint64_t CallsWhenSettled() {
+  [[nodiscard]] std::uint64_t StoreCallsAfterSettling() {
     RunFor(seconds(3));
-    const std::uint64_t before = Calls();
+    const std::uint64_t before = StoreCalls();
     for (int change = 0; change < 5; ++change) {
       standins::StoreControl control;
       control.puts.push_back({"op/other", std::to_string(change), {}});
       store.Apply(control);
       RunFor(milliseconds(200));
     }
-    return Calls() - before;
+    return StoreCalls() - before;
   }
 
-  [[nodiscard]] std::uint64_t Calls() const {
+  [[nodiscard]] std::uint64_t StoreCalls() const {
     const standins::StoreCounts counts = store.counts();
     return counts.reads + counts.watches;
   }
@@ -112,19 +112,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(FeedHubTest, HubFixture)
 
-BOOST_AUTO_TEST_CASE(Beat_IsFresh_StoreIsLeftInPeace) {
-  Begin();
-  BOOST_TEST(CallsWhenSettled() == 0U);
+BOOST_AUTO_TEST_CASE(Heartbeat_Fresh_StoreIsNotCalled) {
+  StartHub();
+  BOOST_TEST(StoreCallsAfterSettling() == 0U);
 }
 
 // Guards against a host that relies on a feeder that has not heard of a restore
 // of the store, and therefore does not learn of the new era.
 BOOST_AUTO_TEST_CASE(Beat_IsOfAnEraBefore_StoreIsAsked) {
-  Begin();
+  StartHub();
   session.ApplyPeerContent({}, At(1, 2), true);
   store.content().KeepCopy();
   BOOST_REQUIRE(store.content().Restore());
-  BOOST_TEST(CallsWhenSettled() > 0U);
+  BOOST_TEST(StoreCallsAfterSettling() > 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
