--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -25,9 +25,9 @@
 //! Interval of the tick while no configuration is known. The tick decides which
 //! host to learn it from, and a host without one rejects callers.
 constexpr Duration kStartTickInterval = milliseconds(10);
-//! Time after the start in which the shorter interval justifies its wake-ups.
-//! After that the store is unavailable, and a delay of another 100 ms does not
-//! matter.
+//! Time after the start in which the shorter interval justifies its wake-ups. A
+//! host without a configuration after this time has no access to the store, and
+//! another 100 ms of delay does not matter.
 constexpr Duration kStartPeriod = milliseconds(500);
 //! Interval of the log line on store calls and transferred bytes.
 constexpr Duration kTrafficLogInterval = seconds(10);
--- a/test/jacinthdeck/entry/entry_node_test.cc
+++ b/test/jacinthdeck/entry/entry_node_test.cc
@@ -153,8 +153,8 @@
 BOOST_AUTO_TEST_CASE(Host_ReadsConfigFromStore_ServesAndIsInDirectory) {
   PutConfigAndTarget();
   BOOST_TEST(WaitUntil([&] { return Get(ready, "/-/ready").status == 200; }));
-  // The target of this test does not prove its identity in its answers, so they
-  // do not count as a success.
+  // The target of this test sends no server stamp, the proof that a response is
+  // its own, so its responses do not count as a success.
   BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
   BOOST_TEST(Get(callers, "/b/1").status == 404);
   const ClientReply resolved = Get(directory, "/-/resolve?name=x&zone=z");
