--- a/src/jacinthdeck/entry/caller_handler.cc
+++ b/src/jacinthdeck/entry/caller_handler.cc
@@ -45,13 +45,13 @@
   call.request = Convert(std::move(request));
   m_waiting.emplace(
       call.id, WaitingCaller{connection, call.request->request_id, arrived});
-  m_by_connection.emplace(connection.get(), call.id);
+  m_call_by_connection.emplace(connection.get(), call.id);
   m_sink.OnCall(std::move(call));
 }
 
 void CallerHandler::OnLeft(EdgeConnection& connection) {
-  const auto found = m_by_connection.find(&connection);
-  if (found == m_by_connection.end()) {
+  const auto found = m_call_by_connection.find(&connection);
+  if (found == m_call_by_connection.end()) {
     return;
   }
   const CallId call = found->second;
@@ -66,7 +66,7 @@
   }
   WaitingCaller caller = std::move(found->second);
   m_waiting.erase(found);
-  m_by_connection.erase(caller.connection.get());
+  m_call_by_connection.erase(caller.connection.get());
   return caller;
 }
 
--- a/src/jacinthdeck/entry/caller_handler.h
+++ b/src/jacinthdeck/entry/caller_handler.h
@@ -76,7 +76,7 @@
   std::uint64_t m_next_call = 1;
   std::unordered_map<CallId, WaitingCaller> m_waiting;
   //! Call that is open on each connection.
-  std::unordered_map<const EdgeConnection*, CallId> m_by_connection;
+  std::unordered_map<const EdgeConnection*, CallId> m_call_by_connection;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -35,7 +35,7 @@
 constexpr Duration kPauseThreshold = milliseconds(700);
 //! File descriptors reserved for targets, the store and files.
 constexpr std::uint32_t kReservedDescriptors = 600;
-constexpr std::size_t kSmallPortConnections = 128;
+constexpr std::size_t kMaxSecondaryConnections = 128;
 //! How long a higher host count stays in effect. A host that is no longer heard
 //! from may only be partitioned, and still use its share of the limits.
 constexpr Duration kHostWindow = seconds(25);
@@ -120,25 +120,25 @@
   // The handlers are installed before the ports open. Without one, a SIGHUP
   // would end the process, and a SIGTERM would cut off the first requests.
   // Nobody can know of the process and signal it before this point.
-  WaitForSignal();
+  AsyncWaitForSignal();
   const std::uint32_t max_connections =
       m_settings.descriptors > 2 * kReservedDescriptors
           ? m_settings.descriptors - kReservedDescriptors
           : m_settings.descriptors / 2;
   BOOST_LEAF_CHECK(m_callers_server.Listen(
       m_settings.callers.address, m_settings.callers.port, max_connections));
-  struct SmallPort {
+  struct SecondaryPort {
     EdgeServer& server;
     const Endpoint& address;
   };
-  for (const SmallPort& port :
-       {SmallPort{m_ready_server, m_settings.ready},
-        SmallPort{m_directory_server, m_settings.directory},
-        SmallPort{m_metrics_server, m_settings.metrics},
-        SmallPort{m_queries_server, m_settings.queries}}) {
+  for (const SecondaryPort& port :
+       {SecondaryPort{m_ready_server, m_settings.ready},
+        SecondaryPort{m_directory_server, m_settings.directory},
+        SecondaryPort{m_metrics_server, m_settings.metrics},
+        SecondaryPort{m_queries_server, m_settings.queries}}) {
     if (!port.address.address.empty()) {
       BOOST_LEAF_CHECK(port.server.Listen(
-          port.address.address, port.address.port, kSmallPortConnections));
+          port.address.address, port.address.port, kMaxSecondaryConnections));
     }
   }
   if (!m_settings.peers.address.empty()) {
@@ -228,14 +228,14 @@
 
 void EntryNode::ArmDecisions() {
   auto next = m_forwarder.NextTimer();
-  const auto typed = m_typed_service.calls().NextTimer();
-  if (typed && (!next || *typed < *next)) {
-    next = typed;
+  const auto next_typed = m_typed_service.calls().NextTimer();
+  if (next_typed && (!next || *next_typed < *next)) {
+    next = next_typed;
   }
-  if (!next || *next >= m_decision_at) {
+  if (!next || *next >= m_decision_due) {
     return;
   }
-  m_decision_at = *next;
+  m_decision_due = *next;
   m_decision_timer.expires_after(
       std::max(*next - m_clock.Now(), Duration::zero()));
   m_decision_timer.async_wait([this](const SystemError& ended) {
@@ -246,7 +246,7 @@
 }
 
 void EntryNode::OnDecisionTimer() {
-  m_decision_at = TimePoint::max();
+  m_decision_due = TimePoint::max();
   m_forwarder.OnTimer(m_clock.Now());
   m_typed_service.calls().OnTimer(m_clock.Now());
   ArmDecisions();
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -111,7 +111,7 @@
   void LogReadiness();
   void LogTraffic(TimePoint now);
   // Defined in entry_node_stop.cc.
-  void WaitForSignal();
+  void AsyncWaitForSignal();
   void OnSignal(int signal);
   void BeginStop();
   void Stop();
@@ -154,7 +154,7 @@
   LoopLag m_loop_lag;
   asio::steady_timer m_decision_timer;
   //! Expiry of the decision timer; max() while it is not armed.
-  TimePoint m_decision_at = TimePoint::max();
+  TimePoint m_decision_due = TimePoint::max();
   asio::steady_timer m_tick_timer;
   TimePoint m_last_tick;
   //! Time of the next log line on traffic.
--- a/src/jacinthdeck/entry/entry_node_answers.cc
+++ b/src/jacinthdeck/entry/entry_node_answers.cc
@@ -16,7 +16,7 @@
 //! Maximum number of host addresses in one directory answer.
 constexpr std::size_t kMaxDirectoryAddresses = 64;
 
-[[nodiscard]] EdgeResponse Plain(int status) {
+[[nodiscard]] EdgeResponse EmptyResponse(int status) {
   EdgeResponse response;
   response.status = status;
   return response;
@@ -26,16 +26,17 @@
 
 EdgeResponse EntryNode::AnswerReady(const EdgeRequest& request) const {
   if (request.target != m_protocol.ready_path) {
-    return Plain(http_status::kNotFound);
+    return EmptyResponse(http_status::kNotFound);
   }
-  return Plain(IsReady() ? http_status::kOk : http_status::kUnavailable);
+  return EmptyResponse(IsReady() ? http_status::kOk
+                                 : http_status::kUnavailable);
 }
 
 EdgeResponse EntryNode::AnswerDirectory(const EdgeRequest& request) const {
   const std::string_view path =
       std::string_view(request.target).substr(0, request.target.find('?'));
   if (path != m_protocol.directory_path) {
-    return Plain(http_status::kNotFound);
+    return EmptyResponse(http_status::kNotFound);
   }
   DirectoryRequest directory_request;
   directory_request.caller_domain =
@@ -49,7 +50,7 @@
   const std::vector<std::string> addresses =
       ChooseCallerAddresses(directory_request, m_fronts);
   if (addresses.empty()) {
-    return Plain(http_status::kUnavailable);
+    return EmptyResponse(http_status::kUnavailable);
   }
   return m_protocol.write_directory_answer(addresses, m_settings.directory_ttl);
 }
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -26,9 +26,10 @@
 [[nodiscard]] bool IsAvoided(const TargetEntry& entry,
                              const DiscoveryState& discovery_state,
                              TimePoint now) {
-  const bool bounded = discovery_state.config() != nullptr &&
-                       discovery_state.config()->ColdRate(entry.service) > 0;
-  return !entry.AcceptsRequests() || (bounded && entry.IsCold(now));
+  const bool limits_cold_rate =
+      discovery_state.config() != nullptr &&
+      discovery_state.config()->ColdRate(entry.service) > 0;
+  return !entry.AcceptsRequests() || (limits_cold_rate && entry.IsCold(now));
 }
 
 //! Converts the targets of the discovery state for the typed calls.
--- a/src/jacinthdeck/entry/entry_node_stop.cc
+++ b/src/jacinthdeck/entry/entry_node_stop.cc
@@ -21,13 +21,13 @@
 
 }  // namespace
 
-void EntryNode::WaitForSignal() {
+void EntryNode::AsyncWaitForSignal() {
   auto signals =
       std::make_shared<asio::signal_set>(m_loop, SIGTERM, SIGINT, SIGHUP);
   signals->async_wait([this, signals](const SystemError& error, int signal) {
     if (!error) {
       OnSignal(signal);
-      WaitForSignal();
+      AsyncWaitForSignal();
     }
   });
 }
