--- a/src/jacinthdeck/entry/caller_handler.cc
+++ b/src/jacinthdeck/entry/caller_handler.cc
@@ -12,18 +12,18 @@
 namespace {
 
 //! Longest time that a caller can ask for.
-constexpr std::int64_t kMostMilliseconds = 3'600'000;
+constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 
 //! When the caller stops waiting; max() where it does not say, or nonsense.
 [[nodiscard]] TimePoint DeadlineOf(std::string_view text, TimePoint arrived) {
-  std::int64_t wanted = 0;
+  std::int64_t requested_ms = 0;
   const char* end = text.data() + text.size();
-  const auto read = std::from_chars(text.data(), end, wanted);
-  if (text.empty() || read.ec != std::errc() || wanted < 0) {
+  const auto parsed = std::from_chars(text.data(), end, requested_ms);
+  if (text.empty() || parsed.ec != std::errc() || requested_ms < 0) {
     return TimePoint::max();
   }
   return arrived +
-         std::chrono::milliseconds(std::min(wanted, kMostMilliseconds));
+         std::chrono::milliseconds(std::min(requested_ms, kMaxDeadlineMs));
 }
 
 }  // namespace
@@ -43,13 +43,13 @@
   call.request = Convert(std::move(request));
   m_waiting.emplace(
       call.id, WaitingCaller{connection, call.request->request_id, arrived});
-  m_by_connection.emplace(connection.get(), call.id);
+  m_call_by_connection.emplace(connection.get(), call.id);
   m_sink.OnCall(std::move(call));
 }
 
 void CallerHandler::OnDisconnect(EdgeConnection& connection) {
-  const auto found = m_by_connection.find(&connection);
-  if (found == m_by_connection.end()) {
+  const auto found = m_call_by_connection.find(&connection);
+  if (found == m_call_by_connection.end()) {
     return;
   }
   const CallId call = found->second;
@@ -64,7 +64,7 @@
   }
   WaitingCaller caller = std::move(found->second);
   m_waiting.erase(found);
-  m_by_connection.erase(caller.connection.get());
+  m_call_by_connection.erase(caller.connection.get());
   return caller;
 }
 
--- a/src/jacinthdeck/entry/entry_node_answers.cc
+++ b/src/jacinthdeck/entry/entry_node_answers.cc
@@ -1,4 +1,5 @@
-// Answers to the platform, to operators and to callers that look for a host.
+// Answers to readiness probes of the platform, to directory requests of
+// callers, and to requests for metrics and status.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <string_view>
@@ -12,10 +13,10 @@
 
 namespace {
 
-//! The callers' addresses that one directory answer holds.
-constexpr std::size_t kMostAddresses = 64;
+//! Maximum number of host addresses in one directory answer.
+constexpr std::size_t kMaxDirectoryAddresses = 64;
 
-[[nodiscard]] EdgeResponse Plain(int status) {
+[[nodiscard]] EdgeResponse EmptyResponse(int status) {
   EdgeResponse response;
   response.status = status;
   return response;
@@ -25,27 +26,31 @@
 
 EdgeResponse EntryNode::AnswerReady(const EdgeRequest& request) const {
   if (request.target != m_protocol.ready_path) {
-    return Plain(http_status::kNotFound);
+    return EmptyResponse(http_status::kNotFound);
   }
-  return Plain(IsReady() ? http_status::kOk : http_status::kUnavailable);
+  return EmptyResponse(IsReady() ? http_status::kOk
+                                 : http_status::kUnavailable);
 }
 
 EdgeResponse EntryNode::AnswerDirectory(const EdgeRequest& request) const {
   const std::string_view path =
       std::string_view(request.target).substr(0, request.target.find('?'));
   if (path != m_protocol.directory_path) {
-    return Plain(http_status::kNotFound);
+    return EmptyResponse(http_status::kNotFound);
   }
-  DirectoryRequest question;
-  question.caller_domain = m_protocol.read_directory_call(request.target);
-  question.self = OwnRecord();
-  // A host that knows no front yet names itself rather than nobody.
-  question.self_accepts_callers = IsReady() && (m_is_front || m_fronts.empty());
-  question.max_addresses = kMostAddresses;
+  DirectoryRequest directory_request;
+  directory_request.caller_domain =
+      m_protocol.read_directory_call(request.target);
+  directory_request.self = OwnRecord();
+  // While no host that serves callers is known, this host lists itself, because
+  // the answer would otherwise be empty.
+  directory_request.self_accepts_callers =
+      IsReady() && (m_is_front || m_fronts.empty());
+  directory_request.max_addresses = kMaxDirectoryAddresses;
   const std::vector<std::string> addresses =
-      ChooseCallerAddresses(question, m_fronts);
+      ChooseCallerAddresses(directory_request, m_fronts);
   if (addresses.empty()) {
-    return Plain(http_status::kUnavailable);
+    return EmptyResponse(http_status::kUnavailable);
   }
   return m_protocol.write_directory_answer(addresses, m_settings.directory_ttl);
 }
@@ -58,9 +63,10 @@
     return response;
   }
   response.headers.push_back({"Content-Type", "text/plain; version=0.0.4"});
-  response.body = m_metrics.Render() +
-                  RenderNodeMetrics({m_forwarder, m_pool, m_callers, m_store,
-                                     m_log, IsReady(), KnowledgeAge()});
+  response.body =
+      m_metrics.Render() +
+      RenderNodeMetrics({m_forwarder, m_pool, m_callers_server, m_store, m_log,
+                         IsReady(), KnowledgeAge()});
   return response;
 }
 
@@ -86,7 +92,7 @@
            EvacuationsText(discovery_state.Evacuations(), m_clock.Now()))
       .Count("hosts", discovery_state.Hosts().size())
       .Count("open_calls", m_forwarder.open_calls())
-      .Count("caller_connections", m_callers.connections())
+      .Count("caller_connections", m_callers_server.connections())
       .Count("target_connections", m_pool.connections());
   return std::move(status).Finish();
 }
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -1,4 +1,5 @@
-// What the host learns and what it tells others of itself.
+// Applies discovery changes to the host's components and publishes the host's
+// own record.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <algorithm>
@@ -13,23 +14,25 @@
 
 using std::chrono::milliseconds;
 
-//! How long a record outlives its host: callers are sent to a dead host for
-//! that long at most.
+//! Lease of the record of a host that serves callers. Callers are sent to a
+//! dead host for at most this long.
 constexpr Duration kFrontLease = milliseconds(3500);
-//! The same of a host that no callers are sent to.
+//! Lease of the record of a host that no callers are sent to.
 constexpr Duration kStandbyLease = milliseconds(9000);
 
-//! Tells whether typed calls keep away from a target. They do not count what it
-//! gets from all hosts, so that one with a bound gets none while it is cold.
+//! Returns whether typed calls avoid a target. They do not count the requests
+//! that it gets from all hosts, so a target whose service limits the rate of
+//! cold targets gets no typed calls while it is cold.
 [[nodiscard]] bool IsAvoided(const TargetEntry& entry,
                              const DiscoveryState& discovery_state,
                              TimePoint now) {
-  const bool bounded = discovery_state.config() != nullptr &&
-                       discovery_state.config()->ColdRate(entry.service) > 0;
-  return !entry.AcceptsRequests() || (bounded && entry.IsCold(now));
+  const bool limits_cold_rate =
+      discovery_state.config() != nullptr &&
+      discovery_state.config()->ColdRate(entry.service) > 0;
+  return !entry.AcceptsRequests() || (limits_cold_rate && entry.IsCold(now));
 }
 
-//! The registry's targets in the terms of typed calls.
+//! Converts the targets of the discovery state for the typed calls.
 [[nodiscard]] std::vector<TargetInfo> TargetInfosOf(
     const DiscoveryState& discovery_state,
     TimePoint now) {
@@ -67,7 +70,8 @@
   const TimePoint now = m_clock.Now();
   const DiscoveryState& discovery_state = m_store.discovery_state();
   if (change.config && m_forwarder.SetConfig(discovery_state.config())) {
-    m_callers.SetLimits(EdgeLimitsOf(discovery_state.config()->limits()));
+    m_callers_server.SetLimits(
+        EdgeLimitsOf(discovery_state.config()->limits()));
   }
   if (change.targets) {
     const std::vector<TargetEntry> targets = discovery_state.Targets();
@@ -75,23 +79,23 @@
     m_pool.Retain(targets);
   }
   if (change.hosts || change.config) {
-    TakeHosts(now);
+    UpdateHosts(now);
   }
   for (const Fingerprint fingerprint : change.convictions) {
     m_forwarder.QuarantineRequest(fingerprint, now);
   }
-  KeepRecord(now);
-  TakeTyped(change, now);
+  UpdateRecordWriter(now);
+  UpdateTypedCalls(change, now);
   m_decisions.OnDiscoveryChange(change, discovery_state, position,
                                 now - m_started, now);
-  TellReadiness();
+  LogReadiness();
   ArmDecisions();
 }
 
 void EntryNode::OnContent(const std::vector<StoreChange>& changes,
                           const StorePosition& position,
                           bool whole) {
-  m_feed.OnContent(changes, position, whole);
+  m_feed_hub.OnContent(changes, position, whole);
 }
 
 void EntryNode::OnStoreRestored(StoreEra before,
@@ -118,17 +122,17 @@
   m_log.Add(std::move(line));
 }
 
-void EntryNode::TakeHosts(TimePoint now) {
+void EntryNode::UpdateHosts(TimePoint now) {
   const std::vector<HostRecord> hosts = m_store.discovery_state().Hosts();
-  m_feed.OnHosts(hosts);
+  m_feed_hub.OnHosts(hosts);
   const std::shared_ptr<const RoutingConfig>& config =
       m_store.discovery_state().config();
   std::vector<HostRecord> fronts = ChooseFronts(
       hosts, config == nullptr ? 0 : config->MinTargetConnections());
-  const bool same = std::ranges::equal(fronts, m_fronts, {}, &HostRecord::name,
-                                       &HostRecord::name);
+  const bool same_fronts = std::ranges::equal(
+      fronts, m_fronts, {}, &HostRecord::name, &HostRecord::name);
   m_fronts = std::move(fronts);
-  if (!same) {
+  if (!same_fronts) {
     m_decisions.OnFronts(m_fronts);
     std::vector<HostId> names;
     std::ranges::transform(m_fronts, std::back_inserter(names),
@@ -139,56 +143,58 @@
   m_is_front = std::ranges::find(m_fronts, m_settings.name,
                                  &HostRecord::name) != m_fronts.end();
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
-  // A front that dies must not be named for long; of the others only the
-  // budget of calls to the store matters.
-  const bool small = hosts.size() <= kSmallFleetSize;
-  m_store.SetLeaseDuration(m_is_front || small ? kFrontLease : kStandbyLease);
-  m_feed.SetServesCallers(m_is_front || small);
+  // A host that serves callers gets a short lease, so that the directory stops
+  // listing it soon after it dies. For the other hosts only the number of calls
+  // to the store matters.
+  const bool small_fleet = hosts.size() <= kSmallFleetSize;
+  m_store.SetLeaseDuration(m_is_front || small_fleet ? kFrontLease
+                                                     : kStandbyLease);
+  m_feed_hub.SetServesCallers(m_is_front || small_fleet);
 }
 
-void EntryNode::KeepRecord(TimePoint now) {
+void EntryNode::UpdateRecordWriter(TimePoint now) {
   if (m_stopping) {
     return;
   }
-  const FleetRole part{
+  const FleetRole role{
       .knows_hosts = m_store.position().revision > 0,
       .hosts = m_store.discovery_state().host_count(),
       .is_front = m_is_front,
-      .feeds_others = m_feed.is_watcher() || m_feed.followers() > 0,
-      .has_feeder = m_feed.IsLinked()};
-  if (m_record_writer.Update(part, now)) {
+      .feeds_others = m_feed_hub.is_watcher() || m_feed_hub.followers() > 0,
+      .has_feeder = m_feed_hub.IsLinked()};
+  if (m_record_writer.Update(role, now)) {
     LogLine line = m_log.Begin(LogEvent::kRecordWriter);
     line.Text("writer", kRecordWriterNames.Name(m_record_writer.writer()))
-        .Count("hosts", part.hosts);
+        .Count("hosts", role.hosts);
     m_log.Add(std::move(line));
-    TellRecord();
+    PublishRecord();
   }
 }
 
-void EntryNode::TellRecord() {
+void EntryNode::PublishRecord() {
   const HostRecord record = OwnRecord();
   switch (m_record_writer.writer()) {
     case RecordWriter::kNobody:
       break;
     case RecordWriter::kSelf:
-      m_feed.SetRecord({});
+      m_feed_hub.SetRecord({});
       m_store.Register(record);
       break;
     case RecordWriter::kFeeder:
       m_store.DelegateRecord();
-      m_feed.SetRecord(m_store.ValueOf(record));
+      m_feed_hub.SetRecord(m_store.ValueOf(record));
       break;
   }
 }
 
-void EntryNode::TakeTyped(const DiscoveryChange& change, TimePoint now) {
+void EntryNode::UpdateTypedCalls(const DiscoveryChange& change, TimePoint now) {
   if (m_settings.queries.address.empty()) {
     return;
   }
-  TypedCallRunner& calls = m_typed.calls();
+  TypedCallRunner& calls = m_typed_service.calls();
   const DiscoveryState& discovery_state = m_store.discovery_state();
-  const auto tell = [&](const std::string& subject, const auto& taken) {
-    const auto* error = std::get_if<Error>(&taken);
+  const auto log_result = [&](const std::string& subject, const auto& result) {
+    const auto* error = std::get_if<Error>(&result);
     LogLine line = m_log.Begin(error == nullptr ? LogEvent::kSchemaApplied
                                                 : LogEvent::kEntryUnreadable);
     line.Text("entry", subject);
@@ -198,17 +204,17 @@
     m_log.Add(std::move(line));
   };
   if (change.schema) {
-    tell("schema", Capture([&]() -> Result<bool> {
-           BOOST_LEAF_CHECK(calls.SetSchema(discovery_state.schema()));
-           return true;
-         }));
+    log_result("schema", Capture([&]() -> Result<bool> {
+                 BOOST_LEAF_CHECK(calls.SetSchema(discovery_state.schema()));
+                 return true;
+               }));
   }
   for (const ServiceId& service : change.indexes) {
-    tell(service.raw(), Capture([&]() -> Result<bool> {
-           BOOST_LEAF_CHECK(
-               calls.SetIndex(service, discovery_state.IndexOf(service)));
-           return true;
-         }));
+    log_result(service.raw(), Capture([&]() -> Result<bool> {
+                 BOOST_LEAF_CHECK(
+                     calls.SetIndex(service, discovery_state.IndexOf(service)));
+                 return true;
+               }));
   }
   if (change.targets || change.config) {
     calls.SetTargets(TargetInfosOf(discovery_state, now), now);
@@ -244,27 +250,28 @@
 }
 
 void EntryNode::OnRegistration(StoreStatus status) {
-  const bool well = status == StoreStatus::kOk;
+  const bool ok = status == StoreStatus::kOk;
   LogLine line =
-      m_log.Begin(well ? LogEvent::kRegistered : LogEvent::kRegistrationFailed);
+      m_log.Begin(ok ? LogEvent::kRegistered : LogEvent::kRegistrationFailed);
   line.Text("status", kStoreStatusNames.Name(status));
   m_log.Add(std::move(line));
 }
 
 HostRecord EntryNode::OwnRecord() const {
-  const auto address = [](const Endpoint& asked, std::uint16_t port) {
-    return asked.address.empty() ? std::string()
-                                 : Endpoint{asked.address, port}.ToString();
+  const auto address = [](const Endpoint& configured, std::uint16_t port) {
+    return configured.address.empty()
+               ? std::string()
+               : Endpoint{configured.address, port}.ToString();
   };
-  HostRecord record = SettledRecord();
-  record.callers = address(m_settings.callers, m_callers.port());
-  record.queries = address(m_settings.queries, m_queries.port());
-  record.peers = address(m_settings.peers, m_feed.port());
-  record.busy = m_lag.busy();
+  HostRecord record = ConfiguredRecord();
+  record.callers = address(m_settings.callers, m_callers_server.port());
+  record.queries = address(m_settings.queries, m_queries_server.port());
+  record.peers = address(m_settings.peers, m_feed_hub.port());
+  record.busy = m_loop_lag.busy();
   return record;
 }
 
-HostRecord EntryNode::SettledRecord() const {
+HostRecord EntryNode::ConfiguredRecord() const {
   constexpr double kThousandths = 1000;
   HostRecord record;
   record.name = m_settings.name;
@@ -279,8 +286,8 @@
 }
 
 Duration EntryNode::KnowledgeAge() const {
-  const auto heard = m_store.last_contact();
-  return m_clock.Now() - heard.value_or(m_started);
+  const auto last_contact_at = m_store.last_contact();
+  return m_clock.Now() - last_contact_at.value_or(m_started);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/entry_node_stop.cc
+++ b/src/jacinthdeck/entry/entry_node_stop.cc
@@ -1,4 +1,4 @@
-// Signals, and the end without a cut request.
+// Signal handling, and the graceful stop that does not cut off requests.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <signal.h>
@@ -14,20 +14,20 @@
 
 using std::chrono::milliseconds;
 
-//! Time kept back at the end of the grace for the last answers.
+//! Part at the end of the grace period that is reserved for the last answers.
 constexpr Duration kStopMargin = milliseconds(900);
-//! Time for the requests that were on their way when the ports closed.
-constexpr Duration kSettle = milliseconds(250);
+//! Minimum time after the ports closed, for requests that were in transit then.
+constexpr Duration kSettleTime = milliseconds(250);
 
 }  // namespace
 
-void EntryNode::WaitForSignal() {
+void EntryNode::AsyncWaitForSignal() {
   auto signals =
       std::make_shared<asio::signal_set>(m_loop, SIGTERM, SIGINT, SIGHUP);
   signals->async_wait([this, signals](const SystemError& error, int signal) {
     if (!error) {
       OnSignal(signal);
-      WaitForSignal();
+      AsyncWaitForSignal();
     }
   });
 }
@@ -46,19 +46,20 @@
 
 void EntryNode::BeginStop() {
   m_stopping = true;
-  m_feed.SetRecord({});
-  m_feed.Drain();
+  m_feed_hub.SetRecord({});
+  m_feed_hub.Drain();
   m_store.Unregister();
-  m_callers.Drain();
-  m_queries.Drain();
+  m_callers_server.Drain();
+  m_queries_server.Drain();
   LogLine line = m_log.Begin(LogEvent::kStopping);
   line.Count("open_calls", m_forwarder.open_calls())
-      .Count("connections", m_callers.connections())
+      .Count("connections", m_callers_server.connections())
       .Milliseconds("grace_ms", m_settings.grace);
   m_log.Add(std::move(line));
-  TellReadiness();
-  // Callers keep a directory answer for a while, and some for longer, so the
-  // port stays open and requests are served until the end of the grace.
+  LogReadiness();
+  // Callers cache a directory answer for its time to live, and some for longer.
+  // The port therefore stays open, and requests are served, until the end of
+  // the grace period.
   m_stop_timer.expires_after(
       std::max(m_settings.grace - kStopMargin, Duration::zero()));
   m_stop_timer.async_wait([this](const SystemError& ended) {
@@ -68,26 +69,27 @@
   });
 }
 
-// A caller whose connection is refused goes elsewhere; one whose connection
-// ends after it was accepted cannot know whether its request was read. So the
-// ports close first, and what was accepted has time to be answered.
+// A caller whose connection is refused tries another host. A caller whose
+// connection is closed after it was accepted cannot know whether its request
+// was read. Therefore the ports close first, and requests on accepted
+// connections get time to be answered.
 void EntryNode::Stop() {
   const TimePoint now = m_clock.Now();
   if (m_ports_closed == TimePoint{}) {
     m_ports_closed = now;
-    m_callers.StopListening();
-    m_queries.StopListening();
+    m_callers_server.StopListening();
+    m_queries_server.StopListening();
   }
-  const bool settled = now - m_ports_closed >= kSettle &&
+  const bool settled = now - m_ports_closed >= kSettleTime &&
                        m_caller_handler.waiting() == 0 &&
-                       m_typed.waiting() == 0;
+                       m_typed_service.waiting() == 0;
   if (settled || now - m_ports_closed >= kStopMargin) {
-    m_callers.CloseIdle();
+    m_callers_server.CloseIdle();
     m_loop.stop();
     return;
   }
-  constexpr Duration kLook = milliseconds(20);
-  m_stop_timer.expires_after(kLook);
+  constexpr Duration kStopPollInterval = milliseconds(20);
+  m_stop_timer.expires_after(kStopPollInterval);
   m_stop_timer.async_wait([this](const SystemError& ended) {
     if (!ended) {
       Stop();
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -1,5 +1,5 @@
-// Tests of where a host's knowledge comes from, over loopback sockets. Times of
-// the host are those of a clock that the test advances.
+// Tests over loopback sockets of whether a host gets the store's content from a
+// feeder or from the store. The host uses a clock that the test advances.
 #include "jacinthdeck/entry/feed_hub.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! A feeder that heard the store a moment ago, as it says.
+//! Source of a feeder that reports that it heard from the store 1 ms ago.
 struct FreshSource final : FeedSource {
   StorePosition position = At(1);
 
@@ -63,8 +63,8 @@
   void OnFollowerHello(const FeedHello& /*hello*/) override {}
   void OnFollowerLeft(const HostId& /*host*/) override {}
 
-  //! Begins with the feeder as the only host that is known.
-  void Begin() {
+  //! Starts the hub with the feeder as its only seed.
+  void StartHub() {
     BOOST_REQUIRE(static_cast<bool>(feeder.Listen("127.0.0.1", 0)));
     HostRecord self;
     self.name = HostId("h");
@@ -88,20 +88,21 @@
     }
   }
 
-  //! Calls to the store in a while, once all is settled.
-  [[nodiscard]] std::uint64_t CallsWhenSettled() {
+  //! Returns the number of calls to the store during five changes of its
+  //! content, after 3 s for the links to settle.
+  [[nodiscard]] std::uint64_t StoreCallsAfterSettling() {
     RunFor(seconds(3));
-    const std::uint64_t before = Calls();
+    const std::uint64_t before = StoreCalls();
     for (int change = 0; change < 5; ++change) {
       standins::StoreControl control;
       control.puts.push_back({"op/other", std::to_string(change), {}});
       store.Apply(control);
       RunFor(milliseconds(200));
     }
-    return Calls() - before;
+    return StoreCalls() - before;
   }
 
-  [[nodiscard]] std::uint64_t Calls() const {
+  [[nodiscard]] std::uint64_t StoreCalls() const {
     const standins::StoreCounts counts = store.counts();
     return counts.reads + counts.watches;
   }
@@ -111,19 +112,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(FeedHubTest, HubFixture)
 
-BOOST_AUTO_TEST_CASE(Beat_IsFresh_StoreIsLeftInPeace) {
-  Begin();
-  BOOST_TEST(CallsWhenSettled() == 0U);
+BOOST_AUTO_TEST_CASE(Heartbeat_Fresh_StoreIsNotCalled) {
+  StartHub();
+  BOOST_TEST(StoreCallsAfterSettling() == 0U);
 }
 
-// Guards against a host that relies on a feeder which has not heard of a
-// restored store, and learns nothing of the new era.
+// Guards against a host that relies on a feeder that has not heard of a restore
+// of the store, and therefore does not learn of the new era.
 BOOST_AUTO_TEST_CASE(Beat_IsOfAnEraBefore_StoreIsAsked) {
-  Begin();
+  StartHub();
   session.ApplyPeerContent({}, At(1, 2), true);
   store.content().TakeSnapshot();
   BOOST_REQUIRE(store.content().Restore());
-  BOOST_TEST(CallsWhenSettled() > 0U);
+  BOOST_TEST(StoreCallsAfterSettling() > 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
