--- a/src/jacinthdeck/entry/answer_encoder.cc
+++ b/src/jacinthdeck/entry/answer_encoder.cc
@@ -1,4 +1,4 @@
-// One function a kind of answer, found by a table.
+// Each kind of answer has an encoder function, looked up in a table.
 #include "jacinthdeck/entry/answer_encoder.h"
 
 #include <array>
@@ -14,7 +14,8 @@
 
 using Encoder = EdgeResponse (*)(const TargetProtocol&, ForwardAnswer&);
 
-//! A response of our own: the body names the reason for whoever reads it.
+//! Makes a response that no target sent; the body names the reason in plain
+//! text.
 [[nodiscard]] EdgeResponse Own(int status, const ForwardAnswer& answer) {
   EdgeResponse response;
   response.status = status;
@@ -23,6 +24,7 @@
   return response;
 }
 
+//! Formats a duration in seconds with three decimals.
 [[nodiscard]] std::string Seconds(Duration duration) {
   std::array<char, 32> text{};
   (void)std::snprintf(text.data(), text.size(), "%.3f",
@@ -80,7 +82,7 @@
   return Own(http_status::kNotFound, answer);
 }
 
-//! In the order of AnswerKind.
+//! Encoders in the order of the enumerators of AnswerKind.
 constexpr std::array<Encoder, 6> kEncoders{&EncodeResponse, &EncodeMerged,
                                            &EncodeNotRun,   &EncodeFailed,
                                            &EncodeTimedOut, &EncodeNoRoute};
--- a/src/jacinthdeck/entry/answer_encoder.h
+++ b/src/jacinthdeck/entry/answer_encoder.h
@@ -1,4 +1,4 @@
-// Turns answers into responses to callers.
+// Encodes answers of the forwarder as HTTP responses to callers.
 #ifndef JACINTHDECK_ENTRY_ANSWER_ENCODER_H_
 #define JACINTHDECK_ENTRY_ANSWER_ENCODER_H_
 
@@ -9,10 +9,11 @@
 namespace jacinthdeck {
 
 /**
- * \brief Encodes an answer.
+ * \brief Encodes an answer as an HTTP response.
  *
- * Status 503 promises that the request has not run and never will, so it is
- * used for AnswerKind::kNotRun alone; 502 and 504 promise nothing.
+ * Status 503 guarantees that the request has not run and never will, so only
+ * AnswerKind::kNotRun is encoded as 503. Status 502 and 504 leave open whether
+ * the request ran.
  */
 [[nodiscard]] EdgeResponse EncodeAnswer(const TargetProtocol& protocol,
                                         ForwardAnswer&& answer);
--- a/src/jacinthdeck/entry/call_metrics.cc
+++ b/src/jacinthdeck/entry/call_metrics.cc
@@ -1,4 +1,4 @@
-// Latency and outcomes by tenant and service.
+// Keeps a histogram of latency for each label set and renders it.
 #include "jacinthdeck/entry/call_metrics.h"
 
 #include <sstream>
@@ -8,12 +8,12 @@
 
 namespace {
 
-//! Buckets from 0.25 ms to 16 s, four to each doubling.
+//! The histogram covers 0.25 ms to 16 s, with four buckets to each doubling.
 constexpr unsigned kBuckets = 64;
 constexpr double kLowestMs = 0.25;
 constexpr double kHighestMs = 16384;
 
-//! Label values may hold what a caller sent.
+//! Escapes a label value, since it may contain any text that a caller sent.
 [[nodiscard]] std::string Escape(const std::string& text) {
   std::string out;
   for (const char c : text) {
--- a/src/jacinthdeck/entry/call_metrics.h
+++ b/src/jacinthdeck/entry/call_metrics.h
@@ -1,4 +1,4 @@
-// Latency and outcomes by tenant and service, for the operators' metrics.
+// Latency and outcomes of calls by tenant and service, exported as metrics.
 #ifndef JACINTHDECK_ENTRY_CALL_METRICS_H_
 #define JACINTHDECK_ENTRY_CALL_METRICS_H_
 
@@ -20,7 +20,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief What calls are told apart by. */
+/*! \brief Labels of a time series of calls. */
 struct CallLabels {
   TenantId tenant;
   ServiceId service;
@@ -30,18 +30,18 @@
   [[nodiscard]] bool operator==(const CallLabels&) const = default;
 };
 
-/*! \brief Collects calls; safe to use from several threads. */
+/*! \brief Collects latency and outcomes of ended calls. Thread-safe. */
 class Metrics {
  public:
-  //! Label sets kept apart; callers choose tenants, so that without a bound
-  //! they would choose the memory too. Further ones are counted as tenant
-  //! "other".
+  //! Maximum number of label sets with a series of their own. Callers choose
+  //! the tenant, so without a bound they could use up the memory. Calls with
+  //! further label sets are counted under the tenant "other".
   static constexpr std::size_t kMaxSeries = 512;
 
-  /*! \brief Counts an ended call. */
+  /*! \brief Counts an ended call and its latency. */
   void Add(CallLabels labels, Duration latency);
 
-  /*! \brief Renders everything as Prometheus text. */
+  /*! \brief Renders all series in the Prometheus text format. */
   [[nodiscard]] std::string Render() const;
 
  private:
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -1,4 +1,4 @@
-// Stories of calls as JSON lines.
+// Formats traces of calls and changes in discovery as JSON lines.
 #include "jacinthdeck/entry/decision_log.h"
 
 #include <array>
@@ -11,11 +11,13 @@
 
 namespace {
 
-//! Unreadable entries told at once; one faulty writer may own many keys.
+//! Maximum number of unreadable entries logged for one change, since one faulty
+//! writer may own many keys.
 constexpr std::size_t kMostUnreadable = 4;
-//! Attempts told of one call.
+//! Maximum number of attempts in the log line of a call.
 constexpr std::size_t kMostAttempts = 24;
 
+//! Formats numbers as a JSON array.
 [[nodiscard]] std::string NumbersText(
     const std::vector<std::uint32_t>& numbers) {
   std::string text = "[";
@@ -26,6 +28,7 @@
   return text + "]";
 }
 
+//! Formats counts by failure domain as a JSON object.
 [[nodiscard]] std::string CountsText(
     const std::map<FailureDomain, std::size_t>& counts) {
   LogLine line;
@@ -35,7 +38,7 @@
   return std::move(line).Finish();
 }
 
-//! Counts by reason of an attempt as a JSON object.
+//! Formats counts by reason of an attempt as a JSON object.
 [[nodiscard]] std::string CountsText(
     const std::array<std::uint64_t, 3>& by_reason) {
   LogLine line;
@@ -45,8 +48,8 @@
   return std::move(line).Finish();
 }
 
-//! Attempts as a JSON array; good ones of a fan-out are left out, since there
-//! are as many as shards.
+//! Formats attempts as a JSON array. Successful first attempts of a fan-out are
+//! left out, since there are as many of them as shards.
 [[nodiscard]] std::string AttemptsText(const CallTrace& story) {
   std::string text = "[";
   std::size_t told = 0;
--- a/src/jacinthdeck/entry/decision_log.h
+++ b/src/jacinthdeck/entry/decision_log.h
@@ -1,4 +1,4 @@
-// Log lines of calls and of what the process believes.
+// Writes log lines about ended calls and about changes in discovery.
 #ifndef JACINTHDECK_ENTRY_DECISION_LOG_H_
 #define JACINTHDECK_ENTRY_DECISION_LOG_H_
 
@@ -17,56 +17,62 @@
 
 namespace jacinthdeck {
 
-/*! \brief Calls and bytes of a host since its start, by purpose. */
+/*! \brief Calls and bytes of a host since its start, by their purpose. */
 struct HostTraffic {
   StoreCounters store;
-  //! From the hosts that it learns from.
+  //! Bytes of the discovery feed received from other hosts.
   LinkBytes feed;
-  //! To and from targets.
+  //! Bytes sent to and received from targets.
   LinkBytes targets;
   ForwardCounters calls;
 };
 
-/*! \brief How a call ended, with what the edge knows of it. */
+/*! \brief An ended call: its answer, its trace and its timing. */
 struct EndedCall {
   const std::string& request_id;
   const ForwardAnswer& answer;
   const CallTrace& story;
   Duration took;
-  //! Age of the knowledge that decided it: since the store was last heard.
+  //! Age of the discovery state that the call was routed by: the time since the
+  //! last message from the store.
   Duration knowledge_age;
   std::size_t open_calls = 0;
 };
 
 /**
- * \brief Decides which calls get a line, and writes it.
+ * \brief Decides which calls are logged, and writes their lines.
  *
- * Refused, failed, partial and slow calls get their whole story, good ones one
- * in a fixed number. Which, is chosen by count and not at random, so that equal
- * runs give equal logs.
+ * Every refused, failed, partial or slow call is logged with its trace. Of the
+ * other calls, one in a fixed number is logged. The sample is taken by count
+ * and not at random, so that equal runs write equal logs.
  */
 class DecisionLog {
  public:
+  /*! \brief Makes a decision log that logs one in \p sample good calls; the
+   * event log outlives it. */
   DecisionLog(EventLog& log, std::uint32_t sample)
       : m_log(log), m_sample(sample) {}
 
-  /*! \brief Writes the end of a call, if it is to be told. */
+  /*! \brief Logs the end of a call, unless the sample leaves it out. */
   void OnCallEnd(const EndedCall& call);
 
-  /*! \brief Writes that a caller left. */
+  /*! \brief Logs that a caller left \p after its request arrived, before it
+   * got an answer. */
   void OnAbandoned(const std::string& request_id, Duration after);
 
-  /*! \brief Writes what the store taught. */
+  /*! \brief Logs what changed in the discovery state, one line for each kind of
+   * change. */
   void OnDiscoveryChange(const DiscoveryChange& change,
                          const DiscoveryState& discovery_state,
                          const StorePosition& position,
                          Duration since_start,
                          TimePoint now);
 
-  /*! \brief Writes what was sent and received since the start. */
+  /*! \brief Logs the calls and bytes since the start of the host. */
   void OnTraffic(const HostTraffic& traffic);
 
-  /*! \brief Writes that other hosts take the callers from now on. */
+  /*! \brief Logs that the set of fronts changed: the hosts that callers are
+   * sent to. */
   void OnFronts(const std::vector<HostRecord>& fronts);
 
  private:
--- a/src/jacinthdeck/entry/entry_settings.cc
+++ b/src/jacinthdeck/entry/entry_settings.cc
@@ -1,4 +1,4 @@
-// One line a key.
+// Reads each key with its range, and keeps the default of a key that is absent.
 #include "jacinthdeck/entry/entry_settings.h"
 
 namespace jacinthdeck {
--- a/src/jacinthdeck/entry/entry_settings.h
+++ b/src/jacinthdeck/entry/entry_settings.h
@@ -1,4 +1,4 @@
-// Settings of an entry process.
+// Settings of an entry process, read from a TOML file.
 #ifndef JACINTHDECK_ENTRY_ENTRY_SETTINGS_H_
 #define JACINTHDECK_ENTRY_ENTRY_SETTINGS_H_
 
@@ -14,52 +14,54 @@
 
 namespace jacinthdeck {
 
-/*! \brief Checked settings; each key is explained in docs/operate/settings.md.
- */
+/*! \brief Settings after validation; docs/operate/settings.md explains each
+ * key. */
 struct EntrySettings {
   HostId name;
   FailureDomain domain;
-  //! Where callers connect.
+  //! Address on which callers connect.
   Endpoint callers;
-  //! Where the platform asks whether this host is ready.
+  //! Address on which the platform probes whether this host is ready.
   Endpoint ready;
-  //! Where callers ask which hosts to use.
+  //! Address of the directory, which tells callers which hosts to use.
   Endpoint directory;
   Endpoint metrics;
-  //! Where the product's own typed calls come in; may be absent.
+  //! Address of the typed calls of the product itself; optional.
   Endpoint queries;
-  //! Where other hosts learn from this one; may be absent.
+  //! Address on which other hosts read the discovery feed of this host;
+  //! optional.
   Endpoint peers;
-  //! Hosts to learn from before any is known.
+  //! Hosts whose discovery feed is read before any other host is known.
   std::vector<Endpoint> seeds;
-  //! All hosts of the deployment start for the first time.
+  //! Whether all hosts of the deployment start for the first time.
   bool fleet_starts = false;
   Endpoint store;
-  //! Part of a core that the host has.
+  //! Number of cores available to the host; may be a fraction.
   double cpu_share = 1;
-  //! Speed of its core over a usual one.
+  //! Speed of one of its cores, as a multiple of a usual core.
   double cores = 1;
-  //! Descriptors that the process may open.
+  //! Maximum number of file descriptors that the process may open.
   std::uint32_t descriptors = 1024;
-  //! Extra attempts for each request, over all hosts.
+  //! Extra attempts allowed for each request, over all hosts.
   double extra_ratio = 0.2;
-  //! Extra attempts in a window beside the ratio, over all hosts.
+  //! Extra attempts allowed in each window in addition to the ratio, over all
+  //! hosts.
   double extra_constant = 20;
   Duration extra_window = std::chrono::seconds(10);
-  //! Longest time that callers may keep a directory answer.
+  //! Maximum time that callers may cache an answer of the directory.
   Duration directory_ttl = std::chrono::seconds(1);
-  //! From the request to stop to the end of the process.
+  //! Maximum time from the request to stop to the end of the process.
   Duration grace = std::chrono::seconds(6);
   std::string log_level = "info";
-  //! Bytes of log a second.
+  //! Maximum number of bytes logged per second.
   std::uint32_t log_bytes_per_second = 65536;
-  //! One in so many good calls is logged.
+  //! One in this many good calls is logged.
   std::uint32_t log_sample = 100;
 };
 
 /**
- * \brief Reads settings from TOML text.
- * \return The settings, or every fault found.
+ * \brief Reads and validates settings from TOML text.
+ * \return The settings, or all errors found.
  */
 [[nodiscard]] std::variant<EntrySettings, std::vector<SettingsError>>
 ReadEntrySettings(const std::string& text);
--- a/src/jacinthdeck/entry/evacuation_text.cc
+++ b/src/jacinthdeck/entry/evacuation_text.cc
@@ -1,4 +1,4 @@
-// One object a domain.
+// Formats each evacuated failure domain as one JSON object.
 #include "jacinthdeck/entry/evacuation_text.h"
 
 #include <utility>
--- a/src/jacinthdeck/entry/evacuation_text.h
+++ b/src/jacinthdeck/entry/evacuation_text.h
@@ -1,4 +1,4 @@
-// Evacuated domains as JSON, for logs and the status of a host.
+// Formats evacuated failure domains as JSON, for logs and the status of a host.
 #ifndef JACINTHDECK_ENTRY_EVACUATION_TEXT_H_
 #define JACINTHDECK_ENTRY_EVACUATION_TEXT_H_
 
@@ -10,8 +10,9 @@
 
 namespace jacinthdeck {
 
-/*! \brief Writes an array with the domain of each, its revision in the store
- * and for how long this host has known it. */
+/*! \brief Formats evacuations as a JSON array. Each element has the failure
+ * domain, the revision in the store, and the time in milliseconds since this
+ * host learned of the evacuation. */
 [[nodiscard]] std::string EvacuationsText(
     std::span<const Evacuation> evacuations,
     TimePoint now);
