--- a/src/jacinthdeck/entry/event_log.cc
+++ b/src/jacinthdeck/entry/event_log.cc
@@ -1,4 +1,5 @@
-// Token bucket in bytes; a line is dropped whole.
+// Limits the volume by a token bucket in bytes. Lines are never truncated: a
+// line is logged or dropped as a whole.
 #include "jacinthdeck/entry/event_log.h"
 
 #include <algorithm>
@@ -9,7 +10,8 @@
 
 namespace {
 
-//! Seconds of the bound that may be logged at once after a quiet time.
+//! Size of the token bucket, in seconds of the byte rate: what may be logged at
+//! once after an idle time.
 constexpr double kBurstSeconds = 2;
 constexpr double kMicroseconds = 1e6;
 
@@ -23,8 +25,8 @@
       m_refilled(clock.Now()) {}
 
 LogLine EventLog::Begin(LogEvent event) const {
-  // The wall clock is for readers only and may jump; decisions and ages go by
-  // the runtime's clock.
+  // The wall clock may jump, so it is only for readers of the log. Decisions
+  // and ages use the runtime's clock.
   const auto wall = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   LogLine line;
--- a/src/jacinthdeck/entry/event_log.h
+++ b/src/jacinthdeck/entry/event_log.h
@@ -1,4 +1,4 @@
-// Structured log of a process: bounded in bytes, never waits.
+// Structured log of a process, bounded in bytes per second and non-blocking.
 #ifndef JACINTHDECK_ENTRY_EVENT_LOG_H_
 #define JACINTHDECK_ENTRY_EVENT_LOG_H_
 
@@ -17,40 +17,43 @@
 /**
  * \brief Collects lines on the event loop and hands them to the writer.
  *
- * Lines beyond the bytes a second are dropped and counted; a line tells the
- * gap. Lines are handed over in chunks, since waking the writer costs more than
- * a line.
+ * Lines beyond the bytes per second are dropped and counted, and a later line
+ * reports how many were dropped. Lines are handed over in chunks, since waking
+ * the writer thread costs more than building a line.
  */
 class EventLog {
  public:
-  /*! \brief What the log is bounded by. */
+  /*! \brief Name of the host and limit of the volume. */
   struct Options {
-    //! Stands on each line, since logs of several hosts are read together.
+    //! Name of the host, written to each line, since logs of several hosts are
+    //! read together.
     std::string host;
+    //! Maximum number of bytes logged per second, on average.
     std::uint32_t bytes_per_second = 65536;
   };
 
-  /*! \brief Makes a log; the clock and the writer outlive it. */
+  /*! \brief Makes a log; the clock and the writer must outlive it. */
   EventLog(Options options, const Clock& clock, LogWriter& writer);
 
-  /*! \brief Lines dropped since the start. */
+  /*! \brief Returns the number of lines dropped since the start. */
   [[nodiscard]] std::uint64_t dropped() const noexcept { return m_dropped; }
 
-  /*! \brief Begins a line with its time, event and the life of the process. */
+  /*! \brief Begins a line with the wall clock time, the runtime's clock, the
+   * host and the event. */
   [[nodiscard]] LogLine Begin(LogEvent event) const;
 
-  /*! \brief Tells whether a line would be dropped now; its work can then be
-   * spared. */
+  /*! \brief Returns whether a line would be kept now. If not, the caller can
+   * skip building it. */
   [[nodiscard]] bool HasRoom();
 
-  /*! \brief Adds a line. */
+  /*! \brief Adds a line, or drops and counts it if the limit is reached. */
   void Add(LogLine line);
 
-  /*! \brief Counts a line that was not even built. */
+  /*! \brief Counts a dropped line that was not built. */
   void Drop() noexcept { ++m_dropped; }
 
-  /*! \brief Hands what was collected to the writer; called some times a second
-   * and at the end. */
+  /*! \brief Hands the collected lines to the writer. Called several times a
+   * second and at the end of the process. */
   void Flush();
 
  private:
@@ -60,11 +63,14 @@
   const Clock& m_clock;
   LogWriter& m_writer;
   std::string m_chunk;
+  //! Number of lines in the chunk.
   std::uint32_t m_lines = 0;
-  //! Bytes that may still be logged now.
+  //! Tokens of the bucket: bytes that may still be logged now. Negative after
+  //! a line that was larger than the rest.
   double m_room;
   TimePoint m_refilled;
   std::uint64_t m_dropped = 0;
+  //! Dropped lines that a line in the log has reported.
   std::uint64_t m_told_dropped = 0;
 };
 
--- a/src/jacinthdeck/entry/log_event.h
+++ b/src/jacinthdeck/entry/log_event.h
@@ -1,4 +1,4 @@
-// The fixed list of events that are logged.
+// The events that can be logged.
 #ifndef JACINTHDECK_ENTRY_LOG_EVENT_H_
 #define JACINTHDECK_ENTRY_LOG_EVENT_H_
 
@@ -6,7 +6,8 @@
 
 namespace jacinthdeck {
 
-/*! \brief What a log line tells; docs/operate/logs.md explains the fields. */
+/*! \brief Event that a log line reports; docs/operate/logs.md explains the
+ * fields of each event. */
 enum class LogEvent {
   kStarted,
   kStopping,
@@ -41,7 +42,7 @@
   kTraffic,
 };
 
-//! Names of the events, as they stand in logs.
+//! Names of the events as written to the log, in the order of LogEvent.
 inline constexpr NameTable<LogEvent, 31> kLogEventNames{{"started",
                                                          "stopping",
                                                          "stopped",
--- a/src/jacinthdeck/entry/log_line.cc
+++ b/src/jacinthdeck/entry/log_line.cc
@@ -1,5 +1,5 @@
-// Text is appended in place: a JSON document for each line would cost more than
-// the decision that it tells of.
+// Appends JSON text directly: building a JSON document for each line would cost
+// more than the decision that the line reports.
 #include "jacinthdeck/entry/log_line.h"
 
 #include <array>
@@ -81,7 +81,7 @@
       out += '\\';
       out += c;
     } else if (byte < kFirstPrintable || byte > kLastAscii) {
-      // Bytes above ASCII may be no UTF-8, since callers choose them.
+      // Bytes above ASCII are chosen by callers and may not be valid UTF-8.
       AppendEscaped(out, c);
     } else {
       out += c;
--- a/src/jacinthdeck/entry/log_line.h
+++ b/src/jacinthdeck/entry/log_line.h
@@ -1,4 +1,4 @@
-// One log line while it is put together.
+// Builder of a log line.
 #ifndef JACINTHDECK_ENTRY_LOG_LINE_H_
 #define JACINTHDECK_ENTRY_LOG_LINE_H_
 
@@ -11,13 +11,13 @@
 
 namespace jacinthdeck {
 
-/*! \brief Builds a JSON object on one line. */
+/*! \brief Builds a JSON object on a single line, field by field. */
 class LogLine {
  public:
-  /*! \brief Adds a text. */
+  /*! \brief Adds a string; it is quoted and escaped. */
   LogLine& Text(std::string_view name, std::string_view value);
 
-  /*! \brief Adds a whole number. */
+  /*! \brief Adds an integer. */
   template <std::integral Number>
   LogLine& Count(std::string_view name, Number value) {
     Begin(name);
@@ -25,20 +25,21 @@
     return *this;
   }
 
-  /*! \brief Adds 64 bits as hexadecimal text: readers of JSON refuse or round
-   * whole numbers of that size. */
+  /*! \brief Adds 64 bits as a hexadecimal string, since JSON parsers reject or
+   * round integers of that size. */
   LogLine& Hash(std::string_view name, std::uint64_t value);
 
-  /*! \brief Adds a time in milliseconds; the name should end in `_ms`. */
+  /*! \brief Adds a duration in milliseconds with one decimal; the name should
+   * end in `_ms`. */
   LogLine& Milliseconds(std::string_view name, Duration value);
 
-  /*! \brief Adds true or false. */
+  /*! \brief Adds a boolean. */
   LogLine& Flag(std::string_view name, bool value);
 
-  /*! \brief Adds a value that is JSON already. */
+  /*! \brief Adds a value that is already encoded as JSON. */
   LogLine& Raw(std::string_view name, std::string_view json);
 
-  /*! \brief Ends the object. */
+  /*! \brief Closes the object and returns its text. */
   [[nodiscard]] std::string Finish() &&;
 
  private:
@@ -47,7 +48,8 @@
   std::string m_text;
 };
 
-/*! \brief Appends text between quotes, with what JSON wants escaped. */
+/*! \brief Appends \p text as a quoted JSON string. Quotes, backslashes and all
+ * bytes outside printable ASCII are escaped. */
 void AppendQuoted(std::string& out, std::string_view text);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/log_writer.cc
+++ b/src/jacinthdeck/entry/log_writer.cc
@@ -1,4 +1,4 @@
-// Chunks go out in order; an empty chunk wakes the thread for its end.
+// Writes chunks in order. An empty chunk wakes the thread when it has to stop.
 #include "jacinthdeck/entry/log_writer.h"
 
 #include <limits.h>
@@ -14,11 +14,11 @@
 
 namespace {
 
-//! Chunks in the ring; each holds up to a tenth of a second of lines.
+//! Capacity of the ring in chunks; each holds the lines of up to 0.1 s.
 constexpr std::size_t kMostChunks = 64;
 constexpr std::chrono::seconds kLongestWait{3600};
-//! Time that a reader of the log has to take a chunk, at the end of the
-//! process too.
+//! Time that the reader of the log has to make room in the pipe, in
+//! milliseconds. While the writer is stopping, the rest is given up after it.
 constexpr int kWriteTimeoutMs = 200;
 constexpr std::size_t kPieceBytes = PIPE_BUF;
 
@@ -52,8 +52,10 @@
   }
 }
 
-// Never in a write that waits: the process could not end while the reader of
-// its output is stuck. A pipe that is ready takes a piece of this size whole.
+// A blocking write would keep the process from ending while the reader of its
+// output is stuck. So the thread waits in poll with a timeout, and writes
+// pieces of at most PIPE_BUF bytes, which a pipe that polls ready takes as a
+// whole.
 bool LogWriter::WriteOut(const std::string& chunk) const {
   std::size_t done = 0;
   while (done < chunk.size()) {
--- a/src/jacinthdeck/entry/log_writer.h
+++ b/src/jacinthdeck/entry/log_writer.h
@@ -1,4 +1,4 @@
-// Writes log lines to standard output without holding up who logs.
+// Writes log lines on a thread of its own, without blocking the logging thread.
 #ifndef JACINTHDECK_ENTRY_LOG_WRITER_H_
 #define JACINTHDECK_ENTRY_LOG_WRITER_H_
 
@@ -12,32 +12,36 @@
 namespace jacinthdeck {
 
 /**
- * \brief A thread that writes chunks of lines to a descriptor.
+ * \brief A thread that writes chunks of lines to a file descriptor.
  *
  * Standard output may be a pipe whose reader is slow or gone. Only this thread
- * waits for it; a full ring drops chunks, and their lines are counted.
+ * waits for the reader. While the ring is full, further chunks are dropped, and
+ * EventLog counts their lines.
  */
 class LogWriter {
  public:
-  /*! \brief Starts the thread. */
+  /*! \brief Starts the thread, which writes to \p descriptor. */
   explicit LogWriter(int descriptor);
-  /*! \brief Writes what is in the ring, within a bounded time, and ends. */
+  /*! \brief Writes the chunks left in the ring and joins the thread; gives up
+   * after a bounded time if the reader is stuck. */
   ~LogWriter();
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
-  /*! \brief Hands a chunk over; false, and it is gone, if the ring is full. */
+  /*! \brief Hands a chunk to the thread. If the ring is full, the chunk is
+   * dropped and false is returned. */
   [[nodiscard]] bool TryWrite(std::string chunk);
 
  private:
   void Run();
-  //! False if the descriptor takes nothing any more.
+  //! Writes a chunk. Returns false if the descriptor fails, or takes nothing
+  //! while the writer is stopping.
   [[nodiscard]] bool WriteOut(const std::string& chunk) const;
 
   const int m_descriptor;
   std::atomic<bool> m_stopping = false;
   BoundedRing<std::string> m_ring;
-  //! Last, so that it starts after all it uses.
+  //! Declared last, so that the thread starts after the members that it uses.
   std::thread m_thread;
 };
 
--- a/src/jacinthdeck/entry/node_metrics.cc
+++ b/src/jacinthdeck/entry/node_metrics.cc
@@ -1,4 +1,4 @@
-// One line a figure.
+// Writes one line for each counter, gauge or label value.
 #include "jacinthdeck/entry/node_metrics.h"
 
 #include <sstream>
@@ -11,7 +11,7 @@
   out << "jacinthdeck_" << name << ' ' << value << '\n';
 }
 
-//! One line for each enumerator.
+//! Writes one line for each enumerator, with its name as the label value.
 template <typename Names, typename Counts>
 void Lines(std::ostringstream& out,
            std::string_view name,
--- a/src/jacinthdeck/entry/node_metrics.h
+++ b/src/jacinthdeck/entry/node_metrics.h
@@ -1,4 +1,4 @@
-// Counters and gauges of an entry as Prometheus text.
+// Renders counters and gauges of an entry in the Prometheus text format.
 #ifndef JACINTHDECK_ENTRY_NODE_METRICS_H_
 #define JACINTHDECK_ENTRY_NODE_METRICS_H_
 
@@ -14,7 +14,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief What the metrics are read from. */
+/*! \brief The components and values that the metrics are read from. */
 struct NodeMetricsSource {
   const Forwarder& forwarder;
   const TargetPool& pool;
@@ -22,13 +22,15 @@
   const StoreSession& store;
   const EventLog& log;
   bool ready = false;
+  //! Time since the last message from the store.
   Duration knowledge_age{};
 };
 
-/*! \brief Renders everything but the histograms of calls. */
+/*! \brief Renders all metrics except the histograms of calls, which Metrics
+ * renders. */
 [[nodiscard]] std::string RenderNodeMetrics(const NodeMetricsSource& source);
 
-/*! \brief Says under which labels a call is counted. */
+/*! \brief Returns the labels that a call is counted under. */
 [[nodiscard]] CallLabels LabelsOf(const ForwardAnswer& answer,
                                   const CallTrace& story);
 
--- a/src/jacinthdeck/entry/typed_service.cc
+++ b/src/jacinthdeck/entry/typed_service.cc
@@ -1,4 +1,4 @@
-// JSON over HTTP on both sides of the typed calls.
+// Uses JSON over HTTP for typed calls, towards callers and towards targets.
 #include "jacinthdeck/entry/typed_service.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kCallPrefix = "/v1/";
 constexpr std::string_view kEntriesPath = "/v1/entries";
-//! How long a caller may keep the list of hosts.
+//! Time that a caller may cache the list of hosts.
 constexpr Duration kEntriesTtl = std::chrono::seconds(2);
 
 [[nodiscard]] int StatusOf(ErrorCode code) noexcept {
@@ -43,7 +43,7 @@
   return Json(StatusOf(error.code), EncodeError(error));
 }
 
-//! An attempt's end in the engine's terms.
+//! Converts the end of an attempt to a reply of the typed call engine.
 [[nodiscard]] AttemptReply ReplyOf(const AttemptEnd& end) {
   switch (end.outcome) {
     case AttemptOutcome::kResponse:
--- a/src/jacinthdeck/entry/typed_service.h
+++ b/src/jacinthdeck/entry/typed_service.h
@@ -1,4 +1,4 @@
-// The port of the product's own typed calls.
+// Serves the typed calls of the product itself over HTTP.
 #ifndef JACINTHDECK_ENTRY_TYPED_SERVICE_H_
 #define JACINTHDECK_ENTRY_TYPED_SERVICE_H_
 
@@ -25,21 +25,22 @@
 /**
  * \brief Reads typed calls from HTTP, runs them, and writes their answers.
  *
- * Calls are `POST /v1/SERVICE/METHOD`; `GET /v1/entries` names the hosts that
- * take them (docs/design/protocols.md).
+ * Calls are `POST /v1/SERVICE/METHOD`; `GET /v1/entries` lists the hosts that
+ * accept them (docs/design/protocols.md).
  */
 class TypedService final : public EdgeHandler, private TypedPort {
  public:
+  //! Returns the hosts that are known now.
   using HostList = std::function<std::vector<HostRecord>()>;
 
-  /*! \brief Makes the service; all that it is given outlives it. */
+  /*! \brief Makes the service; all referenced objects must outlive it. */
   TypedService(const Clock& clock,
                TargetPool& pool,
                Metrics& metrics,
                HostList hosts,
                std::uint64_t seed);
 
-  /*! \brief Callers that wait for an answer. */
+  /*! \brief Returns the number of calls whose caller waits for an answer. */
   [[nodiscard]] std::size_t waiting() const noexcept {
     return m_waiting.size();
   }
@@ -50,15 +51,17 @@
                  TimePoint arrived) override;
   void OnLeft(EdgeConnection& connection) override;
 
-  /*! \brief Tells whether an attempt belongs to a typed call. */
+  /*! \brief Returns whether an attempt belongs to a typed call. */
   [[nodiscard]] static bool Owns(AttemptId attempt) noexcept {
     return attempt.raw() >= TypedCallRunner::kFirstAttemptId;
   }
 
-  /*! \brief Takes the end of an attempt. */
+  /*! \brief Passes the end of an attempt of a typed call to the call. */
   void OnAttemptEnd(const AttemptEnd& end);
 
  private:
+  //! An open call: the caller's connection, and what its answer and metrics
+  //! need.
   struct Waiting {
     std::shared_ptr<EdgeConnection> connection;
     std::string request_id;
--- a/test/jacinthdeck/entry/entry_settings_test.cc
+++ b/test/jacinthdeck/entry/entry_settings_test.cc
@@ -1,4 +1,4 @@
-// Tests of the settings of an entry process.
+// Tests of reading and validating the settings of an entry process.
 #include "jacinthdeck/entry/entry_settings.h"
 
 #include <algorithm>
--- a/test/jacinthdeck/entry/event_log_test.cc
+++ b/test/jacinthdeck/entry/event_log_test.cc
@@ -1,4 +1,4 @@
-// Tests of the log: its form, its bounds, and the page that explains it.
+// Tests of the log: its format, its limits, and the page that documents it.
 #include "jacinthdeck/entry/event_log.h"
 
 #include <jansson.h>
@@ -31,7 +31,8 @@
     close(pipe_ends[1]);
   }
 
-  //! What was written; the writer has ended by then.
+  //! Returns the lines written to the pipe. The writer must be destroyed
+  //! before, so that all its lines are in the pipe.
   [[nodiscard]] std::vector<std::string> Lines() {
     std::string text(1 << 16, '\0');
     const ssize_t count = read(pipe_ends[0], text.data(), text.size());
@@ -57,7 +58,7 @@
     line.Text("request", std::string("a\"b\\c\n\x01\xff", 8))
         .Milliseconds("took_ms", std::chrono::microseconds(1250))
         .Flag("away", true)
-        // The largest number of a hash, which readers refuse as a number.
+        // The largest hash, which JSON parsers reject as a number.
         .Hash("fingerprint", ~std::uint64_t{0})
         .Raw("attempts", "[1]");
     log.Add(std::move(line));
@@ -75,8 +76,9 @@
              boost::test_tools::tolerance(0.1));
 }
 
-// Callers press, and every call has something to tell. The log stays within its
-// bytes a second; what was left out is counted and told when there is room.
+// Under overload every call is logged. Without a limit the log would grow with
+// the load: lines beyond the bytes per second are dropped and counted, and the
+// count is logged once there is room.
 BOOST_AUTO_TEST_CASE(Volume_IsAboveTheBound_LinesAreDroppedAndTheGapTold) {
   {
     LogWriter writer(pipe_ends[1]);
@@ -95,7 +97,8 @@
              std::string::npos);
 }
 
-// The reader of standard output is stuck. Whoever logs must not wait for it.
+// When the reader of standard output is stuck, the pipe and the ring fill up.
+// Logging must drop lines and not block on the reader.
 BOOST_AUTO_TEST_CASE(Reader_IsStuck_LoggingGoesOnAndCounts) {
   LogWriter writer(pipe_ends[1]);
   EventLog log({"h1", 1U << 30U}, clock, writer);
@@ -109,7 +112,7 @@
   BOOST_TEST(log.dropped() > 0U);
 }
 
-// The page lists each event, and none that is not logged.
+// The page must list every event of the table, and no event that is not logged.
 BOOST_AUTO_TEST_CASE(Page_NamesTheEvents_ExactlyThoseOfTheTable) {
   std::string path(JACINTHDECK_DOCS);
   path.append("/operate/logs.md");
