--- a/src/jacinthdeck/entry/answer_encoder.cc
+++ b/src/jacinthdeck/entry/answer_encoder.cc
@@ -16,7 +16,8 @@
 
 //! Makes a response that no target sent; the body names the reason in plain
 //! text.
-[[nodiscard]] EdgeResponse Own(int status, const ForwardAnswer& answer) {
+[[nodiscard]] EdgeResponse ReasonResponse(int status,
+                                          const ForwardAnswer& answer) {
   EdgeResponse response;
   response.status = status;
   response.headers.push_back({"Content-Type", "text/plain"});
@@ -25,7 +26,7 @@
 }
 
 //! Formats a duration in seconds with three decimals.
-[[nodiscard]] std::string Seconds(Duration duration) {
+[[nodiscard]] std::string FormatSeconds(Duration duration) {
   std::array<char, 32> text{};
   (void)std::snprintf(text.data(), text.size(), "%.3f",
                       ToMilliseconds(duration) / 1000);
@@ -60,26 +61,27 @@
 
 [[nodiscard]] EdgeResponse EncodeNotRun(const TargetProtocol& /*protocol*/,
                                         ForwardAnswer& answer) {
-  EdgeResponse response = Own(http_status::kUnavailable, answer);
+  EdgeResponse response = ReasonResponse(http_status::kUnavailable, answer);
   if (answer.retry_after) {
-    response.headers.push_back({"Retry-After", Seconds(*answer.retry_after)});
+    response.headers.push_back(
+        {"Retry-After", FormatSeconds(*answer.retry_after)});
   }
   return response;
 }
 
 [[nodiscard]] EdgeResponse EncodeFailed(const TargetProtocol& /*protocol*/,
                                         ForwardAnswer& answer) {
-  return Own(http_status::kBadGateway, answer);
+  return ReasonResponse(http_status::kBadGateway, answer);
 }
 
 [[nodiscard]] EdgeResponse EncodeTimedOut(const TargetProtocol& /*protocol*/,
                                           ForwardAnswer& answer) {
-  return Own(http_status::kGatewayTimeout, answer);
+  return ReasonResponse(http_status::kGatewayTimeout, answer);
 }
 
 [[nodiscard]] EdgeResponse EncodeNoRoute(const TargetProtocol& /*protocol*/,
                                          ForwardAnswer& answer) {
-  return Own(http_status::kNotFound, answer);
+  return ReasonResponse(http_status::kNotFound, answer);
 }
 
 //! Encoders in the order of the enumerators of AnswerKind.
--- a/src/jacinthdeck/entry/call_metrics.cc
+++ b/src/jacinthdeck/entry/call_metrics.cc
@@ -9,12 +9,12 @@
 namespace {
 
 //! The histogram covers 0.25 ms to 16 s, with four buckets to each doubling.
-constexpr unsigned kBuckets = 64;
+constexpr unsigned kBucketCount = 64;
 constexpr double kLowestMs = 0.25;
 constexpr double kHighestMs = 16384;
 
 //! Escapes a label value, since it may contain any text that a caller sent.
-[[nodiscard]] std::string Escape(const std::string& text) {
+[[nodiscard]] std::string EscapeLabelValue(const std::string& text) {
   std::string out;
   for (const char c : text) {
     if (c == '\\' || c == '"') {
@@ -26,8 +26,8 @@
 }
 
 [[nodiscard]] std::string LabelText(const CallLabels& labels) {
-  return "tenant=\"" + Escape(labels.tenant.raw()) + "\",service=\"" +
-         Escape(labels.service.raw()) + "\",outcome=\"" +
+  return "tenant=\"" + EscapeLabelValue(labels.tenant.raw()) + "\",service=\"" +
+         EscapeLabelValue(labels.service.raw()) + "\",outcome=\"" +
          std::string(kOutcomeNames.Name(labels.outcome)) + "\"";
 }
 
@@ -35,7 +35,7 @@
 
 Metrics::Series::Series()
     : histogram(boost::histogram::make_histogram(
-          Axis(kBuckets, kLowestMs, kHighestMs))) {}
+          Axis(kBucketCount, kLowestMs, kHighestMs))) {}
 
 void Metrics::Add(CallLabels labels, Duration latency) {
   const double milliseconds = ToMilliseconds(latency);
@@ -55,14 +55,14 @@
   const std::scoped_lock lock(m_mutex);
   for (const auto& [labels, series] : m_series) {
     const std::string text = LabelText(labels);
-    double below = series.histogram.at(-1);
+    double cumulative = series.histogram.at(-1);
     const Axis& axis = series.histogram.axis();
     for (int i = 0; i < axis.size(); ++i) {
       const double in_bucket = series.histogram.at(i);
-      below += in_bucket;
+      cumulative += in_bucket;
       if (in_bucket > 0) {
         out << "jacinthdeck_call_ms_bucket{" << text << ",le=\""
-            << axis.bin(i).upper() << "\"} " << below << "\n";
+            << axis.bin(i).upper() << "\"} " << cumulative << "\n";
       }
     }
     out << "jacinthdeck_call_ms_bucket{" << text << ",le=\"+Inf\"} "
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -13,9 +13,9 @@
 
 //! Maximum number of unreadable entries logged for one change, since one faulty
 //! writer may own many keys.
-constexpr std::size_t kMostUnreadable = 4;
+constexpr std::size_t kMaxUnreadable = 4;
 //! Maximum number of attempts in the log line of a call.
-constexpr std::size_t kMostAttempts = 24;
+constexpr std::size_t kMaxAttempts = 24;
 
 //! Formats numbers as a JSON array.
 [[nodiscard]] std::string NumbersText(
@@ -50,29 +50,30 @@
 
 //! Formats attempts as a JSON array. Successful first attempts of a fan-out are
 //! left out, since there are as many of them as shards.
-[[nodiscard]] std::string AttemptsText(const CallTrace& story) {
+[[nodiscard]] std::string AttemptsText(const CallTrace& trace) {
   std::string text = "[";
-  std::size_t told = 0;
-  for (const AttemptTrace& note : story.attempts) {
-    const bool ended = note.took >= Duration::zero();
-    const bool good = ended && note.outcome == AttemptOutcome::kResponse &&
-                      note.reason == AttemptReason::kFirst && note.status < 300;
-    if ((good && story.shards > 1) || told == kMostAttempts) {
+  std::size_t written = 0;
+  for (const AttemptTrace& attempt : trace.attempts) {
+    const bool ended = attempt.took >= Duration::zero();
+    const bool good = ended && attempt.outcome == AttemptOutcome::kResponse &&
+                      attempt.reason == AttemptReason::kFirst &&
+                      attempt.status < 300;
+    if ((good && trace.shards > 1) || written == kMaxAttempts) {
       continue;
     }
     LogLine line;
-    line.Count("shard", note.shard)
-        .Text("target", note.target.raw())
-        .Text("reason", kAttemptReasonNames.Name(note.reason))
-        .Milliseconds("sent_ms", note.sent);
+    line.Count("shard", attempt.shard)
+        .Text("target", attempt.target.raw())
+        .Text("reason", kAttemptReasonNames.Name(attempt.reason))
+        .Milliseconds("sent_ms", attempt.sent);
     if (ended) {
-      line.Milliseconds("took_ms", note.took)
-          .Text("outcome", kAttemptOutcomeNames.Name(note.outcome))
-          .Count("status", note.status);
+      line.Milliseconds("took_ms", attempt.took)
+          .Text("outcome", kAttemptOutcomeNames.Name(attempt.outcome))
+          .Count("status", attempt.status);
     } else {
       line.Text("outcome", "unanswered");
     }
-    text += told++ == 0 ? "" : ",";
+    text += written++ == 0 ? "" : ",";
     text += std::move(line).Finish();
   }
   return text + "]";
@@ -82,14 +83,14 @@
 
 void DecisionLog::OnCallEnd(const EndedCall& call) {
   const LogEvent event = EventOf(call);
-  if (!IsTold(event)) {
+  if (!ShouldLog(event)) {
     return;
   }
   if (!m_log.HasRoom()) {
     m_log.Drop();
     return;
   }
-  const CallTrace& story = call.story;
+  const CallTrace& trace = call.trace;
   LogLine line = m_log.Begin(event);
   line.Text("request", call.request_id)
       .Text("answer", kAnswerKindNames.Name(call.answer.kind))
@@ -97,32 +98,32 @@
       .Milliseconds("took_ms", call.took)
       .Milliseconds("knowledge_age_ms", call.knowledge_age)
       .Count("open_calls", call.open_calls);
-  if (story.config != nullptr) {
-    line.Count("config_version", story.config->version());
-  }
-  if (story.route != nullptr) {
-    line.Text("route", story.route->name)
-        .Hash("fingerprint", story.fingerprint.raw())
-        .Milliseconds("expected_ms", story.expected)
-        .Milliseconds("objective_ms", story.route->objective)
-        .Milliseconds("usual_ms", story.route_latency.mean)
-        .Count("usual_samples", story.route_latency.samples)
-        .Count("shards", story.shards)
-        .Count("full_shards", story.full_shards)
-        .Count("shards_without_place", story.shards_without_capacity)
-        .Count("fewest_targets", story.fewest_targets)
-        .Count("answered", story.answered)
-        .Count("sends", story.attempts.size())
-        .Count("budget_refusals", story.budget_refusals);
-  }
-  if (!story.service.raw().empty()) {
-    line.Text("service", story.service.raw());
+  if (trace.config != nullptr) {
+    line.Count("config_version", trace.config->version());
+  }
+  if (trace.route != nullptr) {
+    line.Text("route", trace.route->name)
+        .Hash("fingerprint", trace.fingerprint.raw())
+        .Milliseconds("expected_ms", trace.expected)
+        .Milliseconds("objective_ms", trace.route->objective)
+        .Milliseconds("usual_ms", trace.route_latency.mean)
+        .Count("usual_samples", trace.route_latency.samples)
+        .Count("shards", trace.shards)
+        .Count("full_shards", trace.full_shards)
+        .Count("shards_without_place", trace.shards_without_capacity)
+        .Count("fewest_targets", trace.fewest_targets)
+        .Count("answered", trace.answered)
+        .Count("sends", trace.attempts.size())
+        .Count("budget_refusals", trace.budget_refusals);
+  }
+  if (!trace.service.raw().empty()) {
+    line.Text("service", trace.service.raw());
   }
   if (call.answer.retry_after) {
     line.Milliseconds("retry_after_ms", *call.answer.retry_after);
   }
-  line.Raw("missing_shards", NumbersText(story.missing));
-  line.Raw("attempts", AttemptsText(story));
+  line.Raw("missing_shards", NumbersText(trace.missing));
+  line.Raw("attempts", AttemptsText(trace));
   m_log.Add(std::move(line));
 }
 
@@ -170,7 +171,7 @@
         .Flag("store_away", discovery_state.store_away());
     m_log.Add(std::move(line));
   }
-  for (std::size_t i = 0; i < change.unreadable.size() && i < kMostUnreadable;
+  for (std::size_t i = 0; i < change.unreadable.size() && i < kMaxUnreadable;
        ++i) {
     LogLine line = m_log.Begin(LogEvent::kEntryUnreadable);
     line.Text("entry", change.unreadable[i].subject)
@@ -228,14 +229,14 @@
       }
       break;
   }
-  const bool slow = call.story.route != nullptr &&
-                    call.story.route->objective > Duration::zero() &&
-                    call.took > call.story.route->objective;
+  const bool slow = call.trace.route != nullptr &&
+                    call.trace.route->objective > Duration::zero() &&
+                    call.took > call.trace.route->objective;
   return slow ? LogEvent::kCallSlow : LogEvent::kCallDone;
 }
 
-bool DecisionLog::IsTold(LogEvent event) {
-  return event != LogEvent::kCallDone || m_good++ % m_sample == 0;
+bool DecisionLog::ShouldLog(LogEvent event) {
+  return event != LogEvent::kCallDone || m_good_calls++ % m_sample == 0;
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/decision_log.h
+++ b/src/jacinthdeck/entry/decision_log.h
@@ -31,7 +31,7 @@
 struct EndedCall {
   const std::string& request_id;
   const ForwardAnswer& answer;
-  const CallTrace& story;
+  const CallTrace& trace;
   Duration took;
   //! Age of the discovery state that the call was routed by: the time since the
   //! last message from the store.
@@ -77,11 +77,11 @@
 
  private:
   [[nodiscard]] LogEvent EventOf(const EndedCall& call) const;
-  [[nodiscard]] bool IsTold(LogEvent event);
+  [[nodiscard]] bool ShouldLog(LogEvent event);
 
   EventLog& m_log;
   const std::uint32_t m_sample;
-  std::uint32_t m_good = 0;
+  std::uint32_t m_good_calls = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/entry_settings.cc
+++ b/src/jacinthdeck/entry/entry_settings.cc
@@ -6,17 +6,17 @@
 namespace {
 
 constexpr SettingRange kDescriptors{64, 1'048'576};
-constexpr SettingRange kShare{0.001, 1024};
+constexpr SettingRange kCpuShare{0.001, 1024};
 constexpr SettingRange kCores{0.001, 1024};
-constexpr SettingRange kRatio{0, 10};
-constexpr SettingRange kConstant{0, 1'000'000};
-constexpr SettingRange kWindowMs{1000, 600'000};
-constexpr SettingRange kDirectoryMs{100, 3'600'000};
+constexpr SettingRange kExtraRatio{0, 10};
+constexpr SettingRange kExtraConstant{0, 1'000'000};
+constexpr SettingRange kExtraWindowMs{1000, 600'000};
+constexpr SettingRange kDirectoryTtlMs{100, 3'600'000};
 constexpr SettingRange kGraceMs{500, 600'000};
-constexpr SettingRange kLogBytes{1024, 67'108'864};
+constexpr SettingRange kLogBytesPerSecond{1024, 67'108'864};
 constexpr SettingRange kLogSample{1, 1'000'000};
 
-[[nodiscard]] std::uint32_t Whole(double value) {
+[[nodiscard]] std::uint32_t ToUint32(double value) {
   return static_cast<std::uint32_t>(value);
 }
 
@@ -24,13 +24,14 @@
   settings.name = HostId(table.Text("host.name", SettingPresence::kRequired));
   settings.domain = FailureDomain(
       table.Text("host.failure_domain", SettingPresence::kRequired));
-  settings.cpu_share = table.Number(
-      "host.cpu_share", kShare, SettingPresence::kOptional, settings.cpu_share);
+  settings.cpu_share =
+      table.Number("host.cpu_share", kCpuShare, SettingPresence::kOptional,
+                   settings.cpu_share);
   settings.cores = table.Number("host.cores", kCores,
                                 SettingPresence::kOptional, settings.cores);
   settings.descriptors =
-      Whole(table.Number("host.descriptors", kDescriptors,
-                         SettingPresence::kOptional, settings.descriptors));
+      ToUint32(table.Number("host.descriptors", kDescriptors,
+                            SettingPresence::kOptional, settings.descriptors));
 }
 
 void ReadListen(SettingsTable& table, EntrySettings& settings) {
@@ -49,17 +50,17 @@
   settings.store = table.Address("store.address", SettingPresence::kRequired);
 }
 
-void ReadBounds(SettingsTable& table, EntrySettings& settings) {
+void ReadLimits(SettingsTable& table, EntrySettings& settings) {
   settings.extra_ratio =
-      table.Number("extra_attempts.ratio", kRatio, SettingPresence::kOptional,
-                   settings.extra_ratio);
+      table.Number("extra_attempts.ratio", kExtraRatio,
+                   SettingPresence::kOptional, settings.extra_ratio);
   settings.extra_constant =
-      table.Number("extra_attempts.constant", kConstant,
+      table.Number("extra_attempts.constant", kExtraConstant,
                    SettingPresence::kOptional, settings.extra_constant);
-  settings.extra_window = table.Milliseconds("extra_attempts.window_ms",
-                                             kWindowMs, settings.extra_window);
-  settings.directory_ttl = table.Milliseconds("directory.ttl_ms", kDirectoryMs,
-                                              settings.directory_ttl);
+  settings.extra_window = table.Milliseconds(
+      "extra_attempts.window_ms", kExtraWindowMs, settings.extra_window);
+  settings.directory_ttl = table.Milliseconds(
+      "directory.ttl_ms", kDirectoryTtlMs, settings.directory_ttl);
   settings.grace =
       table.Milliseconds("shutdown.grace_ms", kGraceMs, settings.grace);
 }
@@ -68,12 +69,12 @@
   settings.log_level =
       table.OneOf("log.level", {"trace", "debug", "info", "warning", "error"},
                   settings.log_level);
-  settings.log_bytes_per_second = Whole(
-      table.Number("log.bytes_per_second", kLogBytes,
+  settings.log_bytes_per_second = ToUint32(
+      table.Number("log.bytes_per_second", kLogBytesPerSecond,
                    SettingPresence::kOptional, settings.log_bytes_per_second));
   settings.log_sample =
-      Whole(table.Number("log.sample", kLogSample, SettingPresence::kOptional,
-                         settings.log_sample));
+      ToUint32(table.Number("log.sample", kLogSample,
+                            SettingPresence::kOptional, settings.log_sample));
 }
 
 }  // namespace
@@ -84,11 +85,11 @@
   EntrySettings settings;
   ReadHost(table, settings);
   ReadListen(table, settings);
-  ReadBounds(table, settings);
+  ReadLimits(table, settings);
   ReadLog(table, settings);
-  std::vector<SettingsError> faults = table.TakeErrors();
-  if (!faults.empty()) {
-    return faults;
+  std::vector<SettingsError> errors = table.TakeErrors();
+  if (!errors.empty()) {
+    return errors;
   }
   return settings;
 }
--- a/src/jacinthdeck/entry/event_log.cc
+++ b/src/jacinthdeck/entry/event_log.cc
@@ -13,7 +13,7 @@
 //! Size of the token bucket, in seconds of the byte rate: what may be logged at
 //! once after an idle time.
 constexpr double kBurstSeconds = 2;
-constexpr double kMicroseconds = 1e6;
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
 
@@ -21,8 +21,8 @@
     : m_options(std::move(options)),
       m_clock(clock),
       m_writer(writer),
-      m_room(kBurstSeconds * m_options.bytes_per_second),
-      m_refilled(clock.Now()) {}
+      m_available_bytes(kBurstSeconds * m_options.bytes_per_second),
+      m_refilled_at(clock.Now()) {}
 
 LogLine EventLog::Begin(LogEvent event) const {
   // The wall clock may jump, so it is only for readers of the log. Decisions
@@ -39,27 +39,27 @@
 
 bool EventLog::HasRoom() {
   Refill();
-  return m_room > 0;
+  return m_available_bytes > 0;
 }
 
 void EventLog::Add(LogLine line) {
   Refill();
-  if (m_room <= 0) {
+  if (m_available_bytes <= 0) {
     ++m_dropped;
     return;
   }
-  if (m_told_dropped != m_dropped) {
+  if (m_reported_dropped != m_dropped) {
     LogLine gap = Begin(LogEvent::kLinesDropped);
-    gap.Count("lines", m_dropped - m_told_dropped);
-    m_told_dropped = m_dropped;
+    gap.Count("lines", m_dropped - m_reported_dropped);
+    m_reported_dropped = m_dropped;
     m_chunk += std::move(gap).Finish();
     m_chunk += '\n';
   }
   const std::string text = std::move(line).Finish();
-  m_room -= static_cast<double>(text.size());
+  m_available_bytes -= static_cast<double>(text.size());
   m_chunk += text;
   m_chunk += '\n';
-  ++m_lines;
+  ++m_chunk_lines;
 }
 
 void EventLog::Flush() {
@@ -67,19 +67,20 @@
     return;
   }
   if (!m_writer.TryWrite(std::move(m_chunk))) {
-    m_dropped += m_lines;
+    m_dropped += m_chunk_lines;
   }
   m_chunk.clear();
-  m_lines = 0;
+  m_chunk_lines = 0;
 }
 
 void EventLog::Refill() {
   const TimePoint now = m_clock.Now();
-  const auto passed = static_cast<double>((now - m_refilled).count());
-  m_refilled = now;
+  const auto passed = static_cast<double>((now - m_refilled_at).count());
+  m_refilled_at = now;
   const double rate = m_options.bytes_per_second;
-  m_room =
-      std::min(m_room + rate * passed / kMicroseconds, kBurstSeconds * rate);
+  m_available_bytes =
+      std::min(m_available_bytes + rate * passed / kMicrosecondsPerSecond,
+               kBurstSeconds * rate);
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/event_log.h
+++ b/src/jacinthdeck/entry/event_log.h
@@ -64,14 +64,14 @@
   LogWriter& m_writer;
   std::string m_chunk;
   //! Number of lines in the chunk.
-  std::uint32_t m_lines = 0;
+  std::uint32_t m_chunk_lines = 0;
   //! Tokens of the bucket: bytes that may still be logged now. Negative after
   //! a line that was larger than the rest.
-  double m_room;
-  TimePoint m_refilled;
+  double m_available_bytes;
+  TimePoint m_refilled_at;
   std::uint64_t m_dropped = 0;
   //! Dropped lines that a line in the log has reported.
-  std::uint64_t m_told_dropped = 0;
+  std::uint64_t m_reported_dropped = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/log_writer.cc
+++ b/src/jacinthdeck/entry/log_writer.cc
@@ -15,18 +15,18 @@
 namespace {
 
 //! Capacity of the ring in chunks; each holds the lines of up to 0.1 s.
-constexpr std::size_t kMostChunks = 64;
-constexpr std::chrono::seconds kLongestWait{3600};
+constexpr std::size_t kMaxChunks = 64;
+constexpr std::chrono::seconds kMaxWait{3600};
 //! Time that the reader of the log has to make room in the pipe, in
 //! milliseconds. While the writer is stopping, the rest is given up after it.
 constexpr int kWriteTimeoutMs = 200;
-constexpr std::size_t kPieceBytes = PIPE_BUF;
+constexpr std::size_t kMaxPieceBytes = PIPE_BUF;
 
 }  // namespace
 
 LogWriter::LogWriter(int descriptor)
     : m_descriptor(descriptor),
-      m_ring(kMostChunks),
+      m_ring(kMaxChunks),
       m_thread([this] { Run(); }) {}
 
 LogWriter::~LogWriter() {
@@ -44,7 +44,7 @@
   while (!last) {
     last = m_stopping;
     for (const std::string& chunk :
-         m_ring.PopAll(last ? std::chrono::microseconds(0) : kLongestWait)) {
+         m_ring.PopAll(last ? std::chrono::microseconds(0) : kMaxWait)) {
       if (!WriteOut(chunk) && m_stopping) {
         return;
       }
@@ -66,7 +66,7 @@
       }
       continue;
     }
-    const std::size_t piece = std::min(chunk.size() - done, kPieceBytes);
+    const std::size_t piece = std::min(chunk.size() - done, kMaxPieceBytes);
     const ssize_t written = write(m_descriptor, chunk.data() + done, piece);
     if (written < 0 && errno != EINTR && errno != EAGAIN) {
       return false;
--- a/src/jacinthdeck/entry/node_metrics.h
+++ b/src/jacinthdeck/entry/node_metrics.h
@@ -32,7 +32,7 @@
 
 /*! \brief Returns the labels that a call is counted under. */
 [[nodiscard]] CallLabels LabelsOf(const ForwardAnswer& answer,
-                                  const CallTrace& story);
+                                  const CallTrace& trace);
 
 }  // namespace jacinthdeck
 
--- a/src/jacinthdeck/entry/typed_service.cc
+++ b/src/jacinthdeck/entry/typed_service.cc
@@ -31,7 +31,7 @@
   }
 }
 
-[[nodiscard]] EdgeResponse Json(int status, std::string body) {
+[[nodiscard]] EdgeResponse JsonResponse(int status, std::string body) {
   EdgeResponse response;
   response.status = status;
   response.headers.push_back({"Content-Type", "application/json"});
@@ -40,7 +40,7 @@
 }
 
 [[nodiscard]] EdgeResponse ErrorResponse(const Error& error) {
-  return Json(StatusOf(error.code), EncodeError(error));
+  return JsonResponse(StatusOf(error.code), EncodeError(error));
 }
 
 //! Converts the end of an attempt to a reply of the typed call engine.
@@ -84,7 +84,7 @@
                              EdgeRequest request,
                              TimePoint arrived) {
   if (request.method == "GET" && request.target == kEntriesPath) {
-    connection->Respond(AnswerEntries());
+    connection->Respond(EntriesResponse());
     return;
   }
   const bool call = request.method == "POST" &&
@@ -118,19 +118,20 @@
   call.id = CallId(m_next_call++);
   m_waiting.emplace(
       call.id,
-      Waiting{connection, std::string(request.Find("X-Request-Id")), arrived,
-              CallLabels{call.tenant, call.method->service, Outcome::kWhole}});
-  m_by_connection.emplace(connection.get(), call.id);
+      WaitingCaller{
+          connection, std::string(request.Find("X-Request-Id")), arrived,
+          CallLabels{call.tenant, call.method->service, Outcome::kWhole}});
+  m_call_by_connection.emplace(connection.get(), call.id);
   m_calls.Submit(std::move(call), m_clock.Now());
 }
 
 void TypedService::OnLeft(EdgeConnection& connection) {
-  const auto found = m_by_connection.find(&connection);
-  if (found == m_by_connection.end()) {
+  const auto found = m_call_by_connection.find(&connection);
+  if (found == m_call_by_connection.end()) {
     return;
   }
   const CallId call = found->second;
-  m_by_connection.erase(found);
+  m_call_by_connection.erase(found);
   m_waiting.erase(call);
   m_calls.Abandon(call, m_clock.Now());
 }
@@ -176,16 +177,17 @@
   if (found == m_waiting.end()) {
     return;
   }
-  Waiting waiting = std::move(found->second);
+  WaitingCaller waiting = std::move(found->second);
   m_waiting.erase(found);
-  m_by_connection.erase(waiting.connection.get());
+  m_call_by_connection.erase(waiting.connection.get());
   waiting.labels.outcome = answer.outcome;
   m_metrics.Add(waiting.labels, m_clock.Now() - waiting.arrived);
   EncodedAnswer encoded = EncodeAnswer(waiting.request_id, answer);
-  waiting.connection->Respond(Json(encoded.status, std::move(encoded.body)));
+  waiting.connection->Respond(
+      JsonResponse(encoded.status, std::move(encoded.body)));
 }
 
-EdgeResponse TypedService::AnswerEntries() const {
+EdgeResponse TypedService::EntriesResponse() const {
   std::string body = R"({"entries":[)";
   for (const HostRecord& host : m_hosts()) {
     if (host.queries.empty()) {
@@ -197,7 +199,7 @@
             QuoteJson(host.domain.raw()) + "}";
   }
   body += R"(],"ttl_ms":)" + std::to_string(kEntriesTtl.count() / 1000) + "}";
-  return Json(200, std::move(body));
+  return JsonResponse(200, std::move(body));
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/typed_service.h
+++ b/src/jacinthdeck/entry/typed_service.h
@@ -62,7 +62,7 @@
  private:
   //! An open call: the caller's connection, and what its answer and metrics
   //! need.
-  struct Waiting {
+  struct WaitingCaller {
     std::shared_ptr<EdgeConnection> connection;
     std::string request_id;
     TimePoint arrived;
@@ -74,7 +74,7 @@
                  std::uint32_t connection_limit) override;
   void CancelTyped(AttemptId attempt) override;
   void DeliverTyped(CallId call, Answer answer) override;
-  [[nodiscard]] EdgeResponse AnswerEntries() const;
+  [[nodiscard]] EdgeResponse EntriesResponse() const;
   void Begin(const std::shared_ptr<EdgeConnection>& connection,
              const EdgeRequest& request,
              TimePoint arrived);
@@ -85,8 +85,8 @@
   HostList m_hosts;
   TypedCallRunner m_calls;
   std::uint64_t m_next_call = 1;
-  std::unordered_map<CallId, Waiting> m_waiting;
-  std::unordered_map<const EdgeConnection*, CallId> m_by_connection;
+  std::unordered_map<CallId, WaitingCaller> m_waiting;
+  std::unordered_map<const EdgeConnection*, CallId> m_call_by_connection;
 };
 
 }  // namespace jacinthdeck
--- a/test/jacinthdeck/entry/entry_settings_test.cc
+++ b/test/jacinthdeck/entry/entry_settings_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* kGood = R"(
+constexpr const char* kValidSettings = R"(
 [host]
 name = "h1"
 failure_domain = "z1"
@@ -21,16 +21,16 @@
 window_ms = 5000
 )";
 
-[[nodiscard]] std::string WithMore(std::string_view lines) {
-  std::string text(kGood);
+[[nodiscard]] std::string WithExtraLines(std::string_view lines) {
+  std::string text(kValidSettings);
   text.append(lines);
   return text;
 }
 
-[[nodiscard]] std::vector<SettingsError> FaultsOf(const std::string& text) {
+[[nodiscard]] std::vector<SettingsError> ErrorsOf(const std::string& text) {
   auto read = ReadEntrySettings(text);
-  if (auto* faults = std::get_if<std::vector<SettingsError>>(&read)) {
-    return *faults;
+  if (auto* errors = std::get_if<std::vector<SettingsError>>(&read)) {
+    return *errors;
   }
   return {};
 }
@@ -39,8 +39,8 @@
 
 BOOST_AUTO_TEST_SUITE(EntrySettingsTest)
 
-BOOST_AUTO_TEST_CASE(Settings_AreComplete_AreRead) {
-  const auto read = ReadEntrySettings(kGood);
+BOOST_AUTO_TEST_CASE(Settings_AllRequiredKeysAreSet_AreRead) {
+  const auto read = ReadEntrySettings(kValidSettings);
   const auto* settings = std::get_if<EntrySettings>(&read);
   BOOST_REQUIRE(settings != nullptr);
   BOOST_TEST(settings->callers.port == 80);
@@ -48,26 +48,26 @@
   BOOST_TEST((settings->extra_window == std::chrono::seconds(5)));
 }
 
-BOOST_AUTO_TEST_CASE(Settings_AreEmpty_EachRequiredKeyIsNamed) {
-  BOOST_TEST(FaultsOf("").size() == 4U);
+BOOST_AUTO_TEST_CASE(Settings_AreEmpty_EachRequiredKeyIsReported) {
+  BOOST_TEST(ErrorsOf("").size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(Settings_ValueIsWrong_FaultSaysWhatItWasAndWhatIsAllowed) {
-  const auto faults =
-      FaultsOf(WithMore("constant = -1\n[log]\nlevel = \"loud\"\n"));
-  BOOST_REQUIRE_EQUAL(faults.size(), 2U);
-  BOOST_TEST(faults[0].key == "extra_attempts.constant");
-  BOOST_TEST(faults[0].line == 12U);
-  BOOST_TEST(faults[0].message == "is -1; expected a number from 0 to 1e+06");
-  BOOST_TEST(faults[1].message ==
+BOOST_AUTO_TEST_CASE(Settings_ValueIsInvalid_ErrorNamesValueAndAllowedValues) {
+  const auto errors =
+      ErrorsOf(WithExtraLines("constant = -1\n[log]\nlevel = \"loud\"\n"));
+  BOOST_REQUIRE_EQUAL(errors.size(), 2U);
+  BOOST_TEST(errors[0].key == "extra_attempts.constant");
+  BOOST_TEST(errors[0].line == 12U);
+  BOOST_TEST(errors[0].message == "is -1; expected a number from 0 to 1e+06");
+  BOOST_TEST(errors[1].message ==
              "is \"loud\"; expected one of trace, debug, "
              "info, warning, error");
 }
 
-BOOST_AUTO_TEST_CASE(Settings_KeyIsNotKnown_FaultNamesIt) {
-  const auto faults = FaultsOf(WithMore("[listen2]\nx = 1\n"));
-  BOOST_REQUIRE_EQUAL(faults.size(), 1U);
-  BOOST_TEST(faults[0].message == "is not a known key");
+BOOST_AUTO_TEST_CASE(Settings_KeyIsUnknown_ErrorNamesKey) {
+  const auto errors = ErrorsOf(WithExtraLines("[listen2]\nx = 1\n"));
+  BOOST_REQUIRE_EQUAL(errors.size(), 1U);
+  BOOST_TEST(errors[0].message == "is not a known key");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/entry/event_log_test.cc
+++ b/test/jacinthdeck/entry/event_log_test.cc
@@ -79,7 +79,7 @@
 // Under overload every call is logged. Without a limit the log would grow with
 // the load: lines beyond the bytes per second are dropped and counted, and the
 // count is logged once there is room.
-BOOST_AUTO_TEST_CASE(Volume_IsAboveTheBound_LinesAreDroppedAndTheGapTold) {
+BOOST_AUTO_TEST_CASE(Log_VolumeExceedsLimit_LinesAreDroppedAndCountIsLogged) {
   {
     LogWriter writer(pipe_ends[1]);
     EventLog log({"h1", 1024}, clock, writer);
@@ -99,7 +99,7 @@
 
 // When the reader of standard output is stuck, the pipe and the ring fill up.
 // Logging must drop lines and not block on the reader.
-BOOST_AUTO_TEST_CASE(Reader_IsStuck_LoggingGoesOnAndCounts) {
+BOOST_AUTO_TEST_CASE(Log_ReaderIsStuck_LinesAreDroppedAndCounted) {
   LogWriter writer(pipe_ends[1]);
   EventLog log({"h1", 1U << 30U}, clock, writer);
   const std::string text(8000, 'x');
@@ -113,7 +113,7 @@
 }
 
 // The page must list every event of the table, and no event that is not logged.
-BOOST_AUTO_TEST_CASE(Page_NamesTheEvents_ExactlyThoseOfTheTable) {
+BOOST_AUTO_TEST_CASE(Page_ListsEvents_MatchesEventTable) {
   std::string path(JACINTHDECK_DOCS);
   path.append("/operate/logs.md");
   std::ifstream page(path);
