--- a/src/jacinthdeck/entry/answer_encoder.cc
+++ b/src/jacinthdeck/entry/answer_encoder.cc
@@ -1,4 +1,4 @@
-// One function a kind of answer, found by a table.
+// Each kind of answer has an encoder function, looked up in a table.
 #include "jacinthdeck/entry/answer_encoder.h"
 
 #include <array>
@@ -14,8 +14,10 @@
 
 using Encoder = EdgeResponse (*)(const TargetProtocol&, ForwardAnswer&);
 
-//! A response of our own: the body names the reason for whoever reads it.
-[[nodiscard]] EdgeResponse Own(int status, const ForwardAnswer& answer) {
+//! Makes a response that no target sent; the body names the reason in plain
+//! text.
+[[nodiscard]] EdgeResponse ReasonResponse(int status,
+                                          const ForwardAnswer& answer) {
   EdgeResponse response;
   response.status = status;
   response.headers.push_back({"Content-Type", "text/plain"});
@@ -23,7 +25,8 @@
   return response;
 }
 
-[[nodiscard]] std::string Seconds(Duration duration) {
+//! Formats a duration in seconds with three decimals.
+[[nodiscard]] std::string FormatSeconds(Duration duration) {
   std::array<char, 32> text{};
   (void)std::snprintf(text.data(), text.size(), "%.3f",
                       ToMilliseconds(duration) / 1000);
@@ -58,29 +61,30 @@
 
 [[nodiscard]] EdgeResponse EncodeNotRun(const TargetProtocol& /*protocol*/,
                                         ForwardAnswer& answer) {
-  EdgeResponse response = Own(http_status::kUnavailable, answer);
+  EdgeResponse response = ReasonResponse(http_status::kUnavailable, answer);
   if (answer.retry_after) {
-    response.headers.push_back({"Retry-After", Seconds(*answer.retry_after)});
+    response.headers.push_back(
+        {"Retry-After", FormatSeconds(*answer.retry_after)});
   }
   return response;
 }
 
 [[nodiscard]] EdgeResponse EncodeFailed(const TargetProtocol& /*protocol*/,
                                         ForwardAnswer& answer) {
-  return Own(http_status::kBadGateway, answer);
+  return ReasonResponse(http_status::kBadGateway, answer);
 }
 
 [[nodiscard]] EdgeResponse EncodeTimedOut(const TargetProtocol& /*protocol*/,
                                           ForwardAnswer& answer) {
-  return Own(http_status::kGatewayTimeout, answer);
+  return ReasonResponse(http_status::kGatewayTimeout, answer);
 }
 
 [[nodiscard]] EdgeResponse EncodeNoRoute(const TargetProtocol& /*protocol*/,
                                          ForwardAnswer& answer) {
-  return Own(http_status::kNotFound, answer);
+  return ReasonResponse(http_status::kNotFound, answer);
 }
 
-//! In the order of AnswerKind.
+//! Encoders in the order of the enumerators of AnswerKind.
 constexpr std::array<Encoder, 6> kEncoders{&EncodeResponse, &EncodeMerged,
                                            &EncodeNotRun,   &EncodeFailed,
                                            &EncodeTimedOut, &EncodeNoRoute};
