--- a/src/daemons/ctl/arguments.cc
+++ b/src/daemons/ctl/arguments.cc
@@ -1,4 +1,4 @@
-// Options by Boost.Program_options.
+// Parses the command line with Boost.Program_options.
 #include "ctl/arguments.h"
 
 #include <boost/program_options.hpp>
@@ -16,7 +16,7 @@
 constexpr const char* kDefaultQueries = "127.0.0.1:7300";
 constexpr std::uint64_t kDefaultTimeoutMs = 5000;
 
-/*! \brief Values as the option library leaves them. */
+/*! \brief Option values before their conversion to endpoints and durations. */
 struct RawValues {
   std::string store;
   std::string host;
@@ -34,7 +34,7 @@
       "json", po::bool_switch(&arguments.json),
       "print the reply as one line of JSON")(
       "summary", po::bool_switch(&arguments.summary),
-      "count what callers lost; for explain")(
+      "count lost answers by cause; for explain")(
       "store", po::value(&raw.store)->default_value(kDefaultStore),
       "the platform's store, IP:PORT; for schema, index and hosts")(
       "host", po::value(&raw.host)->default_value(kDefaultHost),
@@ -43,11 +43,11 @@
       "port of a host for typed calls, IP:PORT; for entries and query")(
       "timeout-ms",
       po::value(&raw.timeout_ms)->default_value(kDefaultTimeoutMs),
-      "longest time of one call")("tenant", po::value(&arguments.tenant),
-                                  "tenant of a query")(
+      "timeout of one call to a host or the store")(
+      "tenant", po::value(&arguments.tenant), "tenant of a query")(
       "request-id", po::value(&arguments.request_id),
-      "id of a query, for the logs")("deadline-ms", po::value(&raw.deadline_ms),
-                                     "deadline of a query");
+      "request id of a query, written to the logs")(
+      "deadline-ms", po::value(&raw.deadline_ms), "deadline of a query");
   return options;
 }
 
--- a/src/daemons/ctl/arguments.h
+++ b/src/daemons/ctl/arguments.h
@@ -1,4 +1,4 @@
-// The command line of jacinthdeckctl.
+// Parses the command line of jacinthdeckctl.
 #ifndef JACINTHDECK_DAEMONS_CTL_ARGUMENTS_H_
 #define JACINTHDECK_DAEMONS_CTL_ARGUMENTS_H_
 
@@ -14,36 +14,37 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief A command line after its checks. */
+/*! \brief A parsed and validated command line. */
 struct Arguments {
   bool help = false;
   bool version = false;
   bool json = false;
-  //! Of explain: all losses in place of one request's story.
+  //! For `explain`: counts the losses of all requests instead of printing the
+  //! log lines of one.
   bool summary = false;
-  //! The platform's store.
+  //! Address of the platform's store.
   Endpoint store;
-  //! A host's metrics port.
+  //! Address of a host's metrics port.
   Endpoint host;
-  //! A host's port for typed calls.
+  //! Address of a host's port for typed calls.
   Endpoint queries;
-  //! Of one call.
+  //! Timeout of one call to a host or the store.
   Duration timeout{};
-  //! Words of the command and its operands.
+  //! Positional arguments: the words of the command, then its operands.
   std::vector<std::string> words;
   std::string tenant;
   std::string request_id;
   std::optional<std::uint64_t> deadline_ms;
 };
 
-/*! \brief Prints the options for the help text. */
+/*! \brief Prints the descriptions of all options. */
 void PrintOptions(std::ostream& out);
 
 /**
- * \brief Reads a command line.
- * \param argc Count of arguments.
- * \param argv Arguments; the first is the program.
- * \return The arguments; kInvalidArgument with what is wrong.
+ * \brief Parses and validates a command line.
+ * \param argc Number of entries in argv.
+ * \param argv Arguments; the first is the name of the program.
+ * \return The arguments, or kInvalidArgument with a description of the problem.
  */
 [[nodiscard]] Result<Arguments> ReadArguments(int argc,
                                               const char* const* argv);
--- a/src/daemons/ctl/command.cc
+++ b/src/daemons/ctl/command.cc
@@ -1,4 +1,4 @@
-// Table of commands.
+// Defines the table of commands and prints it as the help text.
 #include "ctl/command.h"
 
 #include <algorithm>
@@ -21,27 +21,29 @@
 constexpr std::array<Command, 11> kCommands{{
     {"schema", "check", "FILE", "check a schema file without sending it", 1, 1,
      &SchemaCheck},
-    {"schema", "apply", "FILE", "put a schema file in force", 1, 1,
-     &SchemaApply},
-    {"schema", "show", "", "print the schema in force", 0, 0, &SchemaShow},
-    {"index", "apply", "FILE", "put partition maps in force", 1, 1,
-     &IndexApply},
-    {"status", "", "", "print what a host knows and does", 0, 0, &ShowStatus},
-    {"hosts", "", "", "print the hosts in the store", 0, 0, &ShowHosts},
+    {"schema", "apply", "FILE", "check a schema file and write it to the store",
+     1, 1, &SchemaApply},
+    {"schema", "show", "", "print the schema in the store", 0, 0, &SchemaShow},
+    {"index", "apply", "FILE",
+     "check partition maps and write them to the store", 1, 1, &IndexApply},
+    {"status", "", "", "print the status of a host", 0, 0, &ShowStatus},
+    {"hosts", "", "", "print the hosts registered in the store", 0, 0,
+     &ShowHosts},
     {"evacuations", "", "[HOST...]",
      "print evacuated failure domains, and the hosts (metrics IP:PORT) that do "
      "not apply them",
      0, kAny, &ShowEvacuations},
     {"era", "", "[HOST...]",
      "print the era of the store, and the hosts (metrics IP:PORT) that serve "
-     "by another one",
+     "with data of another era",
      0, kAny, &ShowEra},
     {"entries", "", "", "print the addresses for typed calls", 0, 0,
      &ShowEntries},
-    {"query", "", "SERVICE/METHOD JSON", "ask one request", 2, 2, &Query},
+    {"query", "", "SERVICE/METHOD JSON",
+     "send one request and print the answer", 2, 2, &Query},
     {"explain", "", "REQUEST_ID FILE...",
-     "tell the story of a request from logs; with --summary and no id, count "
-     "all losses",
+     "print the log lines of a request; with --summary and no id, count all "
+     "losses",
      1, kAny, &Explain},
 }};
 
--- a/src/daemons/ctl/command.h
+++ b/src/daemons/ctl/command.h
@@ -1,4 +1,4 @@
-// The commands of jacinthdeckctl, as a table.
+// Declares the table of commands of jacinthdeckctl.
 #ifndef JACINTHDECK_DAEMONS_CTL_COMMAND_H_
 #define JACINTHDECK_DAEMONS_CTL_COMMAND_H_
 
@@ -14,11 +14,11 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief One command. */
+/*! \brief Names, operands, help text and handler of one command. */
 struct Command {
-  //! First word.
+  //! First word of the command.
   std::string_view group;
-  //! Second word; empty where the command has one word.
+  //! Second word of the command; empty if it has one word only.
   std::string_view name;
   std::string_view operands;
   std::string_view help;
@@ -27,20 +27,20 @@
   ExitCode (*run)(Session& session,
                   const std::vector<std::string>& operands) = nullptr;
 
-  /*! \brief Count of the words that name the command. */
+  /*! \brief Returns the number of words that name the command: 1 or 2. */
   [[nodiscard]] std::size_t words() const noexcept {
     return name.empty() ? 1 : 2;
   }
 };
 
-/*! \brief All commands. */
+/*! \brief Returns all commands in the order of the help text. */
 [[nodiscard]] std::span<const Command> Commands();
 
-/*! \brief Finds the command that the words name; null when there is none or the
- * count of operands is wrong. */
+/*! \brief Returns the command that the words name; null if there is none or
+ * the number of operands is wrong. */
 [[nodiscard]] const Command* FindCommand(const std::vector<std::string>& words);
 
-/*! \brief Prints commands and options. */
+/*! \brief Prints the help text: usage, commands and options. */
 void PrintHelp(std::ostream& out);
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/era_command.cc
+++ b/src/daemons/ctl/era_command.cc
@@ -1,4 +1,4 @@
-// Compares the store's era with what hosts say in their status.
+// Compares the store's era with the eras that hosts report in their status.
 #include "ctl/era_command.h"
 
 #include <jansson.h>
@@ -35,7 +35,7 @@
   return host;
 }
 
-//! One host as JSON.
+//! Returns the era and the position of one host as JSON.
 [[nodiscard]] JsonPtr Describe(const std::string& address,
                                const HostEra& host) {
   return JsonPtr(
--- a/src/daemons/ctl/era_command.h
+++ b/src/daemons/ctl/era_command.h
@@ -1,4 +1,5 @@
-// Which hosts have taken the content of the store's present era.
+// Declares the command that shows which hosts serve with data of the store's
+// current era.
 #ifndef JACINTHDECK_DAEMONS_CTL_ERA_COMMAND_H_
 #define JACINTHDECK_DAEMONS_CTL_ERA_COMMAND_H_
 
@@ -11,10 +12,10 @@
 namespace jacinthdeck::ctl {
 
 /**
- * \brief Prints the era of the store and of hosts.
- * \param hosts Metrics ports (IP:PORT) of hosts that are asked.
- * \return kDone if each host serves by the store's era; kPartial if one does
- * not, or cannot be asked.
+ * \brief Prints the era of the store and the eras of the given hosts.
+ * \param hosts Metrics ports (IP:PORT) of the hosts whose status is read.
+ * \return kDone if every host serves with data of the store's era; kPartial if
+ * one does not or its status cannot be read.
  */
 ExitCode ShowEra(Session& session, const std::vector<std::string>& hosts);
 
--- a/src/daemons/ctl/evacuation_command.cc
+++ b/src/daemons/ctl/evacuation_command.cc
@@ -1,4 +1,5 @@
-// Compares the store's evacuations with what hosts say in their status.
+// Compares the store's evacuations with those that hosts report in their
+// status.
 #include "ctl/evacuation_command.h"
 
 #include <jansson.h>
@@ -14,10 +15,10 @@
 
 using Domains = std::set<std::string>;
 
-//! The store's evacuations, as JSON and by domain.
+//! The evacuations in the store, as JSON and as a set of failure domains.
 struct Evacuated {
   JsonPtr items{json_array()};
-  //! Keys that name no domain, and why.
+  //! Keys that name no valid failure domain, each with the problem.
   JsonPtr unreadable{json_array()};
   Domains domains;
 };
@@ -43,7 +44,7 @@
                 static_cast<json_int_t>(item.position.revision)));
 }
 
-//! Evacuated domains that a host applies.
+//! Reads the evacuated failure domains that a host applies from its status.
 [[nodiscard]] Result<Domains> AskHost(const Session& session,
                                       const std::string& address) {
   BOOST_LEAF_AUTO(reply, session.ReadStatus(address));
@@ -57,7 +58,8 @@
   return domains;
 }
 
-//! What one host lacks, as JSON; null if it lacks nothing.
+//! Returns the evacuated failure domains that a host does not apply, or why its
+//! status cannot be read, as JSON; null if the host applies all of them.
 [[nodiscard]] JsonPtr Lack(const Session& session,
                            const std::string& host,
                            const Domains& evacuated) {
--- a/src/daemons/ctl/evacuation_command.h
+++ b/src/daemons/ctl/evacuation_command.h
@@ -1,4 +1,5 @@
-// Which failure domains are evacuated, and which hosts do not know it yet.
+// Declares the command that shows which failure domains are evacuated and which
+// hosts do not apply this yet.
 #ifndef JACINTHDECK_DAEMONS_CTL_EVACUATION_COMMAND_H_
 #define JACINTHDECK_DAEMONS_CTL_EVACUATION_COMMAND_H_
 
@@ -11,10 +12,11 @@
 namespace jacinthdeck::ctl {
 
 /**
- * \brief Prints the evacuations of the store.
- * \param hosts Metrics ports (IP:PORT) of hosts that are asked what they apply.
- * \return kDone if each host applies them all; kPartial if one does not, or
- * cannot be asked.
+ * \brief Prints the evacuations in the store and the hosts that do not apply
+ * all of them.
+ * \param hosts Metrics ports (IP:PORT) of the hosts whose status is read.
+ * \return kDone if every host applies all evacuations; kPartial if one does not
+ * or its status cannot be read.
  */
 ExitCode ShowEvacuations(Session& session,
                          const std::vector<std::string>& hosts);
--- a/src/daemons/ctl/exit_code.h
+++ b/src/daemons/ctl/exit_code.h
@@ -1,23 +1,25 @@
-// Exit codes of jacinthdeckctl; docs/operate/jacinthdeckctl.md lists them.
+// Defines the exit codes of jacinthdeckctl, which
+// docs/operate/jacinthdeckctl.md documents.
 #ifndef JACINTHDECK_DAEMONS_CTL_EXIT_CODE_H_
 #define JACINTHDECK_DAEMONS_CTL_EXIT_CODE_H_
 
 namespace jacinthdeck::ctl {
 
-/*! \brief How a command ended, for scripts. */
+/*! \brief Result of a command, as scripts see it. */
 enum class ExitCode {
   kDone = 0,
-  //! The daemon answered something that cannot be used.
+  //! The daemon sent a reply that cannot be used, or no log line was found.
   kFailed = 1,
-  //! The command line is wrong; nothing was sent.
+  //! The command line is invalid; no request was sent.
   kUsage = 2,
-  //! Refused, and nothing was run or changed.
+  //! The request was refused; nothing was executed or changed.
   kRefused = 3,
-  //! It may or may not have run or taken effect.
+  //! The request may or may not have been executed or taken effect.
   kUnknown = 4,
   //! No daemon could be reached.
   kUnreachable = 5,
-  //! Answered, with key ranges missing.
+  //! Answered, but key ranges are missing or some hosts do not apply the state
+  //! of the store.
   kPartial = 6,
 };
 
--- a/src/daemons/ctl/human.cc
+++ b/src/daemons/ctl/human.cc
@@ -1,4 +1,4 @@
-// Indented rendering of JSON.
+// Renders JSON as indented text.
 #include "ctl/human.h"
 
 #include <jansson.h>
@@ -22,7 +22,8 @@
                                : DumpJson(*value);
 }
 
-//! An array of plain values stands on one line.
+//! Whether a value is an array without nested values, which is printed on one
+//! line.
 [[nodiscard]] bool IsPlainArray(const json_t* value) {
   for (std::size_t index = 0; index < json_array_size(value); ++index) {
     if (IsNested(json_array_get(value, index))) {
--- a/src/daemons/ctl/human.h
+++ b/src/daemons/ctl/human.h
@@ -1,4 +1,4 @@
-// Prints JSON for people: indented names and values, without quotes.
+// Prints JSON in a readable form: indented names and values, without quotes.
 #ifndef JACINTHDECK_DAEMONS_CTL_HUMAN_H_
 #define JACINTHDECK_DAEMONS_CTL_HUMAN_H_
 
@@ -9,9 +9,9 @@
 namespace jacinthdeck::ctl {
 
 /**
- * \brief Prints a value over several lines.
+ * \brief Prints a value as indented text, one member or element per line.
  * \param value Any JSON value.
- * \param out Where to print.
+ * \param out Stream that the text is written to.
  */
 void PrintForPeople(const json_t& value, std::ostream& out);
 
--- a/src/daemons/ctl/log_lines.cc
+++ b/src/daemons/ctl/log_lines.cc
@@ -1,4 +1,5 @@
-// One JSON object a line, parsed one at a time: logs are larger than memory.
+// Parses logs line by line, one JSON object per line, since logs can be larger
+// than memory.
 #include "ctl/log_lines.h"
 
 namespace jacinthdeck::ctl {
--- a/src/daemons/ctl/log_lines.h
+++ b/src/daemons/ctl/log_lines.h
@@ -1,4 +1,4 @@
-// Lines of the hosts' logs, as every command on logs reads them.
+// Reads lines of the hosts' logs for all commands that evaluate logs.
 #ifndef JACINTHDECK_DAEMONS_CTL_LOG_LINES_H_
 #define JACINTHDECK_DAEMONS_CTL_LOG_LINES_H_
 
@@ -14,25 +14,29 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief How many lines were read, and how many told nothing. */
+/*! \brief Number of lines that were read, and of those without an event. */
 struct LineCounts {
   std::size_t read = 0;
   std::size_t unreadable = 0;
 };
 
-/*! \brief A text field of a line; empty if there is none. */
+/*! \brief Returns a text field of a line; empty if the line has none. */
 [[nodiscard]] std::string_view TextOf(const json_t* json, const char* name);
 
-/*! \brief A whole number of a line, with its fraction cut off; 0 if there is
- * none. */
+/*! \brief Returns a number field of a line without its fraction; 0 if the line
+ * has none. */
 [[nodiscard]] json_int_t NumberOf(const json_t* json, const char* name);
 
 /**
- * \brief Reads each line that is an event.
+ * \brief Reads a log and passes each line with an event to a callback.
  *
- * What stands before the first brace is passed over, since collectors put their
- * own words there. A line without an event counts as unreadable: a log may end
- * in the middle of one.
+ * Text before the first brace is skipped, since log collectors add prefixes of
+ * their own. A line without an event counts as unreadable, since a log may end
+ * in the middle of a line.
+ *
+ * \param in The log.
+ * \param counts Counts that the lines of this log are added to.
+ * \param take Called with each line that has an event.
  */
 void ReadLines(std::istream& in,
                LineCounts& counts,
--- a/src/daemons/ctl/loss_summary.cc
+++ b/src/daemons/ctl/loss_summary.cc
@@ -1,5 +1,5 @@
-// Tables of losses. Columns are the kinds of loss, rows what they are counted
-// by.
+// Prints the tables of losses. Each column is a kind of loss, each row a
+// window, a route with a reason, or a sequence of attempts.
 #include "ctl/loss_summary.h"
 
 #include <algorithm>
@@ -15,7 +15,8 @@
 
 namespace {
 
-//! Length of a window. Losses come in bursts of a second or two.
+//! Length of a window in milliseconds. Losses come in bursts of one or two
+//! seconds.
 constexpr json_int_t kWindowMs = 2000;
 constexpr int kNameWidth = 44;
 constexpr int kCountWidth = 16;
@@ -25,7 +26,8 @@
   return at - at % kWindowMs;
 }
 
-//! Event with what tells its kinds apart; addresses and ids are left out.
+//! Returns the event of a line with its status and problem. Addresses and ids
+//! are left out, so that equal events are counted together.
 [[nodiscard]] std::string KindOf(const json_t& line) {
   std::string kind(TextOf(&line, "event"));
   for (const char* field : {"status", "problem"}) {
@@ -35,7 +37,8 @@
   return kind;
 }
 
-//! Attempts at a shard in the order of their sending.
+//! Returns the reasons and outcomes of the attempts at a shard, in the order in
+//! which they were sent.
 [[nodiscard]] std::string AttemptsOf(const json_t& line, json_int_t shard) {
   std::vector<std::pair<double, std::string>> sent;
   const json_t* attempts = json_object_get(&line, "attempts");
--- a/src/daemons/ctl/loss_summary.h
+++ b/src/daemons/ctl/loss_summary.h
@@ -1,4 +1,4 @@
-// Counts what callers lost, from the logs of many hosts.
+// Counts the lost answers of callers from the logs of many hosts.
 #ifndef JACINTHDECK_DAEMONS_CTL_LOSS_SUMMARY_H_
 #define JACINTHDECK_DAEMONS_CTL_LOSS_SUMMARY_H_
 
@@ -16,28 +16,29 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief How a caller lost all or a part of its answer. */
+/*! \brief Ways in which a caller lost all or part of its answer. */
 enum class Loss { kRefused, kFailed, kPartial, kSlow, kAbandoned };
 
 inline constexpr std::size_t kLossCount = 5;
 
-//! Log events of the losses, in the order of the columns.
+//! Log event of each kind of loss, in the order of the table columns.
 inline constexpr NameTable<Loss, kLossCount> kLossNames{
     {"call_refused", "call_failed", "call_partial", "call_slow",
      "call_abandoned"}};
 
 /**
- * \brief Losses by window, by route and reason, and by the attempts that
- * missing shards had; other events by window.
+ * \brief Counts losses by time window, by route and reason, and by the attempts
+ * at missing shards; counts other events by time window.
  *
- * Good calls are sampled in logs, so shares of all calls come from the metrics.
+ * Logs hold only a sample of the successful calls, so the share of calls with a
+ * loss must be taken from the metrics.
  */
 class LossSummary {
  public:
-  /*! \brief Takes a line of a host's log. */
+  /*! \brief Counts one line of a host's log. */
   void Add(const json_t& line);
 
-  /*! \brief Prints the tables. */
+  /*! \brief Prints all tables. */
   void Print(std::ostream& out) const;
 
  private:
@@ -45,15 +46,16 @@
 
   void AddMissingShards(const json_t& line);
 
-  //! First window that a line falls in; the tables count from it.
+  //! Start of the earliest window with a line, in Unix milliseconds. The tables
+  //! show times relative to it.
   std::optional<json_int_t> m_first;
-  //! By the window's first moment in Unix milliseconds.
+  //! Losses by the start of the window in Unix milliseconds.
   std::map<json_int_t, Losses> m_by_window;
-  //! By route, then by reason.
+  //! Losses by route, then by reason.
   std::map<std::string, std::map<std::string, Losses>> m_by_route;
-  //! Missing shards by the attempts they had, in the order of sending.
+  //! Number of missing shards by the attempts at them, in the order of sending.
   std::map<std::string, std::uint64_t> m_by_attempts;
-  //! Other events with their status or problem, by window.
+  //! Number of other events by event with status and problem, then by window.
   std::map<std::string, std::map<json_int_t, std::uint64_t>> m_events;
 };
 
