--- a/src/daemons/ctl/exit_code.h
+++ b/src/daemons/ctl/exit_code.h
@@ -18,8 +18,8 @@
   kUnknown = 4,
   //! No daemon could be reached.
   kUnreachable = 5,
-  //! Answered, but key ranges are missing or some hosts do not apply the state
-  //! of the store.
+  //! Answered, but key ranges are missing, or a host does not apply what is in
+  //! the store or could not be asked.
   kPartial = 6,
 };
 
--- a/src/daemons/ctl/explain_command.cc
+++ b/src/daemons/ctl/explain_command.cc
@@ -1,4 +1,4 @@
-// The story of one request, and the summary of all that was lost.
+// Prints the log lines of one request, or the summary of all losses.
 #include "ctl/explain_command.h"
 
 #include <jansson.h>
@@ -20,7 +20,8 @@
 
 namespace {
 
-//! Events that tell what a host believed; the last of each kind is shown.
+//! Events that describe the state of a host. Of each, the last one before the
+//! request is shown.
 constexpr std::array<std::string_view, 9> kBeliefs{
     "started",        "readiness",      "store_lost",
     "store_regained", "config_applied", "targets_changed",
@@ -35,7 +36,8 @@
 
 struct Story {
   std::vector<Line> lines;
-  //! By file and event: the last belief before the request's line.
+  //! Lines on the state of the host before a line of the request: the last one
+  //! of each event in the same file.
   std::vector<Line> beliefs;
   LineCounts counts;
 };
@@ -49,7 +51,7 @@
              const std::string& file,
              const std::string& request,
              Story& story) {
-  //! By host, then by event.
+  // Last line on the state of a host, by host, then by event.
   std::map<std::string, std::map<std::string, Line>> beliefs;
   ReadLines(in, story.counts, [&](const json_t& json) {
     const std::string_view event = TextOf(&json, "event");
@@ -69,7 +71,8 @@
   });
 }
 
-//! With as many digits as the log had.
+//! Returns a JSON value as text, with real numbers rounded to the precision of
+//! the log.
 [[nodiscard]] std::string Shown(const json_t* value) {
   constexpr std::size_t kDigits = 10;
   const std::unique_ptr<char, decltype(&std::free)> text(
@@ -110,8 +113,9 @@
 }
 
 /**
- * \brief Opens each file and hands it on.
- * \return The first file that cannot be read; empty if all were.
+ * \brief Opens each file and passes it to a callback with its name.
+ * \return The name of the first file that cannot be opened, where reading
+ * stops; empty if all were read.
  */
 [[nodiscard]] std::string ForEachFile(
     std::span<const std::string> names,
@@ -135,7 +139,7 @@
 
 ExitCode FailUnreadableFile(Session& session, const std::string& name) {
   return session.Fail(ExitCode::kUsage, name + ": cannot be read",
-                      "name the hosts' log files");
+                      "give the paths of the hosts' log files");
 }
 
 ExitCode Summarize(Session& session, std::span<const std::string> names) {
@@ -171,9 +175,11 @@
   std::ranges::stable_sort(story.beliefs, by_time);
   TellUnreadable(story.counts, session.out());
   if (story.lines.empty()) {
-    return session.Fail(
-        ExitCode::kFailed, "no line tells of " + request,
-        "good requests are sampled: look at the metrics of the hosts");
+    return session.Fail(ExitCode::kFailed,
+                        "no log line has the request id " + request,
+                        "logs hold only a sample of the successful requests: "
+                        "look at the metrics "
+                        "of the hosts");
   }
   Print(story, session.out());
   return ExitCode::kDone;
@@ -187,8 +193,9 @@
     return Summarize(session, words);
   }
   if (words.size() < 2) {
-    return session.Fail(ExitCode::kUsage, "explain: no log file",
-                        "name the request's id and the hosts' log files");
+    return session.Fail(
+        ExitCode::kUsage, "explain: no log file",
+        "give the request id and the paths of the hosts' log files");
   }
   return TellStory(session, words.front(), words.subspan(1));
 }
--- a/src/daemons/ctl/explain_command.h
+++ b/src/daemons/ctl/explain_command.h
@@ -1,4 +1,5 @@
-// What the logs of many hosts tell: of one request, or of all that was lost.
+// Declares the command that evaluates the logs of many hosts, for one request
+// or for all losses.
 #ifndef JACINTHDECK_DAEMONS_CTL_EXPLAIN_COMMAND_H_
 #define JACINTHDECK_DAEMONS_CTL_EXPLAIN_COMMAND_H_
 
@@ -11,16 +12,19 @@
 namespace jacinthdeck::ctl {
 
 /**
- * \brief Reads logs of hosts and tells the story of one request.
+ * \brief Reads logs of hosts and prints the lines of one request.
  *
- * Prints each line about the request with its attempts, and the last lines on
- * what its host believed before it. Lines that cannot be read are counted.
+ * Prints each line of the request with its attempts, and the last lines before
+ * it on the state of its host. Lines that cannot be read are counted.
  *
  * With the option `--summary` it counts the losses of all requests instead.
  *
- * \param operands The request's id, then files; with `--summary` files alone.
- * \return kDone if there is a line on the request, else kFailed; with
- * `--summary` kDone.
+ * \param session Session.
+ * \param operands The request id, then log files; with `--summary` log files
+ * only.
+ * \return kDone if the logs have a line of the request, else kFailed; kDone
+ * with
+ * `--summary`; kUsage if no file is given or a file cannot be opened.
  */
 ExitCode Explain(Session& session, const std::vector<std::string>& operands);
 
--- a/src/daemons/ctl/host_commands.cc
+++ b/src/daemons/ctl/host_commands.cc
@@ -1,4 +1,4 @@
-// Reads of hosts, writes of partition maps.
+// Reads the status of hosts and writes partition maps to the store.
 #include "ctl/host_commands.h"
 
 #include <jansson.h>
@@ -16,7 +16,8 @@
 
 namespace {
 
-//! Texts of the partition maps by service, each checked.
+//! Reads a file of partition maps and returns each service with its validated
+//! maps as JSON text.
 [[nodiscard]] Result<std::vector<std::pair<std::string, std::string>>>
 ReadIndexFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -77,9 +78,9 @@
 ExitCode IndexApply(Session& session, const std::vector<std::string>& file) {
   const auto read = Capture([&] { return ReadIndexFile(file[0]); });
   if (const auto* error = std::get_if<Error>(&read)) {
-    return session.Fail(ExitCode::kRefused,
-                        error->subject + ": " + error->message,
-                        "correct the file; what is in force stays");
+    return session.Fail(
+        ExitCode::kRefused, error->subject + ": " + error->message,
+        "correct the file; the partition maps in the store are unchanged");
   }
   for (const auto& [service, text] : std::get<0>(read)) {
     const ExitCode written =
--- a/src/daemons/ctl/host_commands.h
+++ b/src/daemons/ctl/host_commands.h
@@ -1,4 +1,4 @@
-// Commands about hosts and partition maps.
+// Declares the commands for hosts and partition maps.
 #ifndef JACINTHDECK_DAEMONS_CTL_HOST_COMMANDS_H_
 #define JACINTHDECK_DAEMONS_CTL_HOST_COMMANDS_H_
 
@@ -10,16 +10,17 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief Prints what one host knows and does. */
+/*! \brief Prints the status of one host. */
 ExitCode ShowStatus(Session& session, const std::vector<std::string>& none);
 
-/*! \brief Prints which addresses callers of typed calls are told to use. */
+/*! \brief Prints the addresses that a host gives to clients for typed calls. */
 ExitCode ShowEntries(Session& session, const std::vector<std::string>& none);
 
 /*! \brief Prints the hosts that are registered in the store. */
 ExitCode ShowHosts(Session& session, const std::vector<std::string>& none);
 
-/*! \brief Checks a file of partition maps and writes each service's. */
+/*! \brief Validates a file of partition maps and writes the maps of each
+ * service to the store. */
 ExitCode IndexApply(Session& session, const std::vector<std::string>& file);
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/query_command.cc
+++ b/src/daemons/ctl/query_command.cc
@@ -1,4 +1,4 @@
-// One request and its answer, for people and scripts.
+// Sends one request and prints the answer as text or JSON.
 #include "ctl/query_command.h"
 
 #include <jansson.h>
@@ -18,7 +18,7 @@
 
 constexpr const char* kMayHaveRun = "; it may or may not have run";
 constexpr const char* kAskAgain =
-    "look at its effect before it is sent again: it may run twice";
+    "check whether it took effect before sending it again: it may run twice";
 
 [[nodiscard]] ClientRequest MakeCall(const Arguments& arguments,
                                      const std::vector<std::string>& operands) {
@@ -96,8 +96,8 @@
   const json_t* after = json_object_get(&answer, "retry_after_ms");
   return json_is_integer(after)
              ? "come back in " + std::to_string(json_integer_value(after)) +
-                   " ms, or ask another of `entries`"
-             : "ask another of `entries`";
+                   " ms, or send it to another address of `entries`"
+             : "send it to another address of `entries`";
 }
 
 ExitCode Report(Session& session, const HostReply& reply) {
@@ -122,7 +122,8 @@
       break;
   }
   return session.Fail(ExitCode::kUnknown,
-                      std::string("unknown end") + kMayHaveRun, kAskAgain);
+                      std::string("the outcome is unknown") + kMayHaveRun,
+                      kAskAgain);
 }
 
 }  // namespace
@@ -131,15 +132,17 @@
   const auto& target = operands[0];
   if (std::ranges::count(target, '/') != 1 || target.front() == '/' ||
       target.back() == '/') {
-    return session.Fail(ExitCode::kUsage, target + ": names no call",
-                        "write SERVICE/METHOD; `schema show` lists them");
+    return session.Fail(ExitCode::kUsage,
+                        target + ": is not of the form SERVICE/METHOD",
+                        "see `schema show` for the services and methods");
   }
   const auto called = Capture([&] {
     return session.Call(session.arguments().queries,
                         MakeCall(session.arguments(), operands));
   });
   if (const auto* error = std::get_if<Error>(&called)) {
-    // A lost reply looks like this too, so "not run" would be a guess.
+    // The request may have been executed and its reply lost, which causes the
+    // same error, so it must not be reported as not executed.
     return session.Fail(ExitCode::kUnknown,
                         error->subject + ": " + error->message + kMayHaveRun,
                         kAskAgain);
--- a/src/daemons/ctl/query_command.h
+++ b/src/daemons/ctl/query_command.h
@@ -1,4 +1,4 @@
-// The command that asks one request.
+// Declares the command that sends one request.
 #ifndef JACINTHDECK_DAEMONS_CTL_QUERY_COMMAND_H_
 #define JACINTHDECK_DAEMONS_CTL_QUERY_COMMAND_H_
 
@@ -11,12 +11,12 @@
 namespace jacinthdeck::ctl {
 
 /**
- * \brief Sends one request to the caller port and prints the answer with its
- * coverage.
+ * \brief Sends one request to the port for typed calls of a host and prints the
+ * answer with its coverage.
  * \param session Session.
  * \param operands `SERVICE/METHOD` and the request as JSON.
- * \return kDone for a whole answer, kPartial for a partial one, kRefused for
- * one that was not run, kUnknown where it may have run.
+ * \return kDone for a complete answer, kPartial for a partial one, kRefused if
+ * the request was not executed, kUnknown if it may have been executed.
  */
 ExitCode Query(Session& session, const std::vector<std::string>& operands);
 
--- a/src/daemons/ctl/schema_commands.cc
+++ b/src/daemons/ctl/schema_commands.cc
@@ -1,5 +1,5 @@
-// Checks locally by the library's own reader, so that a wrong file never leaves
-// the operator's machine.
+// Validates schema files locally with the schema parser of the library, so that
+// an invalid file is never sent to the store.
 #include "ctl/schema_commands.h"
 
 #include <jansson.h>
@@ -16,7 +16,8 @@
 
 namespace {
 
-constexpr const char* kFixFile = "correct the file; the schema in force stays";
+constexpr const char* kFixFile =
+    "correct the file; the schema in the store is unchanged";
 
 [[nodiscard]] std::optional<std::string> ReadText(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -53,7 +54,7 @@
   }
 }
 
-//! Reads and checks a file; prints what is wrong with it.
+//! Reads and validates a schema file; prints an error if that fails.
 [[nodiscard]] ExitCode Check(Session& session,
                              const std::string& path,
                              std::string& text,
@@ -113,7 +114,7 @@
     }
   }
   return session.Fail(ExitCode::kRefused, "no schema is in the store",
-                      "put one there with `schema apply`");
+                      "write one with `schema apply`");
 }
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/schema_commands.h
+++ b/src/daemons/ctl/schema_commands.h
@@ -1,4 +1,4 @@
-// Commands about the operators' schema.
+// Declares the commands for the schema of an installation.
 #ifndef JACINTHDECK_DAEMONS_CTL_SCHEMA_COMMANDS_H_
 #define JACINTHDECK_DAEMONS_CTL_SCHEMA_COMMANDS_H_
 
@@ -10,13 +10,14 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief Checks a file and lists what it declares. */
+/*! \brief Validates a schema file and lists the calls that it declares. */
 ExitCode SchemaCheck(Session& session, const std::vector<std::string>& file);
 
-/*! \brief Checks a file and puts it in force; the settings stay. */
+/*! \brief Validates a schema file and writes it to the store. Settings are not
+ * changed. */
 ExitCode SchemaApply(Session& session, const std::vector<std::string>& file);
 
-/*! \brief Prints the schema in force. */
+/*! \brief Prints the schema in the store. */
 ExitCode SchemaShow(Session& session, const std::vector<std::string>& none);
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/session.cc
+++ b/src/daemons/ctl/session.cc
@@ -1,4 +1,4 @@
-// Calls to hosts and the store, and the printing of their ends.
+// Calls hosts and the store and prints results and errors.
 #include "ctl/session.h"
 
 #include <jansson.h>
@@ -119,7 +119,7 @@
   switch (error.code) {
     case ErrorCode::kUnavailable:
       return Fail(ExitCode::kUnreachable, what,
-                  "check the address, or name another one with --store, "
+                  "check the address, or give another one with --store, "
                   "--host or --queries");
     case ErrorCode::kInvalidArgument:
     case ErrorCode::kNotFound:
--- a/src/daemons/ctl/session.h
+++ b/src/daemons/ctl/session.h
@@ -1,4 +1,4 @@
-// What every command needs: its arguments, the servers, and where to print.
+// Gives commands their arguments, access to hosts and the store, and output.
 #ifndef JACINTHDECK_DAEMONS_CTL_SESSION_H_
 #define JACINTHDECK_DAEMONS_CTL_SESSION_H_
 
@@ -15,22 +15,22 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief A reply of a host, parsed. */
+/*! \brief Parsed reply of a host. */
 struct HostReply {
   int status = 0;
-  //! An empty object where the reply has no body.
+  //! JSON of the body; an empty object if the reply has no body.
   JsonPtr body;
 };
 
-/*! \brief One run of the program. */
+/*! \brief Context of one run of the program. */
 class Session {
  public:
   /**
-   * \brief Makes a session; all that it is given outlives it.
-   * \param arguments Command line.
-   * \param codec The store's format.
-   * \param out Where results go.
-   * \param err Where errors go.
+   * \brief Creates a session. The codec and the streams must outlive it.
+   * \param arguments Parsed command line.
+   * \param codec Encodes calls to the store and decodes its replies.
+   * \param out Stream for results.
+   * \param err Stream for errors.
    */
   Session(Arguments arguments,
           const PlatformCodec& codec,
@@ -43,47 +43,50 @@
   [[nodiscard]] const PlatformCodec& codec() const noexcept { return m_codec; }
   [[nodiscard]] std::ostream& out() noexcept { return m_out; }
 
-  /*! \brief Operands after the words of the command. */
+  /*! \brief Returns the operands that follow the words of the command. */
   [[nodiscard]] std::vector<std::string> Operands(
       std::size_t command_words) const;
 
-  /*! \brief Calls a server and reads its JSON. */
+  /*! \brief Calls a host and parses the JSON body of its reply. */
   [[nodiscard]] Result<HostReply> Call(const Endpoint& endpoint,
                                        const ClientRequest& request) const;
 
   /*! \brief Reads the status of the host with this metrics port (IP:PORT). */
   [[nodiscard]] Result<HostReply> ReadStatus(const std::string& address) const;
 
-  /*! \brief Reads where the store is. */
+  /*! \brief Reads the store's current position: its era and revision. */
   [[nodiscard]] Result<StorePosition> ReadPosition() const;
 
-  /*! \brief Reads all keys of the store. */
+  /*! \brief Reads all keys of the store, page by page. */
   [[nodiscard]] Result<std::vector<StoreChange>> ReadStore() const;
 
   /**
-   * \brief Writes a key of the store if it is as it was read.
-   * \param position Position that was read; revision 0 if the key was not
-   * there.
+   * \brief Writes a key of the store unless it changed since it was read.
+   * \param key The key.
+   * \param value New value of the key.
+   * \param position Position of the key when it was read; revision 0 if the key
+   * did not exist.
    */
   [[nodiscard]] StoreAck Swap(const std::string& key,
                               const std::string& value,
                               const StorePosition& position) const;
 
-  /*! \brief Prints a reply: as one line with --json, else for people. */
+  /*! \brief Prints a value: as one line of JSON with --json, else as indented
+   * text. */
   void Print(const json_t& value);
 
   /**
-   * \brief Prints an error and what to do next.
-   * \return The code that was given, so that a command can return it.
+   * \brief Prints an error and, unless it is empty, a hint on what to do next.
+   * \return The given code, so that a command can return it.
    */
   ExitCode Fail(ExitCode code,
                 const std::string& what,
                 const std::string& next);
 
-  /*! \brief Prints a failed call. */
+  /*! \brief Prints the error of a failed call and returns its exit code. */
   ExitCode Fail(const Error& error);
 
-  /*! \brief Prints a reply that refuses a call. */
+  /*! \brief Prints the error in a reply and returns its exit code. */
   ExitCode FailReply(const HostReply& reply);
 
  private:
--- a/src/daemons/ctl/show.cc
+++ b/src/daemons/ctl/show.cc
@@ -1,4 +1,4 @@
-// Prints replies as they are.
+// Prints replies of hosts without interpreting them.
 #include "ctl/show.h"
 
 namespace jacinthdeck::ctl {
--- a/src/daemons/ctl/show.h
+++ b/src/daemons/ctl/show.h
@@ -1,4 +1,4 @@
-// Commands that print one reply of a host as it is.
+// Helpers of commands that print a reply of a host without interpreting it.
 #ifndef JACINTHDECK_DAEMONS_CTL_SHOW_H_
 #define JACINTHDECK_DAEMONS_CTL_SHOW_H_
 
@@ -10,12 +10,12 @@
 
 namespace jacinthdeck::ctl {
 
-/*! \brief Gets a path of a server and prints the reply. */
+/*! \brief Sends a GET request for a path to a host and prints the reply. */
 ExitCode Show(Session& session,
               const Endpoint& endpoint,
               const std::string& path);
 
-/*! \brief Prints a reply, or why there is none. */
+/*! \brief Prints the reply of a call, or the error if the call failed. */
 ExitCode ShowReply(Session& session,
                    const std::variant<HostReply, Error>& called);
 
--- a/src/daemons/ctl/store_key.cc
+++ b/src/daemons/ctl/store_key.cc
@@ -1,4 +1,4 @@
-// Compare and swap, with a second look after a lost reply.
+// Writes a key by compare-and-swap and reads it again after a lost reply.
 #include "ctl/store_key.h"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace {
 
-//! What the store holds of a key; revision 0 if nothing.
+//! Reads a key with its position; revision 0 and no value if the store does not
+//! have it.
 [[nodiscard]] Result<StoreChange> ReadKey(const Session& session,
                                           const std::string& key) {
   BOOST_LEAF_AUTO(items, session.ReadStore());
@@ -33,8 +34,9 @@
   }
   if (ack.status == StoreStatus::kConflict ||
       ack.status == StoreStatus::kBusy) {
-    return session.Fail(ExitCode::kRefused, "not written: " + ack.problem,
-                        "look at what is there, then try again");
+    return session.Fail(
+        ExitCode::kRefused, "not written: " + ack.problem,
+        "read the current content of the store, then try again");
   }
   const auto after = Capture([&] { return ReadKey(session, key); });
   const auto* read = std::get_if<StoreChange>(&after);
@@ -42,9 +44,9 @@
     session.out() << "written: hosts take it within seconds\n";
     return ExitCode::kDone;
   }
-  return session.Fail(ExitCode::kUnknown,
-                      "the store gave no reply: " + ack.problem,
-                      "the write may still take effect; look again later");
+  return session.Fail(
+      ExitCode::kUnknown, "the store gave no reply: " + ack.problem,
+      "the write may still take effect; check later whether it did");
 }
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/store_key.h
+++ b/src/daemons/ctl/store_key.h
@@ -1,4 +1,4 @@
-// Writes one key of the store.
+// Declares the conditional write of one key of the store.
 #ifndef JACINTHDECK_DAEMONS_CTL_STORE_KEY_H_
 #define JACINTHDECK_DAEMONS_CTL_STORE_KEY_H_
 
@@ -10,14 +10,14 @@
 namespace jacinthdeck::ctl {
 
 /**
- * \brief Replaces the value of a key.
+ * \brief Replaces the value of a key and prints the result.
  *
- * The write holds only if nobody else wrote in between. After a lost reply the
- * key is read again, so that the end is known: a change that was made is not
+ * The key is written only if it did not change since it was read. After a lost
+ * reply the key is read again, so that a write which took effect is not
  * reported as failed.
  *
- * \return kDone once the store holds the value; kRefused on a conflict;
- * kUnknown if the store cannot be asked.
+ * \return kDone once the store holds the value; kRefused on a conflict or if
+ * the store is busy; kUnknown if the result of the write is not known.
  */
 ExitCode WriteKey(Session& session,
                   const std::string& key,
--- a/test/daemons/ctl_test.cc
+++ b/test/daemons/ctl_test.cc
@@ -1,4 +1,4 @@
-// Tests of jacinthdeckctl against a stand-in store and log files.
+// Tests the commands of jacinthdeckctl with a stand-in store and log files.
 #include <boost/test/unit_test.hpp>
 #include <cstdio>
 #include <fstream>
@@ -55,7 +55,7 @@
     return command->run(session, session.Operands(command->words()));
   }
 
-  //! What was printed, line by line, with one space between words.
+  //! Returns the lines of the output with one space between words.
   [[nodiscard]] std::vector<std::string> Rows() const {
     std::istringstream lines(out.str());
     std::vector<std::string> rows;
@@ -101,8 +101,9 @@
              std::string::npos);
 }
 
-// The store makes the change and loses its reply. The operator must not be told
-// that it failed, or he makes it again over somebody else's.
+// The store applies the write, but its reply is lost. The command must not
+// report a failure: the operator would repeat the write and overwrite a change
+// that somebody else made in between.
 BOOST_AUTO_TEST_CASE(IndexApply_ReplyIsLost_LooksAgainAndSaysWritten) {
   standins::StoreControl control;
   control.faults.lose_reply_share = 1;
@@ -120,8 +121,8 @@
   BOOST_TEST((Run({"hosts"}) == ExitCode::kUnreachable));
 }
 
-// Guards against an operator who takes a domain down while a host still sends
-// to it.
+// Guards against an evacuation that looks complete while a host still sends to
+// the failure domain, so that an operator shuts the domain down too early.
 BOOST_AUTO_TEST_CASE(Evacuations_OneHostLacksOneAndOneIsDown_BothAreNamed) {
   standins::StoreControl control;
   control.puts.push_back({"op/evacuate/z1", "{}", {}});
@@ -143,8 +144,9 @@
   BOOST_TEST(printed.find("127.0.0.1:1", lacking) != printed.npos);
 }
 
-// Guards against an operator who takes a drill for done while a host serves by
-// the history before.
+// Guards against a restore of the store that looks complete while a host still
+// serves with data from before it, so that an operator ends a restore drill too
+// early.
 BOOST_AUTO_TEST_CASE(Era_OneHostIsBehindAndOneIsDown_BothAreNamed) {
   store.content().KeepCopy();
   BOOST_TEST(store.content().Restore());
@@ -171,7 +173,7 @@
   BOOST_TEST(printed.find(up, others) == printed.npos);
 }
 
-// Guards against one odd key that hides the evacuations in force.
+// Guards against one invalid key that hides the evacuations in effect.
 BOOST_AUTO_TEST_CASE(Evacuations_AKeyNamesNoDomain_OthersAreToldBesideIt) {
   standins::StoreControl control;
   control.puts.push_back({"op/evacuate/", "{}", {}});
@@ -206,8 +208,8 @@
   BOOST_TEST(story.find("call_done") == story.npos);
 }
 
-// Logs of two hosts around a shard that is down: the losses are counted over
-// both, and a missing shard by all the attempts that it had.
+// Logs of two hosts while a shard is down. Losses are counted over both logs,
+// and each missing shard is counted under the sequence of all attempts at it.
 BOOST_AUTO_TEST_CASE(ExplainSummary_LinesOfTwoHosts_CountsLossesByCause) {
   const std::string first = MakeFile(
       R"({"unix_ms":10000,"host":"a","event":"call_partial","request":"r1","route":"sweep","reason":"left_out","missing_shards":[3,7],"attempts":[{"shard":3,"reason":"hedge","sent_ms":40.5,"outcome":"unanswered"},{"shard":3,"reason":"first","sent_ms":0,"outcome":"broken"}]})"
@@ -245,8 +247,8 @@
   BOOST_TEST(rows == expected, boost::test_tools::per_element());
 }
 
-// The logs of a quiet hour hold no loss. Moments of other events still count
-// from the first line; they would be seconds of the year 1970 otherwise.
+// Guards against times of other events that count from 1970 if the logs hold no
+// loss: times count from the first line of any event.
 BOOST_AUTO_TEST_CASE(ExplainSummary_NothingWasLost_EventsCountFromTheFirst) {
   const std::string file = MakeFile(
       R"({"unix_ms":1000000000000,"host":"a","event":"started"})"
