--- a/src/daemons/ctl/command.cc
+++ b/src/daemons/ctl/command.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t kAny = std::numeric_limits<std::size_t>::max();
+constexpr std::size_t kUnlimited = std::numeric_limits<std::size_t>::max();
 
 constexpr std::array<Command, 11> kCommands{{
     {"schema", "check", "FILE", "check a schema file without sending it", 1, 1,
@@ -32,11 +32,11 @@
     {"evacuations", "", "[HOST...]",
      "print evacuated failure domains, and the hosts (metrics IP:PORT) that do "
      "not apply them",
-     0, kAny, &ShowEvacuations},
+     0, kUnlimited, &ShowEvacuations},
     {"era", "", "[HOST...]",
      "print the era of the store, and the hosts (metrics IP:PORT) that serve "
      "with data of another era",
-     0, kAny, &ShowEra},
+     0, kUnlimited, &ShowEra},
     {"entries", "", "", "print the addresses for typed calls", 0, 0,
      &ShowEntries},
     {"query", "", "SERVICE/METHOD JSON",
@@ -44,11 +44,11 @@
     {"explain", "", "REQUEST_ID FILE...",
      "print the log lines of a request; with --summary and no id, count all "
      "losses",
-     1, kAny, &Explain},
+     1, kUnlimited, &Explain},
 }};
 
-[[nodiscard]] bool Names(const Command& command,
-                         const std::vector<std::string>& words) {
+[[nodiscard]] bool Matches(const Command& command,
+                           const std::vector<std::string>& words) {
   return words.size() >= command.words() && words[0] == command.group &&
          (command.name.empty() || words[1] == command.name);
 }
@@ -61,7 +61,8 @@
 
 const Command* FindCommand(const std::vector<std::string>& words) {
   const auto found = std::ranges::find_if(
-      kCommands, [&](const Command& command) { return Names(command, words); });
+      kCommands,
+      [&](const Command& command) { return Matches(command, words); });
   if (found == kCommands.end()) {
     return nullptr;
   }
--- a/src/daemons/ctl/era_command.cc
+++ b/src/daemons/ctl/era_command.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostNumber = std::numeric_limits<std::int64_t>::max();
+constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
 
 struct HostEra {
   std::uint64_t era = 0;
@@ -21,16 +21,15 @@
   double for_ms = 0;
 };
 
-[[nodiscard]] Result<HostEra> AskEra(const Session& session,
-                                     const std::string& address) {
+[[nodiscard]] Result<HostEra> ReadHostEra(const Session& session,
+                                          const std::string& address) {
   BOOST_LEAF_AUTO(reply, session.ReadStatus(address));
   const JsonReader status(reply.body.get(), address);
   HostEra host;
-  BOOST_LEAF_ASSIGN(host.era, status.Unsigned("store_era", kMostNumber));
+  BOOST_LEAF_ASSIGN(host.era, status.Unsigned("store_era", kMaxNumber));
   BOOST_LEAF_ASSIGN(host.revision,
-                    status.Unsigned("store_revision", kMostNumber));
-  BOOST_LEAF_ASSIGN(host.config,
-                    status.Unsigned("config_version", kMostNumber));
+                    status.Unsigned("store_revision", kMaxNumber));
+  BOOST_LEAF_ASSIGN(host.config, status.Unsigned("config_version", kMaxNumber));
   BOOST_LEAF_ASSIGN(host.for_ms, status.Number("store_era_for_ms"));
   return host;
 }
@@ -54,29 +53,30 @@
   }
   const StorePosition& store = std::get<0>(read);
   const JsonPtr current(json_array());
-  const JsonPtr others(json_array());
+  const JsonPtr not_current(json_array());
   for (const std::string& address : hosts) {
-    const auto asked = Capture([&] { return AskEra(session, address); });
-    if (const auto* error = std::get_if<Error>(&asked)) {
-      json_array_append_new(others.get(),
+    const auto host_era =
+        Capture([&] { return ReadHostEra(session, address); });
+    if (const auto* error = std::get_if<Error>(&host_era)) {
+      json_array_append_new(not_current.get(),
                             json_pack("{s:s, s:s}", "host", address.c_str(),
                                       "problem", error->message.c_str()));
       continue;
     }
-    const HostEra& host = std::get<0>(asked);
+    const HostEra& host = std::get<0>(host_era);
     const JsonPtr described = Describe(address, host);
     const bool is_current = host.era == EraNumber(store.era);
-    json_array_append(is_current ? current.get() : others.get(),
+    json_array_append(is_current ? current.get() : not_current.get(),
                       described.get());
   }
   const JsonPtr printed(
       json_pack("{s:I, s:I, s:O, s:O}", "era",
                 static_cast<json_int_t>(EraNumber(store.era)), "revision",
                 static_cast<json_int_t>(store.revision), "current",
-                current.get(), "not_current", others.get()));
+                current.get(), "not_current", not_current.get()));
   session.Print(*printed);
-  return json_array_size(others.get()) == 0 ? ExitCode::kDone
-                                            : ExitCode::kPartial;
+  return json_array_size(not_current.get()) == 0 ? ExitCode::kDone
+                                                 : ExitCode::kPartial;
 }
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/evacuation_command.cc
+++ b/src/daemons/ctl/evacuation_command.cc
@@ -23,7 +23,9 @@
   Domains domains;
 };
 
-void Add(const Session& session, const StoreChange& item, Evacuated& to) {
+void AddEvacuation(const Session& session,
+                   const StoreChange& item,
+                   Evacuated& evacuated) {
   const ParsedKey key = session.codec().ReadKey(item.key);
   if (key.kind != KeyKind::kEvacuation) {
     return;
@@ -31,22 +33,22 @@
   const auto read =
       Capture([&] { return session.codec().ReadEvacuation(key.id); });
   if (const auto* error = std::get_if<Error>(&read)) {
-    json_array_append_new(to.unreadable.get(),
+    json_array_append_new(evacuated.unreadable.get(),
                           json_pack("{s:s, s:s}", "key", item.key.c_str(),
                                     "problem", error->message.c_str()));
     return;
   }
   const std::string& domain = std::get<FailureDomain>(read).raw();
-  to.domains.insert(domain);
+  evacuated.domains.insert(domain);
   json_array_append_new(
-      to.items.get(),
+      evacuated.items.get(),
       json_pack("{s:s, s:I}", "failure_domain", domain.c_str(), "revision",
                 static_cast<json_int_t>(item.position.revision)));
 }
 
 //! Reads the evacuated failure domains that a host applies from its status.
-[[nodiscard]] Result<Domains> AskHost(const Session& session,
-                                      const std::string& address) {
+[[nodiscard]] Result<Domains> ReadAppliedDomains(const Session& session,
+                                                 const std::string& address) {
   BOOST_LEAF_AUTO(reply, session.ReadStatus(address));
   const JsonReader status(reply.body.get(), address);
   BOOST_LEAF_AUTO(items, status.Array("evacuated"));
@@ -60,17 +62,18 @@
 
 //! Returns the evacuated failure domains that a host does not apply, or why its
 //! status cannot be read, as JSON; null if the host applies all of them.
-[[nodiscard]] JsonPtr Lack(const Session& session,
-                           const std::string& host,
-                           const Domains& evacuated) {
-  const auto asked = Capture([&] { return AskHost(session, host); });
-  if (const auto* error = std::get_if<Error>(&asked)) {
+[[nodiscard]] JsonPtr DescribeNotApplied(const Session& session,
+                                         const std::string& host,
+                                         const Domains& evacuated) {
+  const auto applied =
+      Capture([&] { return ReadAppliedDomains(session, host); });
+  if (const auto* error = std::get_if<Error>(&applied)) {
     return JsonPtr(json_pack("{s:s, s:s}", "host", host.c_str(), "problem",
                              error->message.c_str()));
   }
   const JsonPtr missing(json_array());
   for (const std::string& domain : evacuated) {
-    if (!std::get<0>(asked).contains(domain)) {
+    if (!std::get<0>(applied).contains(domain)) {
       json_array_append_new(missing.get(), json_string(domain.c_str()));
     }
   }
@@ -91,20 +94,21 @@
   }
   Evacuated evacuated;
   for (const StoreChange& item : std::get<0>(read)) {
-    Add(session, item, evacuated);
+    AddEvacuation(session, item, evacuated);
   }
-  const JsonPtr lacking(json_array());
+  const JsonPtr not_applied_by_host(json_array());
   for (const std::string& host : hosts) {
-    if (const JsonPtr lack = Lack(session, host, evacuated.domains)) {
-      json_array_append(lacking.get(), lack.get());
+    if (const JsonPtr not_applied =
+            DescribeNotApplied(session, host, evacuated.domains)) {
+      json_array_append(not_applied_by_host.get(), not_applied.get());
     }
   }
   const JsonPtr printed(json_pack(
       "{s:O, s:O, s:O}", "evacuations", evacuated.items.get(), "unreadable",
-      evacuated.unreadable.get(), "not_applied", lacking.get()));
+      evacuated.unreadable.get(), "not_applied", not_applied_by_host.get()));
   session.Print(*printed);
-  return json_array_size(lacking.get()) == 0 ? ExitCode::kDone
-                                             : ExitCode::kPartial;
+  return json_array_size(not_applied_by_host.get()) == 0 ? ExitCode::kDone
+                                                         : ExitCode::kPartial;
 }
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/explain_command.cc
+++ b/src/daemons/ctl/explain_command.cc
@@ -22,7 +22,7 @@
 
 //! Events that describe the state of a host. Of each, the last one before the
 //! request is shown.
-constexpr std::array<std::string_view, 9> kBeliefs{
+constexpr std::array<std::string_view, 9> kStateEvents{
     "started",        "readiness",      "store_lost",
     "store_regained", "config_applied", "targets_changed",
     "hosts_changed",  "paused",         "lines_dropped"};
@@ -34,46 +34,47 @@
   JsonPtr json;
 };
 
-struct Story {
+struct RequestReport {
   std::vector<Line> lines;
   //! Lines on the state of the host before a line of the request: the last one
   //! of each event in the same file.
-  std::vector<Line> beliefs;
+  std::vector<Line> state_lines;
   LineCounts counts;
 };
 
-[[nodiscard]] Line Copy(const json_t* json, const std::string& file) {
-  return {NumberOf(json, "unix_ms"), std::string(TextOf(json, "host")), file,
-          JsonPtr(json_deep_copy(json))};
+[[nodiscard]] Line MakeLine(const json_t* json, const std::string& file) {
+  return {IntegerField(json, "unix_ms"), std::string(StringField(json, "host")),
+          file, JsonPtr(json_deep_copy(json))};
 }
 
 void ReadLog(std::istream& in,
              const std::string& file,
              const std::string& request,
-             Story& story) {
+             RequestReport& report) {
   // Last line on the state of a host, by host, then by event.
-  std::map<std::string, std::map<std::string, Line>> beliefs;
-  ReadLines(in, story.counts, [&](const json_t& json) {
-    const std::string_view event = TextOf(&json, "event");
-    if (std::ranges::find(kBeliefs, event) != kBeliefs.end()) {
-      Line line = Copy(&json, file);
-      beliefs[line.host].insert_or_assign(std::string(event), std::move(line));
+  std::map<std::string, std::map<std::string, Line>> state_lines;
+  ReadLines(in, report.counts, [&](const json_t& json) {
+    const std::string_view event = StringField(&json, "event");
+    if (std::ranges::find(kStateEvents, event) != kStateEvents.end()) {
+      Line line = MakeLine(&json, file);
+      state_lines[line.host].insert_or_assign(std::string(event),
+                                              std::move(line));
     }
-    if (TextOf(&json, "request") != request) {
+    if (StringField(&json, "request") != request) {
       return;
     }
-    Line told = Copy(&json, file);
-    for (const auto& [name, line] : beliefs[told.host]) {
-      story.beliefs.push_back(Copy(line.json.get(), file));
+    Line request_line = MakeLine(&json, file);
+    for (const auto& [name, line] : state_lines[request_line.host]) {
+      report.state_lines.push_back(MakeLine(line.json.get(), file));
     }
-    beliefs.erase(told.host);
-    story.lines.push_back(std::move(told));
+    state_lines.erase(request_line.host);
+    report.lines.push_back(std::move(request_line));
   });
 }
 
 //! Returns a JSON value as text, with real numbers rounded to the precision of
 //! the log.
-[[nodiscard]] std::string Shown(const json_t* value) {
+[[nodiscard]] std::string ToText(const json_t* value) {
   constexpr std::size_t kDigits = 10;
   const std::unique_ptr<char, decltype(&std::free)> text(
       json_dumps(value,
@@ -84,7 +85,7 @@
 
 void PrintLine(const Line& line, std::ostream& out) {
   out << line.unix_ms << "  " << line.host << "  " << line.file << "  "
-      << TextOf(line.json.get(), "event") << "\n";
+      << StringField(line.json.get(), "event") << "\n";
   const char* name = nullptr;
   json_t* value = nullptr;
   json_object_foreach(line.json.get(), name, value) {
@@ -93,21 +94,21 @@
         field == "host" || field == "attempts") {
       continue;
     }
-    out << "    " << name << " " << Shown(value) << "\n";
+    out << "    " << name << " " << ToText(value) << "\n";
   }
   const json_t* attempts = json_object_get(line.json.get(), "attempts");
   for (std::size_t i = 0; i < json_array_size(attempts); ++i) {
-    out << "    attempt " << Shown(json_array_get(attempts, i)) << "\n";
+    out << "    attempt " << ToText(json_array_get(attempts, i)) << "\n";
   }
 }
 
-void Print(const Story& story, std::ostream& out) {
+void Print(const RequestReport& report, std::ostream& out) {
   out << "what its hosts believed before\n";
-  for (const Line& line : story.beliefs) {
+  for (const Line& line : report.state_lines) {
     PrintLine(line, out);
   }
   out << "the request\n";
-  for (const Line& line : story.lines) {
+  for (const Line& line : report.lines) {
     PrintLine(line, out);
   }
 }
@@ -130,7 +131,7 @@
   return {};
 }
 
-void TellUnreadable(const LineCounts& counts, std::ostream& out) {
+void PrintUnreadableCount(const LineCounts& counts, std::ostream& out) {
   if (counts.unreadable > 0) {
     out << counts.unreadable << " of " << counts.read
         << " lines could not be read\n";
@@ -145,43 +146,43 @@
 ExitCode Summarize(Session& session, std::span<const std::string> names) {
   LossSummary summary;
   LineCounts counts;
-  const std::string bad =
+  const std::string unreadable_file =
       ForEachFile(names, [&](std::istream& in, const std::string&) {
         ReadLines(in, counts, [&](const json_t& line) { summary.Add(line); });
       });
-  if (!bad.empty()) {
-    return FailUnreadableFile(session, bad);
+  if (!unreadable_file.empty()) {
+    return FailUnreadableFile(session, unreadable_file);
   }
-  TellUnreadable(counts, session.out());
+  PrintUnreadableCount(counts, session.out());
   summary.Print(session.out());
   return ExitCode::kDone;
 }
 
-ExitCode TellStory(Session& session,
-                   const std::string& request,
-                   std::span<const std::string> names) {
-  Story story;
-  const std::string bad =
+ExitCode PrintRequest(Session& session,
+                      const std::string& request,
+                      std::span<const std::string> names) {
+  RequestReport report;
+  const std::string unreadable_file =
       ForEachFile(names, [&](std::istream& in, const std::string& name) {
-        ReadLog(in, name, request, story);
+        ReadLog(in, name, request, report);
       });
-  if (!bad.empty()) {
-    return FailUnreadableFile(session, bad);
+  if (!unreadable_file.empty()) {
+    return FailUnreadableFile(session, unreadable_file);
   }
   const auto by_time = [](const Line& left, const Line& right) {
     return left.unix_ms < right.unix_ms;
   };
-  std::ranges::stable_sort(story.lines, by_time);
-  std::ranges::stable_sort(story.beliefs, by_time);
-  TellUnreadable(story.counts, session.out());
-  if (story.lines.empty()) {
+  std::ranges::stable_sort(report.lines, by_time);
+  std::ranges::stable_sort(report.state_lines, by_time);
+  PrintUnreadableCount(report.counts, session.out());
+  if (report.lines.empty()) {
     return session.Fail(ExitCode::kFailed,
                         "no log line has the request id " + request,
                         "logs hold only a sample of the successful requests: "
                         "look at the metrics "
                         "of the hosts");
   }
-  Print(story, session.out());
+  Print(report, session.out());
   return ExitCode::kDone;
 }
 
@@ -197,7 +198,7 @@
         ExitCode::kUsage, "explain: no log file",
         "give the request id and the paths of the hosts' log files");
   }
-  return TellStory(session, words.front(), words.subspan(1));
+  return PrintRequest(session, words.front(), words.subspan(1));
 }
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/human.cc
+++ b/src/daemons/ctl/human.cc
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-void PrintForPeople(const json_t& value, std::ostream& out) {
+void PrintIndented(const json_t& value, std::ostream& out) {
   if (IsNested(&value)) {
     PrintNested(&value, 0, out);
   } else {
--- a/src/daemons/ctl/human.h
+++ b/src/daemons/ctl/human.h
@@ -13,7 +13,7 @@
  * \param value Any JSON value.
  * \param out Stream that the text is written to.
  */
-void PrintForPeople(const json_t& value, std::ostream& out);
+void PrintIndented(const json_t& value, std::ostream& out);
 
 }  // namespace jacinthdeck::ctl
 
--- a/src/daemons/ctl/log_lines.cc
+++ b/src/daemons/ctl/log_lines.cc
@@ -17,29 +17,29 @@
 
 }  // namespace
 
-std::string_view TextOf(const json_t* json, const char* name) {
+std::string_view StringField(const json_t* json, const char* name) {
   const json_t* value = json_object_get(json, name);
   return json_is_string(value) ? std::string_view(json_string_value(value))
                                : std::string_view();
 }
 
-json_int_t NumberOf(const json_t* json, const char* name) {
+json_int_t IntegerField(const json_t* json, const char* name) {
   return static_cast<json_int_t>(
       json_number_value(json_object_get(json, name)));
 }
 
 void ReadLines(std::istream& in,
                LineCounts& counts,
-               const std::function<void(const json_t&)>& take) {
+               const std::function<void(const json_t&)>& on_event) {
   std::string text;
   while (std::getline(in, text)) {
     ++counts.read;
     const JsonPtr json = ParseLine(text);
-    if (TextOf(json.get(), "event").empty()) {
+    if (StringField(json.get(), "event").empty()) {
       ++counts.unreadable;
       continue;
     }
-    take(*json);
+    on_event(*json);
   }
 }
 
--- a/src/daemons/ctl/log_lines.h
+++ b/src/daemons/ctl/log_lines.h
@@ -21,11 +21,12 @@
 };
 
 /*! \brief Returns a text field of a line; empty if the line has none. */
-[[nodiscard]] std::string_view TextOf(const json_t* json, const char* name);
+[[nodiscard]] std::string_view StringField(const json_t* json,
+                                           const char* name);
 
 /*! \brief Returns a number field of a line without its fraction; 0 if the line
  * has none. */
-[[nodiscard]] json_int_t NumberOf(const json_t* json, const char* name);
+[[nodiscard]] json_int_t IntegerField(const json_t* json, const char* name);
 
 /**
  * \brief Reads a log and passes each line with an event to a callback.
@@ -36,11 +37,11 @@
  *
  * \param in The log.
  * \param counts Counts that the lines of this log are added to.
- * \param take Called with each line that has an event.
+ * \param on_event Called with each line that has an event.
  */
 void ReadLines(std::istream& in,
                LineCounts& counts,
-               const std::function<void(const json_t&)>& take);
+               const std::function<void(const json_t&)>& on_event);
 
 }  // namespace jacinthdeck::ctl
 
--- a/src/daemons/ctl/loss_summary.cc
+++ b/src/daemons/ctl/loss_summary.cc
@@ -22,16 +22,16 @@
 constexpr int kCountWidth = 16;
 
 [[nodiscard]] json_int_t WindowOf(const json_t& line) {
-  const json_int_t at = NumberOf(&line, "unix_ms");
-  return at - at % kWindowMs;
+  const json_int_t unix_ms = IntegerField(&line, "unix_ms");
+  return unix_ms - unix_ms % kWindowMs;
 }
 
 //! Returns the event of a line with its status and problem. Addresses and ids
 //! are left out, so that equal events are counted together.
-[[nodiscard]] std::string KindOf(const json_t& line) {
-  std::string kind(TextOf(&line, "event"));
+[[nodiscard]] std::string EventKindOf(const json_t& line) {
+  std::string kind(StringField(&line, "event"));
   for (const char* field : {"status", "problem"}) {
-    const std::string_view value = TextOf(&line, field);
+    const std::string_view value = StringField(&line, field);
     kind += value.empty() ? "" : " " + std::string(value);
   }
   return kind;
@@ -44,15 +44,15 @@
   const json_t* attempts = json_object_get(&line, "attempts");
   for (std::size_t i = 0; i < json_array_size(attempts); ++i) {
     const json_t* attempt = json_array_get(attempts, i);
-    if (NumberOf(attempt, "shard") == shard) {
+    if (IntegerField(attempt, "shard") == shard) {
       sent.emplace_back(json_number_value(json_object_get(attempt, "sent_ms")),
-                        std::string(TextOf(attempt, "reason")) + " " +
-                            std::string(TextOf(attempt, "outcome")));
+                        std::string(StringField(attempt, "reason")) + " " +
+                            std::string(StringField(attempt, "outcome")));
     }
   }
   std::ranges::stable_sort(sent, {}, &std::pair<double, std::string>::first);
   std::string text;
-  for (const auto& [at, attempt] : sent) {
+  for (const auto& [sent_ms, attempt] : sent) {
     text += (text.empty() ? "" : ", ") + attempt;
   }
   return text.empty() ? "none" : text;
@@ -85,20 +85,20 @@
 
 void LossSummary::Add(const json_t& line) {
   const json_int_t window = WindowOf(line);
-  m_first = std::min(m_first.value_or(window), window);
-  const auto loss = kLossNames.Find(TextOf(&line, "event"));
+  m_first_window = std::min(m_first_window.value_or(window), window);
+  const auto loss = kLossNames.Find(StringField(&line, "event"));
   if (!loss) {
-    if (TextOf(&line, "event") != "call_done") {
-      ++m_events[KindOf(line)][window];
+    if (StringField(&line, "event") != "call_done") {
+      ++m_other_events[EventKindOf(line)][window];
     }
     return;
   }
   const auto column = static_cast<std::size_t>(*loss);
-  ++m_by_window[window][column];
-  const std::string route(TextOf(&line, "route"));
-  const std::string reason(TextOf(&line, "reason"));
-  ++m_by_route[route.empty() ? "unknown" : route]
-              [reason.empty() ? "left" : reason][column];
+  ++m_losses_by_window[window][column];
+  const std::string route(StringField(&line, "route"));
+  const std::string reason(StringField(&line, "reason"));
+  ++m_losses_by_route[route.empty() ? "unknown" : route]
+                     [reason.empty() ? "left" : reason][column];
   if (*loss == Loss::kPartial || *loss == Loss::kFailed) {
     AddMissingShards(line);
   }
@@ -108,19 +108,19 @@
   const json_t* missing = json_object_get(&line, "missing_shards");
   for (std::size_t i = 0; i < json_array_size(missing); ++i) {
     const json_int_t shard = json_integer_value(json_array_get(missing, i));
-    ++m_by_attempts[AttemptsOf(line, shard)];
+    ++m_missing_shards_by_attempts[AttemptsOf(line, shard)];
   }
 }
 
 void LossSummary::Print(std::ostream& out) const {
-  const json_int_t first = m_first.value_or(0);
+  const json_int_t first = m_first_window.value_or(0);
   PrintHeader("losses by window (seconds from the first)", out);
-  for (const auto& [window, losses] : m_by_window) {
+  for (const auto& [window, losses] : m_losses_by_window) {
     PrintRow(std::to_string((window - first) / 1000), losses, out);
   }
   out << "\n";
   PrintHeader("losses by route and reason", out);
-  for (const auto& [route, by_reason] : m_by_route) {
+  for (const auto& [route, by_reason] : m_losses_by_route) {
     for (const auto& [reason, losses] : by_reason) {
       std::string name = route;
       name.append(" ").append(reason);
@@ -128,11 +128,11 @@
     }
   }
   out << "\nmissing shards by the attempts they had\n";
-  for (const auto& [attempts, count] : m_by_attempts) {
+  for (const auto& [attempts, count] : m_missing_shards_by_attempts) {
     PrintRow(attempts, std::array{count}, out);
   }
   out << "\nother events (total; most in one window, and when)\n";
-  for (const auto& [kind, by_window] : m_events) {
+  for (const auto& [kind, by_window] : m_other_events) {
     const auto most = std::ranges::max_element(
         by_window, {}, [](const auto& item) { return item.second; });
     std::uint64_t total = 0;
--- a/src/daemons/ctl/loss_summary.h
+++ b/src/daemons/ctl/loss_summary.h
@@ -48,15 +48,15 @@
 
   //! Start of the earliest window with a line, in Unix milliseconds. The tables
   //! show times relative to it.
-  std::optional<json_int_t> m_first;
+  std::optional<json_int_t> m_first_window;
   //! Losses by the start of the window in Unix milliseconds.
-  std::map<json_int_t, Losses> m_by_window;
+  std::map<json_int_t, Losses> m_losses_by_window;
   //! Losses by route, then by reason.
-  std::map<std::string, std::map<std::string, Losses>> m_by_route;
+  std::map<std::string, std::map<std::string, Losses>> m_losses_by_route;
   //! Number of missing shards by the attempts at them, in the order of sending.
-  std::map<std::string, std::uint64_t> m_by_attempts;
+  std::map<std::string, std::uint64_t> m_missing_shards_by_attempts;
   //! Number of other events by event with status and problem, then by window.
-  std::map<std::string, std::map<json_int_t, std::uint64_t>> m_events;
+  std::map<std::string, std::map<json_int_t, std::uint64_t>> m_other_events;
 };
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/query_command.cc
+++ b/src/daemons/ctl/query_command.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr const char* kMayHaveRun = "; it may or may not have run";
-constexpr const char* kAskAgain =
+constexpr const char* kCheckEffect =
     "check whether it took effect before sending it again: it may run twice";
 
 [[nodiscard]] ClientRequest MakeCall(const Arguments& arguments,
@@ -36,7 +36,7 @@
   return call;
 }
 
-[[nodiscard]] std::uint64_t KeysIn(const json_t* ranges) {
+[[nodiscard]] std::uint64_t CountKeys(const json_t* ranges) {
   std::uint64_t keys = 0;
   for (std::size_t index = 0; index < json_array_size(ranges); ++index) {
     const json_t* range = json_array_get(ranges, index);
@@ -67,8 +67,8 @@
 }
 
 void PrintAnswer(const json_t& answer, std::ostream& out) {
-  const std::uint64_t covered = KeysIn(json_object_get(&answer, "covered"));
-  const std::uint64_t missing = KeysIn(json_object_get(&answer, "missing"));
+  const std::uint64_t covered = CountKeys(json_object_get(&answer, "covered"));
+  const std::uint64_t missing = CountKeys(json_object_get(&answer, "missing"));
   out << "outcome   " << Text(answer, "outcome") << "\n";
   if (Text(answer, "reason") != "none") {
     out << "reason    " << Text(answer, "reason") << "\n";
@@ -123,31 +123,31 @@
   }
   return session.Fail(ExitCode::kUnknown,
                       std::string("the outcome is unknown") + kMayHaveRun,
-                      kAskAgain);
+                      kCheckEffect);
 }
 
 }  // namespace
 
 ExitCode Query(Session& session, const std::vector<std::string>& operands) {
-  const auto& target = operands[0];
-  if (std::ranges::count(target, '/') != 1 || target.front() == '/' ||
-      target.back() == '/') {
+  const auto& call_name = operands[0];
+  if (std::ranges::count(call_name, '/') != 1 || call_name.front() == '/' ||
+      call_name.back() == '/') {
     return session.Fail(ExitCode::kUsage,
-                        target + ": is not of the form SERVICE/METHOD",
+                        call_name + ": is not of the form SERVICE/METHOD",
                         "see `schema show` for the services and methods");
   }
-  const auto called = Capture([&] {
+  const auto result = Capture([&] {
     return session.Call(session.arguments().queries,
                         MakeCall(session.arguments(), operands));
   });
-  if (const auto* error = std::get_if<Error>(&called)) {
+  if (const auto* error = std::get_if<Error>(&result)) {
     // The request may have been executed and its reply lost, which causes the
     // same error, so it must not be reported as not executed.
     return session.Fail(ExitCode::kUnknown,
                         error->subject + ": " + error->message + kMayHaveRun,
-                        kAskAgain);
+                        kCheckEffect);
   }
-  return Report(session, std::get<0>(called));
+  return Report(session, std::get<0>(result));
 }
 
 }  // namespace jacinthdeck::ctl
--- a/src/daemons/ctl/session.cc
+++ b/src/daemons/ctl/session.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr int kFirstError = 400;
-constexpr int kFirstServerError = 500;
+constexpr int kFirstErrorStatus = 400;
+constexpr int kFirstServerErrorStatus = 500;
 
 }  // namespace
 
@@ -84,9 +84,9 @@
   }
 }
 
-StoreAck Session::Swap(const std::string& key,
-                       const std::string& value,
-                       const StorePosition& position) const {
+StoreAck Session::CompareAndSwap(const std::string& key,
+                                 const std::string& value,
+                                 const StorePosition& position) const {
   const StoreWrite write{.conditions = {{key, position.revision}},
                          .puts = {{key, value, 0}},
                          .removals = {}};
@@ -100,7 +100,7 @@
   if (m_arguments.json) {
     m_out << DumpJson(value) << "\n";
   } else {
-    PrintForPeople(value, m_out);
+    PrintIndented(value, m_out);
   }
 }
 
@@ -146,7 +146,8 @@
   if (json_is_string(field) && json_string_length(field) > 0) {
     what = std::string(json_string_value(field)) + ": " + what;
   }
-  if (reply.status >= kFirstError && reply.status < kFirstServerError) {
+  if (reply.status >= kFirstErrorStatus &&
+      reply.status < kFirstServerErrorStatus) {
     return Fail(ExitCode::kRefused, what,
                 "nothing was changed; correct the input and send it again");
   }
--- a/src/daemons/ctl/session.h
+++ b/src/daemons/ctl/session.h
@@ -67,9 +67,9 @@
    * \param position Position of the key when it was read; revision 0 if the key
    * did not exist.
    */
-  [[nodiscard]] StoreAck Swap(const std::string& key,
-                              const std::string& value,
-                              const StorePosition& position) const;
+  [[nodiscard]] StoreAck CompareAndSwap(const std::string& key,
+                                        const std::string& value,
+                                        const StorePosition& position) const;
 
   /*! \brief Prints a value: as one line of JSON with --json, else as indented
    * text. */
--- a/src/daemons/ctl/show.cc
+++ b/src/daemons/ctl/show.cc
@@ -12,13 +12,13 @@
 }
 
 ExitCode ShowReply(Session& session,
-                   const std::variant<HostReply, Error>& called) {
-  constexpr int kFirstNotOk = 300;
-  if (const auto* error = std::get_if<Error>(&called)) {
+                   const std::variant<HostReply, Error>& result) {
+  constexpr int kFirstNonSuccessStatus = 300;
+  if (const auto* error = std::get_if<Error>(&result)) {
     return session.Fail(*error);
   }
-  const HostReply& reply = std::get<0>(called);
-  if (reply.status >= kFirstNotOk) {
+  const HostReply& reply = std::get<0>(result);
+  if (reply.status >= kFirstNonSuccessStatus) {
     return session.FailReply(reply);
   }
   session.Print(*reply.body);
--- a/src/daemons/ctl/show.h
+++ b/src/daemons/ctl/show.h
@@ -17,7 +17,7 @@
 
 /*! \brief Prints the reply of a call, or the error if the call failed. */
 ExitCode ShowReply(Session& session,
-                   const std::variant<HostReply, Error>& called);
+                   const std::variant<HostReply, Error>& result);
 
 }  // namespace jacinthdeck::ctl
 
--- a/src/daemons/ctl/store_key.cc
+++ b/src/daemons/ctl/store_key.cc
@@ -27,7 +27,8 @@
   if (const auto* error = std::get_if<Error>(&before)) {
     return session.Fail(*error);
   }
-  const StoreAck ack = session.Swap(key, value, std::get<0>(before).position);
+  const StoreAck ack =
+      session.CompareAndSwap(key, value, std::get<0>(before).position);
   if (ack.status == StoreStatus::kOk) {
     session.out() << "written: hosts take it within seconds\n";
     return ExitCode::kDone;
--- a/test/daemons/ctl_test.cc
+++ b/test/daemons/ctl_test.cc
@@ -71,7 +71,7 @@
     return rows;
   }
 
-  [[nodiscard]] std::string Held(const std::string& key) {
+  [[nodiscard]] std::string StoredValue(const std::string& key) {
     const auto item = store.content().Get(key);
     return item ? item->value.value_or("") : "";
   }
@@ -97,14 +97,14 @@
       MakeFile(R"({"Desk":{"versions":[{"version":1,"shards":[)"
                R"({"id":0,"range":[0,4294967296],"replicas":["a"]}]}]}})");
   BOOST_TEST((Run({"index", "apply", file}) == ExitCode::kDone), err.str());
-  BOOST_TEST(Held(codec.IndexKey("Desk")).find("4294967296") !=
+  BOOST_TEST(StoredValue(codec.IndexKey("Desk")).find("4294967296") !=
              std::string::npos);
 }
 
 // The store applies the write, but its reply is lost. The command must not
 // report a failure: the operator would repeat the write and overwrite a change
 // that somebody else made in between.
-BOOST_AUTO_TEST_CASE(IndexApply_ReplyIsLost_LooksAgainAndSaysWritten) {
+BOOST_AUTO_TEST_CASE(IndexApply_ReplyIsLost_ReadsAgainAndReportsWritten) {
   standins::StoreControl control;
   control.faults.lose_reply_share = 1;
   store.Apply(control);
@@ -114,7 +114,7 @@
   BOOST_TEST((Run({"index", "apply", file}) == ExitCode::kDone), err.str());
 }
 
-BOOST_AUTO_TEST_CASE(Hosts_StoreIsAway_IsUnreachable) {
+BOOST_AUTO_TEST_CASE(Hosts_StoreIsUnavailable_IsUnreachable) {
   standins::StoreControl control;
   control.faults.outage = standins::Outage::kBusy;
   store.Apply(control);
@@ -137,11 +137,11 @@
   BOOST_TEST((Run({"evacuations"}) == ExitCode::kDone));
   BOOST_TEST((Run({"evacuations", up, "127.0.0.1:1"}) == ExitCode::kPartial));
   const std::string printed = out.str();
-  const std::size_t lacking = printed.rfind("not_applied");
-  BOOST_TEST(printed.find(up, lacking) != printed.npos);
-  BOOST_TEST(printed.find("z2", lacking) != printed.npos);
-  BOOST_TEST(printed.find("z1", lacking) == printed.npos);
-  BOOST_TEST(printed.find("127.0.0.1:1", lacking) != printed.npos);
+  const std::size_t not_applied = printed.rfind("not_applied");
+  BOOST_TEST(printed.find(up, not_applied) != printed.npos);
+  BOOST_TEST(printed.find("z2", not_applied) != printed.npos);
+  BOOST_TEST(printed.find("z1", not_applied) == printed.npos);
+  BOOST_TEST(printed.find("127.0.0.1:1", not_applied) != printed.npos);
 }
 
 // Guards against a restore of the store that looks complete while a host still
@@ -167,14 +167,14 @@
   BOOST_TEST((Run({"era", up}) == ExitCode::kDone), err.str());
   BOOST_TEST((Run({"era", up, old, "127.0.0.1:1"}) == ExitCode::kPartial));
   const std::string printed = out.str();
-  const std::size_t others = printed.rfind("not_current");
-  BOOST_TEST(printed.find(old, others) != printed.npos);
-  BOOST_TEST(printed.find("127.0.0.1:1", others) != printed.npos);
-  BOOST_TEST(printed.find(up, others) == printed.npos);
+  const std::size_t not_current = printed.rfind("not_current");
+  BOOST_TEST(printed.find(old, not_current) != printed.npos);
+  BOOST_TEST(printed.find("127.0.0.1:1", not_current) != printed.npos);
+  BOOST_TEST(printed.find(up, not_current) == printed.npos);
 }
 
 // Guards against one invalid key that hides the evacuations in effect.
-BOOST_AUTO_TEST_CASE(Evacuations_AKeyNamesNoDomain_OthersAreToldBesideIt) {
+BOOST_AUTO_TEST_CASE(Evacuations_KeyNamesNoDomain_OthersAreStillPrinted) {
   standins::StoreControl control;
   control.puts.push_back({"op/evacuate/", "{}", {}});
   control.puts.push_back({"op/evacuate/z1", "{}", {}});
@@ -184,7 +184,7 @@
   BOOST_TEST(out.str().find("names no failure domain") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Explain_LinesOfTwoHosts_AreTheRequestsInOrder) {
+BOOST_AUTO_TEST_CASE(Explain_LogsOfTwoHosts_PrintsLinesOfRequestByTime) {
   const std::string first = MakeFile(
       "cut line {\"event\":\n"
       R"({"unix_ms":1,"host":"a","event":"config_applied","config_version":7})"
@@ -199,13 +199,13 @@
       R"({"unix_ms":4,"event":"call_done","request":"r2"})"
       "\n");
   BOOST_TEST((Run({"explain", "r1", first, second}) == ExitCode::kDone));
-  const std::string story = out.str();
-  BOOST_TEST(story.starts_with("1 of 6 lines could not be read"));
-  BOOST_TEST(story.find("config_version 7") != story.npos);
-  BOOST_TEST(story.find("call_refused") < story.find("call_failed"));
-  BOOST_TEST(story.find("t1") != story.npos);
-  BOOST_TEST(story.find("elsewhere") == story.npos);
-  BOOST_TEST(story.find("call_done") == story.npos);
+  const std::string printed = out.str();
+  BOOST_TEST(printed.starts_with("1 of 6 lines could not be read"));
+  BOOST_TEST(printed.find("config_version 7") != printed.npos);
+  BOOST_TEST(printed.find("call_refused") < printed.find("call_failed"));
+  BOOST_TEST(printed.find("t1") != printed.npos);
+  BOOST_TEST(printed.find("elsewhere") == printed.npos);
+  BOOST_TEST(printed.find("call_done") == printed.npos);
 }
 
 // Logs of two hosts while a shard is down. Losses are counted over both logs,
@@ -249,7 +249,7 @@
 
 // Guards against times of other events that count from 1970 if the logs hold no
 // loss: times count from the first line of any event.
-BOOST_AUTO_TEST_CASE(ExplainSummary_NothingWasLost_EventsCountFromTheFirst) {
+BOOST_AUTO_TEST_CASE(ExplainSummary_NoLosses_EventTimesCountFromFirstLine) {
   const std::string file = MakeFile(
       R"({"unix_ms":1000000000000,"host":"a","event":"started"})"
       "\n"
@@ -259,17 +259,17 @@
   BOOST_TEST(Rows().back() == "store_regained 1 1 6");
 }
 
-BOOST_AUTO_TEST_CASE(ExplainSummary_FileIsNotThere_SaysWhich) {
+BOOST_AUTO_TEST_CASE(ExplainSummary_FileDoesNotExist_NamesFile) {
   BOOST_TEST(
       (Run({"--summary", "explain", "no-such-log"}) == ExitCode::kUsage));
   BOOST_TEST(err.str().find("no-such-log") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Explain_NoFileIsNamed_SaysHowToAsk) {
+BOOST_AUTO_TEST_CASE(Explain_NoFileIsGiven_IsUsageError) {
   BOOST_TEST((Run({"explain", "r1"}) == ExitCode::kUsage));
 }
 
-BOOST_AUTO_TEST_CASE(Explain_RequestIsNotThere_SaysSo) {
+BOOST_AUTO_TEST_CASE(Explain_RequestIsNotInLogs_Fails) {
   const std::string file = MakeFile("\n");
   BOOST_TEST((Run({"explain", "r1", file}) == ExitCode::kFailed));
 }
