--- a/src/daemons/ctl/explain_command.cc
+++ b/src/daemons/ctl/explain_command.cc
@@ -179,8 +179,7 @@
     return session.Fail(ExitCode::kFailed,
                         "no log line has the request id " + request,
                         "logs hold only a sample of the successful requests: "
-                        "look at the metrics "
-                        "of the hosts");
+                        "look at the metrics of the hosts");
   }
   Print(report, session.out());
   return ExitCode::kDone;
--- a/src/daemons/ctl/explain_command.h
+++ b/src/daemons/ctl/explain_command.h
@@ -22,9 +22,9 @@
  * \param session Session.
  * \param operands The request id, then log files; with `--summary` log files
  * only.
- * \return kDone if the logs have a line of the request, else kFailed; kDone
- * with
- * `--summary`; kUsage if no file is given or a file cannot be opened.
+ * \return kDone if the logs have a line of the request, or with `--summary`;
+ * kFailed if they have no such line; kUsage if no log file is given for a
+ * request or a file cannot be opened.
  */
 ExitCode Explain(Session& session, const std::vector<std::string>& operands);
 
