--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -1,4 +1,4 @@
-// One timer and one session a caller.
+// Each caller has one timer for its pauses and one HTTP session.
 #include "soak/callers.h"
 
 #include <array>
@@ -17,12 +17,13 @@
 namespace wire = platform::wire;
 using std::chrono::milliseconds;
 
-//! Between two calls of one caller.
+//! Longest pause between two calls of one caller.
 constexpr std::uint64_t kMostPauseMs = 40;
-//! What callers say that they wait, and what they wait.
+//! Deadline in milliseconds that callers send, and their actual timeout, which
+//! is longer.
 constexpr std::string_view kDeadlineMs = "1500";
 constexpr Duration kPatience = milliseconds(3000);
-//! Paths in the order of CallKind.
+//! Request paths, indexed by CallKind.
 constexpr std::array<std::string_view, 3> kPaths{"/claim/1", "/lookup/1",
                                                  "/query/1"};
 
@@ -48,10 +49,10 @@
 
   asio::steady_timer timer;
   std::size_t entry = 0;
-  //! Empty: the next call goes to an entry that is drawn.
+  //! Null if the next call connects to an entry drawn at random.
   std::unique_ptr<ClientSession> session;
   bool gives_up_connection = false;
-  //! Refused the last call; not drawn while there is another.
+  //! Entry that refused the last call; not drawn while there is another one.
   std::optional<std::size_t> refused_by;
 };
 
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,4 +1,4 @@
-// Callers that keep their connections, and note what they see.
+// Simulated callers that reuse their connections and record every call.
 #ifndef SOAK_CALLERS_H_
 #define SOAK_CALLERS_H_
 
@@ -18,11 +18,14 @@
 namespace jacinthdeck::soak {
 
 /**
- * \brief Some callers on one loop: each makes one call at a time, on its kept
- * connection, until that ends or a call is refused; then it goes to another
- * entry, as the platform's clients do.
+ * \brief Callers on one event loop that record the outcome of each call.
  *
- * All members but the constructor run on the loop.
+ * Each caller makes one call at a time on a persistent connection. When the
+ * connection closes or an entry refuses a call, the caller connects to an entry
+ * drawn at random, after a refusal another one if there is any, as the
+ * platform's clients do.
+ *
+ * All members but the constructor must be called on the loop.
  */
 class Callers {
  public:
@@ -31,11 +34,11 @@
   Callers(const Callers&) = delete;
   Callers& operator=(const Callers&) = delete;
 
-  /*! \brief New connections may go to this life of an entry. */
+  /*! \brief Adds an entry process that new connections may go to. */
   void Add(std::size_t entry, std::uint16_t port);
-  /*! \brief New connections no longer go there; kept ones are still used. */
+  /*! \brief Excludes an entry from new connections; open ones stay in use. */
   void Remove(std::size_t entry);
-  /*! \brief No call is begun any more. */
+  /*! \brief Starts no further calls; calls under way still end. */
   void Stop() { m_stopped = true; }
 
   [[nodiscard]] const std::vector<Call>& calls() const noexcept {
--- a/soak/checks.cc
+++ b/soak/checks.cc
@@ -1,4 +1,4 @@
-// One function a promise.
+// Each promise is checked by one function.
 #include "soak/checks.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 using Violations = std::vector<Violation>;
 using RunsByRequest = std::unordered_map<std::string, std::vector<const Run*>>;
 
-//! A run as several checks look at it.
+//! The history with the indexes that several checks share.
 struct View {
   const History& history;
   const Bounds& bounds;
@@ -108,7 +108,8 @@
   }
 }
 
-//! What is wrong with the records of a success; empty: nothing.
+//! Describes what is wrong with the records of a successful call; empty if they
+//! are valid.
 [[nodiscard]] std::string FaultOf(const Call& call) {
   if (call.records.empty()) {
     return "success without a record";
@@ -139,7 +140,8 @@
   }
 }
 
-//! Layouts rise: what a success must bear at least, by the bound.
+//! Returns the lowest layout that a call sent at this time may be served by.
+//! Layout numbers only increase.
 [[nodiscard]] std::uint32_t LeastLayout(const View& view, TimePoint sent) {
   std::uint32_t least = 0;
   for (const LayoutChange& change : view.history.layouts) {
@@ -190,7 +192,8 @@
   }
 }
 
-//! Takes each run of the calls whose entries had no excuse for old knowledge.
+//! Passes on each run of a call whose entry no fault kept from receiving
+//! changes.
 template <typename Take>
 void ForInformedRuns(const View& view, Take take) {
   for (const Call& call : view.history.calls) {
@@ -215,7 +218,8 @@
   });
 }
 
-//! Tells whether a request that was sent then may not run in a domain.
+//! Whether the call falls wholly into an evacuation of the domain, after its
+//! bound.
 [[nodiscard]] bool IsEvacuated(const View& view,
                                const std::string& domain,
                                const Call& call) {
--- a/soak/checks.h
+++ b/soak/checks.h
@@ -1,4 +1,4 @@
-// The promises, checked on what callers and targets saw.
+// Checks the promises of the system against the history of a run.
 #ifndef SOAK_CHECKS_H_
 #define SOAK_CHECKS_H_
 
@@ -12,7 +12,7 @@
 
 namespace jacinthdeck::soak {
 
-/*! \brief A promise that can be broken. */
+/*! \brief Guarantees of the system to its callers and operators. */
 enum class Promise {
   kRunsOnce,
   kNotRunIsTrue,
@@ -32,42 +32,43 @@
      "config_in_time", "config_never_reverts", "left_target_gets_nothing",
      "evacuated_gets_nothing", "no_request_is_cut", "recovers"}};
 
-/*! \brief One breach. */
+/*! \brief One violation of a promise. */
 struct Violation {
   Promise promise;
-  //! Request and what was seen.
+  //! The request and the observed violation, for the report.
   std::string text;
 };
 
-/*! \brief Bounds of the promises, as the installations of the users set them.
+/*! \brief Time bounds of the promises, as users' installations configure them.
  */
 struct Bounds {
-  //! From the store's confirmation of a configuration until it is in force.
+  //! From the store's confirmation of a configuration until all entries use it.
   Duration apply = std::chrono::seconds(3);
   //! From the confirmation that a target leaves until no request reaches it.
   Duration drain = std::chrono::seconds(3);
   //! From the confirmation of an evacuation until no request reaches the
-  //! domain.
-  //! An order of an operator in an emergency: tighter than users ask.
+  //! domain. Operators evacuate in emergencies, so this bound is tighter than
+  //! users require.
   Duration evacuate = std::chrono::seconds(1);
-  //! An entry is held to its bounds so long after the end of what harmed it.
+  //! From the end of a fault until the affected entry is checked again.
   Duration contact = std::chrono::seconds(4);
-  //! A request that follows the sight of a configuration may still see the one
-  //! before, for so long.
+  //! After a call saw a configuration, later calls at that entry may still see
+  //! the previous one for this long.
   Duration rollback = std::chrono::milliseconds(250);
-  //! Share of the calls in calm times that must be answered.
+  //! Least share of answered calls in the calm period.
   double recovered_share = 0.25;
 };
 
-/*! \brief Calls of the calm time at the end of a run. */
+/*! \brief Calls in the calm period at the end of a run. */
 struct CalmCalls {
   std::size_t sent = 0;
   std::size_t answered = 0;
 };
 
+/*! \brief Counts the calls sent after History::calm_since. */
 [[nodiscard]] CalmCalls CountCalmCalls(const History& history);
 
-/*! \brief All breaches in a run, in the order of the promises. */
+/*! \brief Returns all violations in a run, in the order of the promises. */
 [[nodiscard]] std::vector<Violation> FindViolations(const History& history,
                                                     const Bounds& bounds = {});
 
--- a/soak/fwd.h
+++ b/soak/fwd.h
@@ -1,5 +1,5 @@
-// Forward declarations of the soak: real processes under faults, and the
-// promises that are checked on what callers and targets saw.
+// Forward declarations of the soak, which runs real processes under seeded
+// faults and checks what callers and targets observed against the promises.
 #ifndef SOAK_FWD_H_
 #define SOAK_FWD_H_
 
--- a/soak/history.h
+++ b/soak/history.h
@@ -1,4 +1,5 @@
-// What callers and targets saw of one run, on the clock of the machine.
+// The recorded events of one soak run. All times are readings of the machine's
+// boot-time clock, which every process of the run shares.
 #ifndef SOAK_HISTORY_H_
 #define SOAK_HISTORY_H_
 
@@ -12,76 +13,77 @@
 
 namespace jacinthdeck::soak {
 
-/*! \brief What may be done with a request. */
+/*! \brief Kind of a request; it decides whether a target may repeat it. */
 enum class CallKind {
-  //! May run once at most.
+  //! Must run at most once.
   kClaim,
-  //! May be repeated.
+  //! Goes to one target; may run repeatedly.
   kLookup,
-  //! Asks all shards; may be repeated.
+  //! Fans out to all shards; may run repeatedly.
   kQuery,
 };
 
-/*! \brief How a call ended for its caller. */
+/*! \brief Outcome of a call as its caller observed it. */
 enum class CallEnd { kAnswered, kClosed, kTimedOut, kNotSent };
 
-/*! \brief One attempt of a caller, with an id of its own. */
+/*! \brief One request of a caller; its id is unique within the run. */
 struct Call {
   std::string id;
   CallKind kind = CallKind::kLookup;
-  //! Life of an entry: a restarted entry has another one.
+  //! Number of the entry process; a restarted entry gets a new number.
   std::size_t entry = 0;
   TimePoint sent;
   TimePoint ended;
   CallEnd end = CallEnd::kAnswered;
-  //! 0 without an answer.
+  //! HTTP status; 0 if no answer arrived.
   int status = 0;
-  //! Of a success.
+  //! Decoded body of a successful answer; empty for any other.
   std::vector<Record> records;
 };
 
-/*! \brief A target began to work on a request. */
+/*! \brief Records that a target started to execute a request. */
 struct Run {
   std::string request;
   std::string target;
   TimePoint at;
 };
 
-/*! \brief The store confirmed a configuration that names another layout. */
+/*! \brief Records when the store confirmed the configuration of a layout. */
 struct LayoutChange {
   std::uint32_t layout = 0;
   TimePoint confirmed;
 };
 
-/*! \brief The store confirmed that a target is leaving. */
+/*! \brief Records when the store confirmed that a target is draining. */
 struct Leaving {
   std::string target;
   TimePoint confirmed;
 };
 
-/*! \brief A target stands in a failure domain. */
+/*! \brief Assigns a target to its failure domain. */
 struct Placement {
   std::string target;
   std::string domain;
 };
 
-/*! \brief The store confirmed that nothing may be sent into a domain. */
+/*! \brief Period in which no request may be sent to a failure domain. */
 struct EvacuatedTime {
   std::string domain;
+  //! When the store confirmed the evacuation.
   TimePoint confirmed;
-  //! When its end was asked for.
+  //! When its end was requested; max() while it lasts.
   TimePoint ended = TimePoint::max();
 };
 
-/*! \brief What an entry is excused from while it is harmed. */
+/*! \brief Which checks an entry is exempt from while a fault affects it. */
 enum class Harm {
-  //! It may not hear of changes.
+  //! Checks of propagation: the entry may not receive changes.
   kKnowledge,
-  //! Its connections to callers may end.
+  //! Checks of cut requests: its connections to callers may close.
   kConnections,
 };
 
-/*! \brief A time in which an entry, its links or its store were harmed. */
+/*! \brief Period in which a fault affected an entry, its links or its store. */
 struct Trouble {
   std::size_t entry = 0;
   Harm harm = Harm::kKnowledge;
@@ -89,7 +91,7 @@
   TimePoint to = TimePoint::max();
 };
 
-/*! \brief All of one run. */
+/*! \brief Everything that was recorded in one run. */
 struct History {
   std::vector<Call> calls;
   std::vector<Run> runs;
@@ -98,7 +100,7 @@
   std::vector<Placement> placements;
   std::vector<EvacuatedTime> evacuations;
   std::vector<Trouble> troubles;
-  //! After the last fault and the time to recover from it.
+  //! End of the recovery period that follows the last fault.
   TimePoint calm_since = TimePoint::max();
 };
 
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -1,4 +1,4 @@
-// Draws faults that overlap, each with its end.
+// Generates overlapping faults, each with the action that ends it.
 #include "soak/plan.h"
 
 #include <algorithm>
@@ -12,25 +12,29 @@
 
 using std::chrono::milliseconds;
 
-//! Faults last so long: from a blink to beyond the bounds of the promises.
+//! Range of fault durations, from 200 ms to longer than the time bounds of the
+//! promises.
 constexpr std::uint64_t kShortestMs = 200;
 constexpr std::uint64_t kLongestMs = 4000;
-//! Beyond the bound on an evacuation.
+//! Range of evacuation durations; even the shortest exceeds the bound within
+//! which an evacuation must take effect.
 constexpr std::uint64_t kShortestEvacuationMs = 2000;
 constexpr std::uint64_t kLongestEvacuationMs = 9000;
-//! Age of the copy that a store comes back from.
+//! Range of the age of the copy that the store is restored from.
 constexpr std::uint64_t kYoungestCopyMs = 500;
 constexpr std::uint64_t kOldestCopyMs = 5000;
-//! The store is back by then; its operators have repeated their writes or not.
+//! Time from the restore until the following reshard. The store is reachable
+//! again by then; operators may or may not have repeated their lost writes.
 constexpr Duration kAfterRestore = milliseconds(2000);
-//! Operators see that their last writes are lost, and repeat them.
+//! Range of the time until operators notice lost writes and repeat them.
 constexpr std::uint64_t kSoonestRewriteMs = 200;
 constexpr std::uint64_t kLatestRewriteMs = 3000;
-//! Targets that a plan tells apart.
+//! Range of the target indices that a plan draws.
 constexpr std::size_t kTargets = 64;
 
-//! A fault that is begun, and what ends it; both the same for what ends itself.
-//! What stands twice is drawn twice as often: a target is one of many.
+//! A fault and the action that ends it; both are equal if the fault needs no
+//! end. A pair listed twice is drawn twice as often: target faults are, because
+//! each affects only one of many targets.
 struct Pair {
   ActionKind begin;
   ActionKind end;
@@ -58,7 +62,8 @@
   return static_cast<Enum>(first + random.Below(Size - first));
 }
 
-//! Half of them to targets: what is lost there is what is told untruly.
+//! Draws target links for half of the link faults: a loss there is what can
+//! lead an entry to report a wrong outcome.
 [[nodiscard]] Link DrawLink(Random& random) {
   constexpr std::uint64_t kChances = 4;
   const std::uint64_t drawn = random.Below(kChances);
@@ -80,7 +85,7 @@
   Duration lasts{};
 };
 
-//! Draws a span within a plan's time.
+//! Draws a span that ends within the length of the plan, if it fits.
 [[nodiscard]] Span DrawSpan(const PlanOptions& options,
                             std::uint64_t shortest_ms,
                             std::uint64_t longest_ms,
@@ -93,7 +98,8 @@
   return span;
 }
 
-//! Drawn apart from the faults, whose draws stay those of their seed.
+//! Adds evacuations from a generator of their own, so that the faults of a seed
+//! stay the same.
 void AddEvacuations(const PlanOptions& options, std::vector<Action>& plan) {
   constexpr std::uint64_t kOtherDraws = 0x9e3779b97f4a7c15U;
   Random random(options.seed ^ kOtherDraws);
@@ -105,9 +111,9 @@
   }
 }
 
-//! Each is followed by a reshard: what is written then must reach all entries.
-//! A second copy may be made before the store comes back from the first: then
-//! it comes back from the second.
+//! Adds restores of the store, each followed by a reshard, since a write after
+//! a restore must still reach all entries. If a second copy is made before the
+//! first restore, the first restore uses the second copy.
 void AddRestores(const PlanOptions& options, std::vector<Action>& plan) {
   constexpr std::uint64_t kOtherDraws = 0xd1b54a32d192ed03U;
   constexpr std::uint64_t kRewriteDraws = 0x8cb92ba72f3d8dd7U;
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -1,4 +1,4 @@
-// What is done to a run, and when: drawn from a seed.
+// A plan of faults and operator actions, generated from a seed.
 #ifndef SOAK_PLAN_H_
 #define SOAK_PLAN_H_
 
@@ -13,7 +13,7 @@
 
 namespace jacinthdeck::soak {
 
-/*! \brief Everything that can be done to a run. */
+/*! \brief Faults, their ends, and operator actions that a plan may hold. */
 enum class ActionKind {
   kStopEntry,
   kContinueEntry,
@@ -24,7 +24,7 @@
   kContinueTarget,
   kKillTarget,
   kDrainTarget,
-  //! The target runs requests and ends the connections of some unanswered.
+  //! The target executes requests but closes some connections unanswered.
   kLoseAnswers,
   kAnswerAll,
   kReshard,
@@ -33,12 +33,12 @@
   kStoreWell,
   kLinkFault,
   kLinkWell,
-  //! Nothing may be sent to the targets of one failure domain.
+  //! Operators forbid requests to the targets of one failure domain.
   kEvacuate,
   kGiveBack,
-  //! The store keeps a copy of what it holds.
+  //! The store saves a copy of its contents.
   kCopyStore,
-  //! The store is away for a moment and comes back from that copy.
+  //! The store is unreachable for a short time and returns with that copy.
   kRestoreStore,
 };
 
@@ -51,60 +51,64 @@
      "link_well",    "evacuate",       "give_back",       "copy_store",
      "restore_store"}};
 
-/*! \brief How the store fails. */
+/*! \brief Failure mode of the store. */
 enum class StoreFault { kBusy, kDrop, kSilent, kSlow, kLosesReplies };
 
-//! Names of the store's faults in reports.
+//! Names of the store's failure modes in reports.
 inline constexpr NameTable<StoreFault, 5> kStoreFaultNames{
     {"busy", "drop", "silent", "slow", "loses_replies"}};
 
-/*! \brief What a link does to the bytes on it. */
+/*! \brief How a link treats the bytes sent over it. */
 enum class LinkMode { kPass, kDelay, kReset, kCutForward, kCutBack, kSilent };
 
 //! Names of the links' modes in reports.
 inline constexpr NameTable<LinkMode, 6> kLinkModeNames{
     {"pass", "delay", "reset", "cut_forward", "cut_back", "silent"}};
 
-/*! \brief Which link of its subject an action means. */
+/*! \brief Link of the action's entry or target that a link fault affects. */
 enum class Link { kCallers, kStore, kTarget };
 
 //! Names of the links in reports.
 inline constexpr NameTable<Link, 3> kLinkNames{{"callers", "store", "target"}};
 
-/*! \brief One step of a plan. */
+/*! \brief One timed step of a plan. */
 struct Action {
+  //! Time since the begin of the plan.
   Duration at{};
   ActionKind kind = ActionKind::kReshard;
-  //! Entry or target, counted modulo those that there are.
+  //! Index of the affected entry or target, modulo the number of them.
   std::size_t subject = 0;
   StoreFault store = StoreFault::kBusy;
   Link link = Link::kCallers;
   LinkMode mode = LinkMode::kPass;
-  //! Of a restore: from the store's return until its operators write again.
+  //! For kRestoreStore: time from the store's return until operators repeat
+  //! their lost writes.
   Duration rewritten_after{};
 
   [[nodiscard]] bool operator==(const Action&) const = default;
 };
 
-/*! \brief Size of a plan. */
+/*! \brief Seed and size of a plan. */
 struct PlanOptions {
   std::uint64_t seed = 1;
   //! Faults begin and end within this time.
   Duration length = std::chrono::seconds(12);
   std::size_t faults = 20;
   std::size_t entries = 4;
-  //! Evacuations beside the faults; 0 leaves the plan of a seed as it is.
+  //! Number of evacuations. They are drawn separately, so the faults of a seed
+  //! do not depend on it.
   std::size_t evacuations = 0;
-  //! Restores of the store beside the faults, as the evacuations.
+  //! Number of restores of the store, drawn separately as well.
   std::size_t restores = 0;
-  //! Time from a restore until operators write again; nothing: drawn for each.
+  //! Time from a restore until operators write again; if empty, each restore
+  //! draws its own.
   std::optional<Duration> rewritten_after;
 };
 
-/*! \brief The same options give the same plan, in the order of time. */
+/*! \brief Generates a plan sorted by time; equal options give equal plans. */
 [[nodiscard]] std::vector<Action> MakePlan(const PlanOptions& options);
 
-/*! \brief One line. */
+/*! \brief Formats an action as one line for reports. */
 [[nodiscard]] std::string Describe(const Action& action);
 
 }  // namespace jacinthdeck::soak
