--- a/soak/child.cc
+++ b/soak/child.cc
@@ -1,4 +1,5 @@
-// fork() and exec(), with the kernel's promise to end the child with us.
+// Starts children with fork() and execv(); PR_SET_PDEATHSIG makes the kernel
+// kill a child when its parent ends.
 #include "soak/child.h"
 
 #include <fcntl.h>
@@ -22,7 +23,7 @@
 constexpr int kCannotStart = 127;
 constexpr std::chrono::milliseconds kPollPeriod{5};
 
-//! Never returns.
+//! Executes the program in the forked child. Never returns.
 void Become(std::vector<char*>& arguments, const char* output, pid_t parent) {
   sigset_t none;
   sigemptyset(&none);
@@ -30,7 +31,8 @@
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   const int file =
       open(output, O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0644);
-  // The parent may have ended before the kernel's promise was given.
+  // If the parent ended before prctl(), no death signal will come, so the child
+  // ends itself.
   if (file < 0 || getppid() != parent) {
     _exit(kCannotStart);
   }
--- a/soak/child.h
+++ b/soak/child.h
@@ -1,5 +1,5 @@
-// A process that the soak started; it is ended by its id, and ends with the
-// soak.
+// A child process of the soak. It is signalled by its process id only, and the
+// kernel kills it when the soak ends.
 #ifndef SOAK_CHILD_H_
 #define SOAK_CHILD_H_
 
@@ -16,11 +16,11 @@
 class Child {
  public:
   /**
-   * \brief Starts a program; call it on the main thread only, since the child
-   * is killed when the thread that started it ends.
+   * \brief Starts a program. Must be called on the main thread, because the
+   * kernel kills the child when the thread that started it ends.
    * \param command Program and arguments.
-   * \param output File that takes its output and its errors.
-   * \throw std::runtime_error if no process can be made.
+   * \param output File that standard output and error are appended to.
+   * \throw std::runtime_error if fork() fails.
    */
   Child(const std::vector<std::string>& command, std::string output);
   ~Child();
@@ -30,11 +30,12 @@
   /*! \brief Sends a signal, unless the process has ended. */
   void Signal(int signal);
 
-  /*! \brief Whether it still runs; a frozen one does. */
+  /*! \brief Whether the process has not ended; true for a stopped one. */
   [[nodiscard]] bool IsRunning();
 
-  /*! \brief Waits until a pattern stands in the output; its first group.
-   * \throw std::runtime_error if it does not come in time. */
+  /*! \brief Waits for a regular expression to match the output.
+   * \return Text of the first group of the match.
+   * \throw std::runtime_error on a timeout or if the process ends before. */
   [[nodiscard]] std::string WaitFor(const std::string& pattern,
                                     Duration patience);
 
--- a/soak/layout.cc
+++ b/soak/layout.cc
@@ -1,4 +1,4 @@
-// Routes and services as the operators write them to the store.
+// Builds routes and services in the form in which operators store them.
 #include "soak/layout.h"
 
 #include <jansson.h>
@@ -9,14 +9,15 @@
 
 namespace {
 
-//! Of all routes: long enough for a second attempt after a lost one, and below
-//! what callers wait.
+//! Timeout of all routes: long enough for a second attempt after a lost one,
+//! and shorter than the callers' timeout.
 constexpr int kRouteTimeoutMs = 1200;
 constexpr int kObjectiveMs = 150;
 constexpr int kMostAttempts = 3;
-//! One shard of three is enough for an answer, so that faults show as partial.
+//! One of three shards suffices for an answer, so that faults lead to partial
+//! answers.
 constexpr double kLeastShare = 0.3;
-//! Above the connections that all entries open to one target.
+//! More than the connections that all entries together open to one target.
 constexpr int kTargetConnections = 64;
 constexpr const char* kSingle = "single";
 
--- a/soak/layout.h
+++ b/soak/layout.h
@@ -1,4 +1,5 @@
-// A set of shards that the configuration names: each resharding brings another.
+// A layout is the set of services that a configuration routes to. Each reshard
+// introduces a new layout with the next number.
 #ifndef SOAK_LAYOUT_H_
 #define SOAK_LAYOUT_H_
 
@@ -7,16 +8,17 @@
 
 namespace jacinthdeck::soak {
 
+//! Number of shards in each layout.
 inline constexpr std::uint32_t kShards = 3;
 
-/*! \brief Service of one shard. */
+/*! \brief Returns the name of the service of one shard. */
 [[nodiscard]] std::string ServiceName(std::uint32_t layout,
                                       std::uint32_t shard);
 
-/*! \brief Service of the requests that need one target. */
+/*! \brief Returns the name of the service for requests that need one target. */
 [[nodiscard]] std::string SingleName(std::uint32_t layout);
 
-/*! \brief The configuration that names one layout and no other. */
+/*! \brief Returns the JSON configuration that routes to one layout only. */
 [[nodiscard]] std::string ConfigText(std::uint32_t layout);
 
 }  // namespace jacinthdeck::soak
--- a/soak/loopback_proxy.cc
+++ b/soak/loopback_proxy.cc
@@ -1,4 +1,5 @@
-// Two pumps a connection; a held pump looks at the mode every few milliseconds.
+// Each connection copies data in two directions. A direction that the mode
+// holds back polls the mode every few milliseconds.
 #include "soak/loopback_proxy.h"
 
 #include <array>
@@ -12,8 +13,9 @@
 
 namespace {
 
+//! Period at which a held direction polls the link mode.
 constexpr std::chrono::milliseconds kHeldPeriod{5};
-//! Of a slow link, each way and each piece of data.
+//! Delay of a slow link for each chunk of data, in each direction.
 constexpr std::chrono::milliseconds kLinkDelay{150};
 constexpr std::size_t kPieceBytes = 16384;
 
@@ -21,7 +23,7 @@
 
 namespace internal {
 
-/*! \brief One connection and its other half. */
+/*! \brief A client connection and the connection to the upstream port. */
 class ProxiedConnection
     : public std::enable_shared_from_this<ProxiedConnection> {
  public:
@@ -46,7 +48,8 @@
         });
   }
 
-  //! With a reset, what is under way is lost; else it is delivered first.
+  //! Closes both sockets. A reset discards data in flight; otherwise it is
+  //! still delivered.
   void End(bool reset) {
     SystemError ignored;
     for (Half* half : {&m_forward, &m_back}) {
@@ -59,7 +62,7 @@
   }
 
  private:
-  //! What comes from one side.
+  //! One direction: the socket that is read and the last chunk read from it.
   struct Half {
     tcp::socket from;
     asio::steady_timer timer;
--- a/soak/loopback_proxy.h
+++ b/soak/loopback_proxy.h
@@ -1,4 +1,4 @@
-// A proxy on loopback that harms what passes it.
+// A TCP proxy on loopback that injects link faults.
 #ifndef SOAK_LOOPBACK_PROXY_H_
 #define SOAK_LOOPBACK_PROXY_H_
 
@@ -17,24 +17,25 @@
 }  // namespace internal
 
 /**
- * \brief Passes connections on to one port, as its mode says.
+ * \brief Forwards connections to one port and applies the current link mode.
  *
- * What a cut direction holds back is delivered once the link is well, as after
- * a partition. It lives on the loop of its maker; only the mode and the
- * upstream may be set from another thread.
+ * Data that a cut direction holds back is delivered once the link recovers, as
+ * after a network partition. The proxy runs on the loop that it is constructed
+ * with; only SetMode() and SetUpstream() may be called from another thread.
  */
 class LoopbackProxy {
  public:
-  /*! \brief Opens a port of the kernel's choice. */
+  /*! \brief Listens on an ephemeral port. */
   explicit LoopbackProxy(asio::io_context& loop);
   LoopbackProxy(const LoopbackProxy&) = delete;
   LoopbackProxy& operator=(const LoopbackProxy&) = delete;
 
   [[nodiscard]] std::uint16_t port() const noexcept { return m_port; }
 
-  /*! \brief Connections go on to this port. */
+  /*! \brief Sets the loopback port that new connections are forwarded to. */
   void SetUpstream(std::uint16_t port) { m_upstream = port; }
 
+  /*! \brief Sets the link mode; kReset also resets all open connections. */
   void SetMode(LinkMode mode);
 
  private:
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -1,4 +1,4 @@
-// Plays seeds, one after the other, and says which promises broke.
+// Runs the plans of one or more seeds in turn and reports broken promises.
 #include <unistd.h>
 
 #include <chrono>
@@ -16,13 +16,16 @@
 
 namespace {
 
+//! Exit code if a promise was broken.
 constexpr int kPromiseBroken = 3;
 constexpr std::chrono::milliseconds kTick{5};
-//! Before the first fault: all entries know what they need.
+//! Time before the first fault in which entries receive their configuration and
+//! targets.
 constexpr Duration kWarmUp = std::chrono::seconds(2);
-//! After the last: time to recover, and to be seen to serve.
+//! Time after the last fault: the recovery period, then a calm period in which
+//! calls must be answered.
 constexpr Duration kCalm = std::chrono::seconds(8);
-//! Breaches that are printed of one seed.
+//! Most violations printed per seed.
 constexpr std::size_t kMostPrinted = 10;
 
 struct SoakOptions {
@@ -52,7 +55,8 @@
   }
 }
 
-//! Whether all promises held.
+//! Prints the summary line and violations of a seed.
+//! \return Whether all promises held.
 [[nodiscard]] bool Report(std::uint64_t seed,
                           const History& history,
                           const std::vector<Violation>& found) {
@@ -84,7 +88,7 @@
   std::string work =
       (std::filesystem::temp_directory_path() / "soak-XXXXXX").string();
   if (mkdtemp(work.data()) == nullptr) {
-    throw std::runtime_error("cannot make " + work);
+    throw std::runtime_error("cannot create directory " + work);
   }
   options.stage.seed = seed;
   options.stage.two_domains = options.plan.evacuations > 0;
@@ -127,32 +131,33 @@
   options.add_options()(
       "seed", po::value(&soak.plan.seed)->default_value(soak.plan.seed),
       "first seed")("seeds", po::value(&soak.seeds)->default_value(soak.seeds),
-                    "seeds to play, one after the other")(
+                    "number of seeds to run in sequence")(
       "faults", po::value(&soak.plan.faults)->default_value(soak.plan.faults),
-      "faults of a seed")("seconds",
-                          po::value(&soak.seconds)->default_value(soak.seconds),
-                          "time in which faults begin and end")(
+      "number of faults per seed")(
+      "seconds", po::value(&soak.seconds)->default_value(soak.seconds),
+      "period in which faults begin and end")(
       "evacuations",
       po::value(&soak.plan.evacuations)->default_value(soak.plan.evacuations),
-      "times that one of two failure domains is evacuated")(
+      "number of evacuations of one of two failure domains")(
       "restores",
       po::value(&soak.plan.restores)->default_value(soak.plan.restores),
-      "times that the store comes back from an older copy")(
+      "number of restores of the store from an older copy")(
       "rewritten-after-ms",
       po::value<std::uint64_t>()->notifier([&soak](std::uint64_t after) {
         soak.plan.rewritten_after = std::chrono::milliseconds(after);
       }),
-      "time from there until operators write again; drawn if it is not given")(
+      "time from a restore until operators write again; random by default")(
       "entries",
       po::value(&soak.stage.entries)->default_value(soak.stage.entries),
-      "entry processes")(
+      "number of entry processes")(
       "callers",
       po::value(&soak.stage.callers)->default_value(soak.stage.callers),
-      "callers, each with one connection")(
+      "number of callers, each with one connection")(
       "programs", po::value(&soak.programs)->default_value(soak.programs),
       "build directory")("plan", po::bool_switch(&soak.plan_only),
-                         "print the plan and play nothing")(
-      "keep", po::bool_switch(&soak.keep), "keep the logs of good seeds too");
+                         "print the plan without running it")(
+      "keep", po::bool_switch(&soak.keep),
+      "keep the logs of seeds without violations");
   return jacinthdeck::standins::RunProgram(
       argc, argv, options, [&] { return jacinthdeck::soak::PlayAll(soak); });
 }
--- a/soak/record.cc
+++ b/soak/record.cc
@@ -1,4 +1,4 @@
-// Big-endian numbers: layout, shard, request.
+// A record is encoded as big-endian layout, shard and request hash.
 #include "soak/record.h"
 
 #include <boost/endian/conversion.hpp>
--- a/soak/record.h
+++ b/soak/record.h
@@ -1,4 +1,4 @@
-// The records of which every answer of a soak's target consists.
+// The fixed-size records that make up the answers of the soak's targets.
 #ifndef SOAK_RECORD_H_
 #define SOAK_RECORD_H_
 
@@ -10,9 +10,9 @@
 
 namespace jacinthdeck::soak {
 
-/*! \brief One record: it tells whose answer it is part of. */
+/*! \brief A record that identifies the request and the shard it answers. */
 struct Record {
-  //! Set of shards that one configuration names.
+  //! Number of the layout that the target serves.
   std::uint32_t layout = 0;
   std::uint32_t shard = 0;
   //! Hash of the request's id.
@@ -21,13 +21,14 @@
   [[nodiscard]] bool operator==(const Record&) const = default;
 };
 
-/*! \brief Hash by which a record names its request. */
+/*! \brief Returns the hash that identifies a request in its records. */
 [[nodiscard]] std::uint64_t HashOf(std::string_view request_id);
 
-/*! \brief The record's sixteen bytes. */
+/*! \brief Encodes a record into sixteen bytes. */
 [[nodiscard]] std::string Encode(const Record& record);
 
-/*! \brief Reads a body; nothing if it is not made of whole records. */
+/*! \brief Decodes a body.
+ * \return std::nullopt if it is empty or holds an incomplete record. */
 [[nodiscard]] std::optional<std::vector<Record>> DecodeRecords(
     std::string_view body);
 
