--- a/soak/stage.cc
+++ b/soak/stage.cc
@@ -1,4 +1,4 @@
-// One member function an action.
+// Each action kind is applied by one member function.
 #include "soak/stage.h"
 
 #include <algorithm>
@@ -21,17 +21,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-//! As the entries' settings say; the end of a drain may cut what is left.
+//! Value of shutdown.grace_ms for the entries. A drain may cut requests that
+//! still run after this time.
 constexpr int kGraceMs = 2500;
-//! New targets are up for so long before a configuration names them.
+//! Time that new targets run before a configuration names them.
 constexpr Duration kBeforeReshard = milliseconds(1500);
-//! Old targets leave once the configuration is due everywhere.
+//! Time from writing a configuration until the old targets drain; longer than
+//! the bound within which all entries must use the configuration.
 constexpr Duration kAfterReshard = milliseconds(3200);
-//! A thawed process first sees to what lapsed while it stood still.
+//! Time that a continued process gets to handle what expired while it was
+//! stopped.
 constexpr Duration kThaw = seconds(1);
-//! The bound on contact, and a little: from then on all must be served.
+//! Recovery period after the last fault: Bounds::contact and a margin. Calls
+//! sent after it must be answered.
 constexpr Duration kRecovery = seconds(6);
-//! Callers' patience, so that each call under way has an end.
+//! Slightly longer than the callers' timeout, so that each call under way ends
+//! before the loop stops.
 constexpr Duration kLastCalls = milliseconds(3200);
 constexpr std::uint32_t kReplicas = 2;
 constexpr const char* kOtherDomain = "b";
@@ -76,7 +81,7 @@
 }
 
 void Stage::Do(const Action& action) {
-  //! In the order of ActionKind.
+  //! Indexed by ActionKind.
   static constexpr std::array<Step, kActionNames.names.size()> kSteps{
       &Stage::StopEntry,      &Stage::ContinueEntry, &Stage::KillEntry,
       &Stage::DrainEntry,     &Stage::RestartEntry,  &Stage::StopTarget,
@@ -137,7 +142,8 @@
 
 void Stage::KillEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
-  // Noted first: callers see the end within microseconds of the signal.
+  // The fault period must begin before the signal: callers see the connection
+  // close within microseconds of it, and the check would report a cut request.
   Begin(Cause("killed", entry.life), {entry.life}, Harm::kConnections);
   entry.child->Signal(SIGKILL);
   asio::post(m_loop, [this, life = entry.life] { m_callers.Remove(life); });
@@ -158,7 +164,7 @@
     return;
   }
   if (entry.child->IsRunning()) {
-    // It still drains: its name is taken until it has gone.
+    // The old process still drains; its name is in use until it ends.
     Later(milliseconds(200), [this, action] { RestartEntry(action); });
     return;
   }
@@ -208,8 +214,8 @@
 }
 
 Stage::Target& Stage::TargetOf(const Action& action) {
-  // Half of the requests go to the targets of one service, and so do half of
-  // the faults.
+  // Half of the requests go to the targets of the single service, so half of
+  // the faults, those with odd subjects, affect one of these targets.
   Target& any = *m_targets[action.subject / 2 % m_targets.size()];
   if (action.subject % 2 == 0) {
     return any;
@@ -262,7 +268,8 @@
 }
 
 void Stage::ContinueTarget(const Action& /*action*/) {
-  // Subjects shift as targets come, so all go on.
+  // New targets change which target a subject selects, so the stopped one is
+  // not known here; all targets are continued.
   for (const auto& target : m_targets) {
     target->child->Signal(SIGCONT);
   }
--- a/soak/stage.h
+++ b/soak/stage.h
@@ -1,4 +1,4 @@
-// The processes of one run and what is done to them.
+// Starts the processes of one run and applies the actions of its plan.
 #ifndef SOAK_STAGE_H_
 #define SOAK_STAGE_H_
 
@@ -23,32 +23,33 @@
 
 namespace jacinthdeck::soak {
 
-//! Of the entries and of the first target of each service, so that most
-//! requests go there; it is the one that is evacuated.
+//! Failure domain of the entries and of the first target of each service, so
+//! that most requests go there. Evacuations apply to this domain.
 inline constexpr const char* kDomain = "a";
-//! For a process to say that it is ready.
+//! Longest time for a process to report that it is ready.
 inline constexpr Duration kStartPatience = std::chrono::seconds(20);
 
-/*! \brief Where the programs are, and how many of them run. */
+/*! \brief Location of the programs and number of processes of a run. */
 struct StageOptions {
   //! Build directory.
   std::filesystem::path programs;
-  //! For settings and logs; made by the caller.
+  //! Existing directory for settings and logs.
   std::filesystem::path work;
   std::uint64_t seed = 1;
   std::size_t entries = 4;
   std::size_t callers = 12;
-  //! The second target of each service stands in another failure domain than
-  //! the first, whose domain can be evacuated.
+  //! Whether the second target of each service is in another failure domain
+  //! than the first, so that the domain of the first can be evacuated.
   bool two_domains = false;
 };
 
 /**
- * \brief A store, targets, entries and callers, on loopback, with a proxy on
- * every link that can be harmed.
+ * \brief Runs a store, targets, entries and callers on loopback, with a proxy
+ * on every link that faults can affect.
  *
- * Runs on the main thread, beside the loop of the proxies and callers. What was
- * harmed and when is noted, so that no entry is blamed for it.
+ * Must be used on the main thread; proxies and callers run on a loop thread.
+ * Records which entries a fault affected and when, so that the checks do not
+ * report the direct effects of the faults.
  */
 class Stage {
  public:
@@ -57,15 +58,16 @@
   Stage(const Stage&) = delete;
   Stage& operator=(const Stage&) = delete;
 
-  /*! \brief Starts everything; throws std::runtime_error if a process fails. */
+  /*! \brief Starts all processes.
+   * \throw std::runtime_error if one does not become ready. */
   void Start();
-  /*! \brief Does one step of a plan now. */
+  /*! \brief Applies one step of a plan now. */
   void Do(const Action& action);
-  /*! \brief Does what has been put off until now. */
+  /*! \brief Runs the scheduled steps that are due. */
   void DoDue();
-  /*! \brief Ends all faults, and starts again what is gone. */
+  /*! \brief Ends all faults and restarts entries that have ended. */
   void Calm();
-  /*! \brief Ends the callers and gives what was seen. */
+  /*! \brief Stops the callers and the loop and returns the recorded events. */
   [[nodiscard]] History Finish();
 
   [[nodiscard]] TimePoint Now() const { return m_clock.Now(); }
@@ -82,7 +84,7 @@
   };
   struct Entry {
     std::string name;
-    //! Number of this life, in the order of starts.
+    //! Number of the entry's current process, in the order of starts.
     std::size_t life = 0;
     std::unique_ptr<LoopbackProxy> store;
     std::unique_ptr<LoopbackProxy> callers;
@@ -114,7 +116,8 @@
 
   void StartStore();
   void StartEntry(Entry& entry);
-  //! The loop may still be in it, so it stays until the end.
+  //! Keeps a replaced proxy until the end of the run, because a handler on the
+  //! loop thread may still use it.
   void Retire(std::unique_ptr<LoopbackProxy> proxy);
   void StartTarget(const std::string& service,
                    std::uint32_t shard,
@@ -122,22 +125,26 @@
   void StartLayout();
   void DrainOldTargets();
   void WriteConfig();
-  //! Throws if the store does not take it.
+  //! Sends a message to the store's control path.
+  //! \throw std::runtime_error if the store does not accept it.
   void ControlStore(const std::string& message);
   void PutInStore(const std::string& key, const std::string& value);
   void RemoveFromStore(const std::string& key);
-  //! As operators do whose last writes are lost.
+  //! Repeats the configuration and evacuation writes that a restore lost, as
+  //! operators do.
   void WriteAgain();
   [[nodiscard]] bool IsEvacuated() const;
   [[nodiscard]] Entry& EntryOf(const Action& action);
   [[nodiscard]] Target& TargetOf(const Action& action);
   [[nodiscard]] LoopbackProxy& LinkOf(const Action& action);
   void Later(Duration after, std::function<void()> step);
-  //! A cause harms lives from now on; one that is open already is left so.
+  //! Opens a fault period for entry processes, starting after a delay. The
+  //! periods that the cause has opened before stay open.
   void Begin(const std::string& cause,
              const std::vector<std::size_t>& lives,
              Harm harm,
              Duration after = {});
+  //! Ends all fault periods of a cause after a delay.
   void End(const std::string& cause, Duration after = {});
   void BeginStoreHarm();
   [[nodiscard]] std::vector<std::size_t> EntryLives() const;
@@ -160,15 +167,15 @@
   bool m_is_restoring = false;
   std::multimap<TimePoint, std::function<void()>> m_later;
   std::vector<Trouble> m_troubles;
-  //! Indices into m_troubles of the causes that still last.
+  //! Indices into m_troubles of the open fault periods, by cause.
   std::map<std::string, std::vector<std::size_t>> m_open;
   std::vector<LayoutChange> m_layouts;
   std::vector<Placement> m_placements;
-  //! One at most has no end.
+  //! At most one of them, the last, has not ended.
   std::vector<EvacuatedTime> m_evacuations;
   TimePoint m_calm_since = TimePoint::max();
   Callers m_callers;
-  //! Last: it uses the members above.
+  //! Declared last, because the thread uses the members above.
   std::jthread m_loop_thread;
 };
 
--- a/soak/stage_store.cc
+++ b/soak/stage_store.cc
@@ -1,4 +1,4 @@
-// What is done to the store, and what operators write there.
+// Store faults and the writes of operators to the store.
 #include <jansson.h>
 
 #include <array>
@@ -24,13 +24,14 @@
 using std::chrono::seconds;
 
 constexpr Duration kControlTimeout = seconds(5);
-//! A store that comes back from a copy is away for so long before.
+//! Outage of the store before it returns with a copy.
 constexpr Duration kBeforeRestore = milliseconds(700);
-//! Writes of the configuration that a restore loses. Without them the new
-//! history passes the one before within a moment, and entries that confuse the
-//! two recover.
+//! Configuration writes after a copy, which a restore loses. Without them the
+//! revisions of the restored store would pass those from before the restore
+//! within a moment, and entries that confuse the two histories would recover
+//! unnoticed.
 constexpr int kLostWrites = 60;
-//! Messages to the store's control port in the order of StoreFault.
+//! Messages to the store's control path, indexed by StoreFault.
 constexpr std::array kStoreMessages{
     R"({"outage":"busy"})", R"({"outage":"drop"})", R"({"outage":"silent"})",
     R"({"delay_ms":800})", R"({"lose_reply_share":0.5})"};
@@ -57,7 +58,7 @@
       CallAndWait({"127.0.0.1", m_store_port}, {"POST", "/control", message},
                   kControlTimeout);
   if (reply.status != http_status::kOk) {
-    throw std::runtime_error("the store did not take " + message);
+    throw std::runtime_error("the store did not accept " + message);
   }
 }
 
@@ -118,7 +119,8 @@
   if (!IsEvacuated()) {
     return;
   }
-  // Noted first: requests go there as soon as the store has taken it.
+  // The end must be recorded before the write: entries send requests to the
+  // domain as soon as the store accepts it, and the check would report them.
   m_evacuations.back().ended = Now();
   RemoveFromStore(EvacuationKey());
 }
@@ -138,7 +140,7 @@
   BeginStoreHarm();
   ControlStore(R"({"outage":"silent"})");
   Later(kBeforeRestore, [this, rewritten_after = action.rewritten_after] {
-    // Other ends of its outage may have come before.
+    // Another action may have ended the outage, and with it the fault period.
     BeginStoreHarm();
     ControlStore(R"({"restore":true})");
     HealStore({});
--- a/soak/target_main.cc
+++ b/soak/target_main.cc
@@ -1,5 +1,5 @@
-// A target of the soak: answers any request with one record, and writes down
-// each run before it begins, so that a kill loses none.
+// A target of the soak. It answers each request with one record and logs each
+// run before it executes it, so that a kill cannot lose a run.
 #include <fcntl.h>
 #include <jansson.h>
 #include <unistd.h>
@@ -28,26 +28,27 @@
 namespace wire = platform::wire;
 using std::chrono::milliseconds;
 
+//! Period at which the target renews its registration.
 constexpr milliseconds kBeatPeriod{1000};
-//! Three beats of silence.
+//! Time to live of the registration: three missed renewals and a margin.
 constexpr int kLifeMs = 3600;
-//! A leaving target serves on for twice the bound in which all must know, so
-//! that a request which comes too late is seen.
+//! A draining target serves for twice the bound within which all entries must
+//! stop sending to it, so that a late request is observed.
 constexpr milliseconds kDrain{6000};
-//! Requests take up to this long, each its own time.
+//! Upper limit of the execution time, which is derived from the request id.
 constexpr std::uint64_t kMostWorkMs = 60;
 constexpr Duration kStoreTimeout = std::chrono::seconds(2);
 constexpr int kSlots = 8;
-//! One in so many answers is lost, while answers are.
+//! One in this many answers is lost while the target loses answers.
 constexpr std::uint64_t kLostOneIn = 3;
 
-//! Set by signals from outside.
+//! Set by SIGUSR1, reset by SIGUSR2.
 volatile std::sig_atomic_t loses_answers = 0;
 
 struct TargetOptions {
   std::string id;
   std::string service;
-  //! Ports on loopback: of the store, and that which entries are told.
+  //! Loopback ports of the store and of the address that entries connect to.
   std::uint16_t store = 0;
   std::uint16_t advertised = 0;
   std::string log;
@@ -72,7 +73,7 @@
 
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
 
-  //! Tells the store again and again, from a thread of its own.
+  //! Renews the registration until stopped; runs on its own thread.
   void Beat(const std::stop_token& stop) {
     while (!stop.stop_requested()) {
       if (Register() && m_leaving && !m_told) {
@@ -87,7 +88,8 @@
   [[nodiscard]] bool has_told() const { return m_told; }
 
  private:
-  //! One line with one call: lines of a killed process are whole.
+  //! Appends one line with a single write(), so that a kill leaves no partial
+  //! line.
   void Write(const char* event, const std::string& request) {
     const std::string line =
         std::string(event) + " " + m_options.id + " " + request + " " +
@@ -156,7 +158,8 @@
   TimePoint m_next_beat;
   std::atomic<bool> m_leaving = false;
   std::atomic<bool> m_told = false;
-  //! Last: it calls the members above from its first moment on.
+  //! Declared last, because its handler uses the members above as soon as it is
+  //! constructed.
   standins::HttpServer m_server;
 };
 
@@ -184,15 +187,17 @@
   jacinthdeck::soak::TargetOptions target;
   po::options_description options("Target");
   options.add_options()("id", po::value(&target.id)->required(),
-                        "id of this life")(
-      "service", po::value(&target.service)->required(), "its service")(
-      "store", po::value(&target.store)->required(), "port of the store")(
+                        "id of this target process")(
+      "service", po::value(&target.service)->required(),
+      "service that the target serves")("store",
+                                        po::value(&target.store)->required(),
+                                        "loopback port of the store")(
       "advertised", po::value(&target.advertised)->required(),
-      "port that entries are told")("log", po::value(&target.log)->required(),
-                                    "file that takes its runs")(
-      "domain", po::value(&target.domain), "its failure domain")(
-      "layout", po::value(&target.layout), "layout that its records name")(
-      "shard", po::value(&target.shard), "shard that its records name");
+      "port that entries connect to")("log", po::value(&target.log)->required(),
+                                      "file that runs are appended to")(
+      "domain", po::value(&target.domain), "failure domain of the target")(
+      "layout", po::value(&target.layout), "layout number in the records")(
+      "shard", po::value(&target.shard), "shard number in the records");
   return jacinthdeck::standins::RunServer(
       argc, argv, options,
       [&](std::uint16_t) { return jacinthdeck::soak::Serve(target); });
--- a/test/soak/callers_test.cc
+++ b/test/soak/callers_test.cc
@@ -1,4 +1,4 @@
-// Tests of the callers that the soak makes.
+// Tests of the simulated callers of the soak.
 #include "soak/callers.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 constexpr std::size_t kRefusing = 0;
 constexpr std::size_t kServing = 1;
 
-//! Two entries, of which one refuses all calls.
+//! Two entries, one of which refuses all calls.
 struct CallersFixture {
   standins::HttpServer refusing{
       {},
@@ -39,8 +39,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(CallersTest, CallersFixture)
 
-// Guards against callers that press on an entry that refuses them while others
-// are idle, which the platform's clients do not.
+// Guards against callers that keep retrying an entry that refuses them while
+// other entries are idle; the platform's clients do not do so.
 BOOST_AUTO_TEST_CASE(Call_IsRefused_NextGoesToAnotherEntry) {
   callers.Add(kRefusing, refusing.port());
   RunUntilCalls(2);
--- a/test/soak/checks_test.cc
+++ b/test/soak/checks_test.cc
@@ -1,4 +1,4 @@
-// Tests of the soak's checks: a planted breach of each promise must be seen.
+// Tests that the soak's checks report a violation of each promise.
 #include "soak/checks.h"
 
 #include <boost/test/unit_test.hpp>
@@ -24,7 +24,8 @@
 struct HistoryFixture {
   History history;
 
-  //! A query of layout 1 that was answered whole, 20 ms after it was sent.
+  //! Adds a query that was answered 20 ms after it was sent, with two shards of
+  //! the layout.
   Call& AddCall(const std::string& id, Duration sent, std::uint32_t layout) {
     Call call;
     call.id = id;
--- a/test/soak/loopback_proxy_test.cc
+++ b/test/soak/loopback_proxy_test.cc
@@ -1,4 +1,4 @@
-// Tests of the proxy that harms links.
+// Tests of the proxy that injects link faults.
 #include "soak/loopback_proxy.h"
 
 #include <boost/test/unit_test.hpp>
--- a/test/soak/plan_test.cc
+++ b/test/soak/plan_test.cc
@@ -1,4 +1,4 @@
-// Tests of the soak's plans.
+// Tests of the plans that the soak generates.
 #include "soak/plan.h"
 
 #include <algorithm>
--- a/test/soak/record_test.cc
+++ b/test/soak/record_test.cc
@@ -1,4 +1,4 @@
-// Tests of the records of the soak's targets.
+// Tests of the record encoding of the soak's targets.
 #include "soak/record.h"
 
 #include <boost/test/unit_test.hpp>
