--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -18,16 +18,16 @@
 using std::chrono::milliseconds;
 
 //! Longest pause between two calls of one caller.
-constexpr std::uint64_t kMostPauseMs = 40;
+constexpr std::uint64_t kMaxPauseMs = 40;
 //! Deadline in milliseconds that callers send, and their actual timeout, which
 //! is longer.
 constexpr std::string_view kDeadlineMs = "1500";
-constexpr Duration kPatience = milliseconds(3000);
+constexpr Duration kCallTimeout = milliseconds(3000);
 //! Request paths, indexed by CallKind.
 constexpr std::array<std::string_view, 3> kPaths{"/claim/1", "/lookup/1",
                                                  "/query/1"};
 
-[[nodiscard]] CallEnd EndOf(const ClientReply& reply) {
+[[nodiscard]] CallEnd CallEndOf(const ClientReply& reply) {
   if (reply.answered()) {
     return CallEnd::kAnswered;
   }
@@ -51,7 +51,7 @@
   std::size_t entry = 0;
   //! Null if the next call connects to an entry drawn at random.
   std::unique_ptr<ClientSession> session;
-  bool gives_up_connection = false;
+  bool closes_connection = false;
   //! Entry that refused the last call; not drawn while there is another one.
   std::optional<std::size_t> refused_by;
 };
@@ -75,18 +75,18 @@
 }
 
 void Callers::Pause(Caller& caller) {
-  caller.timer.expires_after(milliseconds(1 + m_random.Below(kMostPauseMs)));
+  caller.timer.expires_after(milliseconds(1 + m_random.Below(kMaxPauseMs)));
   caller.timer.async_wait([this, &caller](const SystemError& error) {
     if (!error && !m_stopped) {
-      Begin(caller);
+      StartCall(caller);
     }
   });
 }
 
 bool Callers::Connect(Caller& caller) {
-  if (caller.gives_up_connection) {
+  if (caller.closes_connection) {
     caller.session.reset();
-    caller.gives_up_connection = false;
+    caller.closes_connection = false;
   }
   if (caller.session) {
     return true;
@@ -94,19 +94,19 @@
   if (m_entries.empty()) {
     return false;
   }
-  std::vector<std::size_t> drawn_from;
+  std::vector<std::size_t> candidates;
   for (const auto& [entry, port] : m_entries) {
     if (entry != caller.refused_by || m_entries.size() == 1) {
-      drawn_from.push_back(entry);
+      candidates.push_back(entry);
     }
   }
-  caller.entry = drawn_from[m_random.Below(drawn_from.size())];
+  caller.entry = candidates[m_random.Below(candidates.size())];
   caller.session = std::make_unique<ClientSession>(m_loop, "127.0.0.1",
                                                    m_entries.at(caller.entry));
   return true;
 }
 
-void Callers::Begin(Caller& caller) {
+void Callers::StartCall(Caller& caller) {
   if (!Connect(caller)) {
     Pause(caller);
     return;
@@ -122,15 +122,15 @@
       "",
       {{std::string(wire::kRequestId), call.id},
        {std::string(wire::kDeadlineMs), std::string(kDeadlineMs)}}};
-  caller.session->Call(request, kPatience,
+  caller.session->Call(request, kCallTimeout,
                        [this, &caller, call](const ClientReply& reply) {
-                         End(caller, call, reply);
+                         FinishCall(caller, call, reply);
                        });
 }
 
-void Callers::End(Caller& caller, Call call, const ClientReply& reply) {
+void Callers::FinishCall(Caller& caller, Call call, const ClientReply& reply) {
   call.ended = m_clock.Now();
-  call.end = EndOf(reply);
+  call.end = CallEndOf(reply);
   call.status = reply.status;
   if (reply.status == http_status::kOk) {
     call.records = DecodeRecords(reply.body).value_or(std::vector<Record>{});
@@ -139,7 +139,7 @@
   if (IsRefusal(reply)) {
     caller.refused_by = caller.entry;
   }
-  caller.gives_up_connection =
+  caller.closes_connection =
       call.end != CallEnd::kAnswered || caller.refused_by;
   m_calls.push_back(std::move(call));
   Pause(caller);
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -49,8 +49,8 @@
   struct Caller;
 
   void Pause(Caller& caller);
-  void Begin(Caller& caller);
-  void End(Caller& caller, Call call, const ClientReply& reply);
+  void StartCall(Caller& caller);
+  void FinishCall(Caller& caller, Call call, const ClientReply& reply);
   [[nodiscard]] bool Connect(Caller& caller);
 
   asio::io_context& m_loop;
--- a/soak/child.cc
+++ b/soak/child.cc
@@ -24,7 +24,9 @@
 constexpr std::chrono::milliseconds kPollPeriod{5};
 
 //! Executes the program in the forked child. Never returns.
-void Become(std::vector<char*>& arguments, const char* output, pid_t parent) {
+void ExecChild(std::vector<char*>& arguments,
+               const char* output,
+               pid_t parent) {
   sigset_t none;
   sigemptyset(&none);
   sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -55,7 +57,7 @@
   const pid_t parent = getpid();
   m_id = fork();
   if (m_id == 0) {
-    Become(arguments, m_output.c_str(), parent);
+    ExecChild(arguments, m_output.c_str(), parent);
   }
   if (m_id < 0) {
     throw std::runtime_error("cannot start " + command.front());
@@ -82,9 +84,9 @@
   return !m_ended;
 }
 
-std::string Child::WaitFor(const std::string& pattern, Duration patience) {
+std::string Child::WaitForOutput(const std::string& pattern, Duration timeout) {
   const std::regex wanted(pattern);
-  const auto end = std::chrono::steady_clock::now() + patience;
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (IsRunning() && std::chrono::steady_clock::now() < end) {
     std::ifstream file(m_output);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
--- a/soak/child.h
+++ b/soak/child.h
@@ -36,8 +36,8 @@
   /*! \brief Waits for a regular expression to match the output.
    * \return Text of the first group of the match.
    * \throw std::runtime_error on a timeout or if the process ends before. */
-  [[nodiscard]] std::string WaitFor(const std::string& pattern,
-                                    Duration patience);
+  [[nodiscard]] std::string WaitForOutput(const std::string& pattern,
+                                          Duration timeout);
 
  private:
   pid_t m_id = 0;
--- a/soak/history.h
+++ b/soak/history.h
@@ -76,17 +76,17 @@
 };
 
 /*! \brief Which checks an entry is exempt from while a fault affects it. */
-enum class Harm {
+enum class FaultEffect {
   //! Checks of propagation: the entry may not receive changes.
-  kKnowledge,
+  kPropagation,
   //! Checks of cut requests: its connections to callers may close.
   kConnections,
 };
 
 /*! \brief Period in which a fault affected an entry, its links or its store. */
-struct Trouble {
+struct FaultPeriod {
   std::size_t entry = 0;
-  Harm harm = Harm::kKnowledge;
+  FaultEffect effect = FaultEffect::kPropagation;
   TimePoint from;
   TimePoint to = TimePoint::max();
 };
@@ -99,7 +99,7 @@
   std::vector<Leaving> leavings;
   std::vector<Placement> placements;
   std::vector<EvacuatedTime> evacuations;
-  std::vector<Trouble> troubles;
+  std::vector<FaultPeriod> fault_periods;
   //! End of the recovery period that follows the last fault.
   TimePoint calm_since = TimePoint::max();
 };
--- a/soak/layout.cc
+++ b/soak/layout.cc
@@ -13,10 +13,10 @@
 //! and shorter than the callers' timeout.
 constexpr int kRouteTimeoutMs = 1200;
 constexpr int kObjectiveMs = 150;
-constexpr int kMostAttempts = 3;
+constexpr int kMaxAttempts = 3;
 //! One of three shards suffices for an answer, so that faults lead to partial
 //! answers.
-constexpr double kLeastShare = 0.3;
+constexpr double kMinPartShare = 0.3;
 //! More than the connections that all entries together open to one target.
 constexpr int kTargetConnections = 64;
 constexpr const char* kSingle = "single";
@@ -29,7 +29,7 @@
       json_pack("{s:s, s:s, s:s, s:s, s:i, s:i, s:i, s:i}", "name", name,
                 "host", "127.0.0.1", "prefix", prefix.c_str(), "routeType",
                 type, "timeoutMs", kRouteTimeoutMs, "targetLatencyMs",
-                kObjectiveMs, "maxAttempts", kMostAttempts, "priority", 1);
+                kObjectiveMs, "maxAttempts", kMaxAttempts, "priority", 1);
   if (!service.empty()) {
     json_object_set_new(route, "service", json_string(service.c_str()));
   }
@@ -47,7 +47,7 @@
   return "shard-" + std::to_string(layout) + "-" + std::to_string(shard);
 }
 
-std::string SingleName(std::uint32_t layout) {
+std::string SingleServiceName(std::uint32_t layout) {
   return std::string(kSingle) + "-" + std::to_string(layout);
 }
 
@@ -62,8 +62,8 @@
   }
   json_object_set_new(query, "fanout", shards);
   json_object_set_new(query, "topK", json_integer(json_int_t{kShards} * 2));
-  json_object_set_new(query, "minPartShare", json_real(kLeastShare));
-  const std::string single = SingleName(layout);
+  json_object_set_new(query, "minPartShare", json_real(kMinPartShare));
+  const std::string single = SingleServiceName(layout);
   json_array_append_new(services, ServiceJson(single));
   const JsonPtr config(json_pack(
       "{s:i, s:[o, o, o], s:o}", "version", static_cast<int>(layout), "routes",
--- a/soak/layout.h
+++ b/soak/layout.h
@@ -16,7 +16,7 @@
                                       std::uint32_t shard);
 
 /*! \brief Returns the name of the service for requests that need one target. */
-[[nodiscard]] std::string SingleName(std::uint32_t layout);
+[[nodiscard]] std::string SingleServiceName(std::uint32_t layout);
 
 /*! \brief Returns the JSON configuration that routes to one layout only. */
 [[nodiscard]] std::string ConfigText(std::uint32_t layout);
--- a/soak/loopback_proxy.cc
+++ b/soak/loopback_proxy.cc
@@ -14,10 +14,10 @@
 namespace {
 
 //! Period at which a held direction polls the link mode.
-constexpr std::chrono::milliseconds kHeldPeriod{5};
+constexpr std::chrono::milliseconds kHeldPollPeriod{5};
 //! Delay of a slow link for each chunk of data, in each direction.
 constexpr std::chrono::milliseconds kLinkDelay{150};
-constexpr std::size_t kPieceBytes = 16384;
+constexpr std::size_t kChunkBytes = 16384;
 
 }  // namespace
 
@@ -27,101 +27,102 @@
 class ProxiedConnection
     : public std::enable_shared_from_this<ProxiedConnection> {
  public:
-  ProxiedConnection(LoopbackProxy& proxy, tcp::socket near)
+  ProxiedConnection(LoopbackProxy& proxy, tcp::socket client)
       : m_proxy(proxy),
-        m_forward{std::move(near), asio::steady_timer(proxy.m_loop), {}},
-        m_back{tcp::socket(proxy.m_loop),
-               asio::steady_timer(proxy.m_loop),
-               {}} {}
+        m_forward{std::move(client), asio::steady_timer(proxy.m_loop), {}},
+        m_backward{tcp::socket(proxy.m_loop),
+                   asio::steady_timer(proxy.m_loop),
+                   {}} {}
 
   void Start() {
     const tcp::endpoint upstream(asio::ip::address_v4::loopback(),
                                  m_proxy.m_upstream);
-    m_back.from.async_connect(
+    m_backward.from.async_connect(
         upstream, [self = shared_from_this()](const SystemError& error) {
           if (error) {
-            self->End(true);
+            self->Close(true);
             return;
           }
-          self->Read(self->m_forward, self->m_back);
-          self->Read(self->m_back, self->m_forward);
+          self->Read(self->m_forward, self->m_backward);
+          self->Read(self->m_backward, self->m_forward);
         });
   }
 
   //! Closes both sockets. A reset discards data in flight; otherwise it is
   //! still delivered.
-  void End(bool reset) {
+  void Close(bool reset) {
     SystemError ignored;
-    for (Half* half : {&m_forward, &m_back}) {
+    for (Direction* direction : {&m_forward, &m_backward}) {
       if (reset) {
-        half->from.set_option(asio::socket_base::linger(true, 0), ignored);
+        direction->from.set_option(asio::socket_base::linger(true, 0), ignored);
       }
-      half->from.close(ignored);
-      half->timer.cancel();
+      direction->from.close(ignored);
+      direction->timer.cancel();
     }
   }
 
  private:
   //! One direction: the socket that is read and the last chunk read from it.
-  struct Half {
+  struct Direction {
     tcp::socket from;
     asio::steady_timer timer;
-    std::array<char, kPieceBytes> data;
+    std::array<char, kChunkBytes> data;
   };
 
-  [[nodiscard]] bool IsHeld(const Half& half) const {
+  [[nodiscard]] bool IsHeld(const Direction& direction) const {
     const LinkMode mode = m_proxy.m_mode;
     const LinkMode cut =
-        &half == &m_forward ? LinkMode::kCutForward : LinkMode::kCutBack;
+        &direction == &m_forward ? LinkMode::kCutForward : LinkMode::kCutBack;
     return mode == LinkMode::kSilent || mode == cut;
   }
 
-  void Read(Half& half, Half& to) {
-    half.from.async_read_some(
-        asio::buffer(half.data),
-        [self = shared_from_this(), &half, &to](const SystemError& error,
-                                                std::size_t bytes) {
+  void Read(Direction& direction, Direction& to) {
+    direction.from.async_read_some(
+        asio::buffer(direction.data),
+        [self = shared_from_this(), &direction, &to](const SystemError& error,
+                                                     std::size_t bytes) {
           if (error) {
-            self->End(error != asio::error::eof);
+            self->Close(error != asio::error::eof);
             return;
           }
           const bool slow = self->m_proxy.m_mode == LinkMode::kDelay;
-          self->Hold(half, to, bytes, slow ? kLinkDelay : kLinkDelay.zero());
+          self->Hold(direction, to, bytes,
+                     slow ? kLinkDelay : kLinkDelay.zero());
         });
   }
 
-  void Hold(Half& half,
-            Half& to,
+  void Hold(Direction& direction,
+            Direction& to,
             std::size_t bytes,
             std::chrono::milliseconds wait) {
-    if (wait.count() == 0 && !IsHeld(half)) {
-      Write(half, to, bytes);
+    if (wait.count() == 0 && !IsHeld(direction)) {
+      Write(direction, to, bytes);
       return;
     }
-    half.timer.expires_after(wait.count() == 0 ? kHeldPeriod : wait);
-    half.timer.async_wait([self = shared_from_this(), &half, &to,
-                           bytes](const SystemError& error) {
+    direction.timer.expires_after(wait.count() == 0 ? kHeldPollPeriod : wait);
+    direction.timer.async_wait([self = shared_from_this(), &direction, &to,
+                                bytes](const SystemError& error) {
       if (!error) {
-        self->Hold(half, to, bytes, kLinkDelay.zero());
+        self->Hold(direction, to, bytes, kLinkDelay.zero());
       }
     });
   }
 
-  void Write(Half& half, Half& to, std::size_t bytes) {
-    asio::async_write(to.from, asio::buffer(half.data, bytes),
-                      [self = shared_from_this(), &half, &to](
+  void Write(Direction& direction, Direction& to, std::size_t bytes) {
+    asio::async_write(to.from, asio::buffer(direction.data, bytes),
+                      [self = shared_from_this(), &direction, &to](
                           const SystemError& error, std::size_t) {
                         if (error) {
-                          self->End(true);
+                          self->Close(true);
                           return;
                         }
-                        self->Read(half, to);
+                        self->Read(direction, to);
                       });
   }
 
   LoopbackProxy& m_proxy;
-  Half m_forward;
-  Half m_back;
+  Direction m_forward;
+  Direction m_backward;
 };
 
 }  // namespace internal
@@ -136,7 +137,7 @@
 void LoopbackProxy::SetMode(LinkMode mode) {
   m_mode = mode;
   if (mode == LinkMode::kReset) {
-    asio::post(m_loop, [this] { EndAll(); });
+    asio::post(m_loop, [this] { ResetAll(); });
   }
 }
 
@@ -150,7 +151,7 @@
     std::erase_if(m_connections, [](const auto& old) { return old.expired(); });
     m_connections.push_back(connection);
     if (m_mode == LinkMode::kReset) {
-      connection->End(true);
+      connection->Close(true);
     } else {
       connection->Start();
     }
@@ -158,10 +159,10 @@
   });
 }
 
-void LoopbackProxy::EndAll() {
+void LoopbackProxy::ResetAll() {
   for (const auto& weak : m_connections) {
     if (const auto connection = weak.lock()) {
-      connection->End(true);
+      connection->Close(true);
     }
   }
 }
--- a/soak/loopback_proxy.h
+++ b/soak/loopback_proxy.h
@@ -42,7 +42,7 @@
   friend class internal::ProxiedConnection;
 
   void Accept();
-  void EndAll();
+  void ResetAll();
 
   asio::io_context& m_loop;
   tcp::acceptor m_acceptor;
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -26,7 +26,7 @@
 //! calls must be answered.
 constexpr Duration kCalm = std::chrono::seconds(8);
 //! Most violations printed per seed.
-constexpr std::size_t kMostPrinted = 10;
+constexpr std::size_t kMaxPrinted = 10;
 
 struct SoakOptions {
   PlanOptions plan;
@@ -38,17 +38,17 @@
   bool keep = false;
 };
 
-void Play(Stage& stage, const std::vector<Action>& plan, Duration length) {
+void RunPlan(Stage& stage, const std::vector<Action>& plan, Duration length) {
   const TimePoint begin = stage.Now() + kWarmUp;
   std::size_t next = 0;
   bool is_calm = false;
   while (stage.Now() < begin + length + kCalm) {
-    stage.DoDue();
+    stage.RunDueSteps();
     if (next < plan.size() && begin + plan[next].at <= stage.Now()) {
-      stage.Do(plan[next]);
+      stage.Apply(plan[next]);
       ++next;
     } else if (!is_calm && begin + length < stage.Now()) {
-      stage.Calm();
+      stage.EndAllFaults();
       is_calm = true;
     }
     std::this_thread::sleep_for(kTick);
@@ -66,7 +66,7 @@
             << " layouts, " << history.leavings.size() << " targets left, "
             << calm.answered << " of " << calm.sent << " answered when calm, "
             << found.size() << " promises broken" << std::endl;
-  for (std::size_t index = 0; index < found.size() && index < kMostPrinted;
+  for (std::size_t index = 0; index < found.size() && index < kMaxPrinted;
        ++index) {
     std::cout << "  " << kPromiseNames.Name(found[index].promise) << ": "
               << found[index].text << "\n";
@@ -74,7 +74,7 @@
   return found.empty();
 }
 
-[[nodiscard]] bool PlaySeed(SoakOptions options, std::uint64_t seed) {
+[[nodiscard]] bool RunSeed(SoakOptions options, std::uint64_t seed) {
   options.plan.seed = seed;
   options.plan.length = std::chrono::seconds(options.seconds);
   options.plan.entries = options.stage.entries;
@@ -94,26 +94,26 @@
   options.stage.two_domains = options.plan.evacuations > 0;
   options.stage.work = work;
   options.stage.programs = options.programs;
-  bool kept = false;
+  bool all_held = false;
   {
     Stage stage(options.stage);
     stage.Start();
-    Play(stage, plan, options.plan.length);
+    RunPlan(stage, plan, options.plan.length);
     const History history = stage.Finish();
-    kept = Report(seed, history, FindViolations(history));
+    all_held = Report(seed, history, FindViolations(history));
   }
-  if (kept && !options.keep) {
+  if (all_held && !options.keep) {
     std::filesystem::remove_all(work);
   } else {
     std::cout << "  logs: " << work << std::endl;
   }
-  return kept;
+  return all_held;
 }
 
-int PlayAll(const SoakOptions& options) {
+int RunAllSeeds(const SoakOptions& options) {
   std::uint64_t broken = 0;
   for (std::uint64_t index = 0; index < options.seeds; ++index) {
-    broken += PlaySeed(options, options.plan.seed + index) ? 0 : 1;
+    broken += RunSeed(options, options.plan.seed + index) ? 0 : 1;
   }
   std::cout << options.seeds << " seeds, " << broken << " with broken promises"
             << std::endl;
@@ -158,6 +158,7 @@
                          "print the plan without running it")(
       "keep", po::bool_switch(&soak.keep),
       "keep the logs of seeds without violations");
-  return jacinthdeck::standins::RunProgram(
-      argc, argv, options, [&] { return jacinthdeck::soak::PlayAll(soak); });
+  return jacinthdeck::standins::RunProgram(argc, argv, options, [&] {
+    return jacinthdeck::soak::RunAllSeeds(soak);
+  });
 }
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kOldestCopyMs = 5000;
 //! Time from the restore until the following reshard. The store is reachable
 //! again by then; operators may or may not have repeated their lost writes.
-constexpr Duration kAfterRestore = milliseconds(2000);
+constexpr Duration kReshardAfterRestore = milliseconds(2000);
 //! Range of the time until operators notice lost writes and repeat them.
 constexpr std::uint64_t kSoonestRewriteMs = 200;
 constexpr std::uint64_t kLatestRewriteMs = 3000;
@@ -35,25 +35,25 @@
 //! A fault and the action that ends it; both are equal if the fault needs no
 //! end. A pair listed twice is drawn twice as often: target faults are, because
 //! each affects only one of many targets.
-struct Pair {
+struct FaultPair {
   ActionKind begin;
   ActionKind end;
 };
 
-constexpr std::array kPairs{
-    Pair{ActionKind::kStopEntry, ActionKind::kContinueEntry},
-    Pair{ActionKind::kKillEntry, ActionKind::kStartEntry},
-    Pair{ActionKind::kDrainEntry, ActionKind::kStartEntry},
-    Pair{ActionKind::kStopTarget, ActionKind::kContinueTarget},
-    Pair{ActionKind::kKillTarget, ActionKind::kKillTarget},
-    Pair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
-    Pair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
-    Pair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
-    Pair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
-    Pair{ActionKind::kReshard, ActionKind::kReshard},
-    Pair{ActionKind::kStoreFault, ActionKind::kStoreWell},
-    Pair{ActionKind::kStoreForgets, ActionKind::kStoreForgets},
-    Pair{ActionKind::kLinkFault, ActionKind::kLinkWell}};
+constexpr std::array kFaultPairs{
+    FaultPair{ActionKind::kStopEntry, ActionKind::kContinueEntry},
+    FaultPair{ActionKind::kKillEntry, ActionKind::kStartEntry},
+    FaultPair{ActionKind::kDrainEntry, ActionKind::kStartEntry},
+    FaultPair{ActionKind::kStopTarget, ActionKind::kContinueTarget},
+    FaultPair{ActionKind::kKillTarget, ActionKind::kKillTarget},
+    FaultPair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
+    FaultPair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
+    FaultPair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
+    FaultPair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
+    FaultPair{ActionKind::kReshard, ActionKind::kReshard},
+    FaultPair{ActionKind::kStoreFault, ActionKind::kStoreWell},
+    FaultPair{ActionKind::kStoreForgets, ActionKind::kStoreForgets},
+    FaultPair{ActionKind::kLinkFault, ActionKind::kLinkWell}};
 
 template <typename Enum, std::size_t Size>
 [[nodiscard]] Enum Draw(const NameTable<Enum, Size>& /*names*/,
@@ -72,7 +72,7 @@
                       : Link::kTarget;
 }
 
-[[nodiscard]] bool IsOfEntries(const Action& action) {
+[[nodiscard]] bool AffectsEntry(const Action& action) {
   return action.kind == ActionKind::kStopEntry ||
          action.kind == ActionKind::kKillEntry ||
          action.kind == ActionKind::kDrainEntry ||
@@ -82,7 +82,7 @@
 
 struct Span {
   Duration at{};
-  Duration lasts{};
+  Duration duration{};
 };
 
 //! Draws a span that ends within the length of the plan, if it fits.
@@ -91,23 +91,25 @@
                             std::uint64_t longest_ms,
                             Random& random) {
   Span span;
-  span.lasts =
+  span.duration =
       milliseconds(shortest_ms + random.Below(longest_ms - shortest_ms));
-  const Duration room = std::max(options.length - span.lasts, Duration(1));
-  span.at = Duration(random.Below(static_cast<std::uint64_t>(room.count())));
+  const Duration begin_range =
+      std::max(options.length - span.duration, Duration(1));
+  span.at =
+      Duration(random.Below(static_cast<std::uint64_t>(begin_range.count())));
   return span;
 }
 
 //! Adds evacuations from a generator of their own, so that the faults of a seed
 //! stay the same.
 void AddEvacuations(const PlanOptions& options, std::vector<Action>& plan) {
-  constexpr std::uint64_t kOtherDraws = 0x9e3779b97f4a7c15U;
-  Random random(options.seed ^ kOtherDraws);
+  constexpr std::uint64_t kSeedMask = 0x9e3779b97f4a7c15U;
+  Random random(options.seed ^ kSeedMask);
   for (std::size_t index = 0; index < options.evacuations; ++index) {
     const Span span =
         DrawSpan(options, kShortestEvacuationMs, kLongestEvacuationMs, random);
     plan.push_back({span.at, ActionKind::kEvacuate});
-    plan.push_back({span.at + span.lasts, ActionKind::kGiveBack});
+    plan.push_back({span.at + span.duration, ActionKind::kGiveBack});
   }
 }
 
@@ -115,22 +117,22 @@
 //! a restore must still reach all entries. If a second copy is made before the
 //! first restore, the first restore uses the second copy.
 void AddRestores(const PlanOptions& options, std::vector<Action>& plan) {
-  constexpr std::uint64_t kOtherDraws = 0xd1b54a32d192ed03U;
-  constexpr std::uint64_t kRewriteDraws = 0x8cb92ba72f3d8dd7U;
-  Random random(options.seed ^ kOtherDraws);
-  Random rewrites(options.seed ^ kRewriteDraws);
+  constexpr std::uint64_t kSeedMask = 0xd1b54a32d192ed03U;
+  constexpr std::uint64_t kRewriteSeedMask = 0x8cb92ba72f3d8dd7U;
+  Random random(options.seed ^ kSeedMask);
+  Random rewrites(options.seed ^ kRewriteSeedMask);
   for (std::size_t index = 0; index < options.restores; ++index) {
     PlanOptions earlier = options;
-    earlier.length -= std::min(options.length, kAfterRestore);
+    earlier.length -= std::min(options.length, kReshardAfterRestore);
     const Span span = DrawSpan(earlier, kYoungestCopyMs, kOldestCopyMs, random);
     plan.push_back({span.at, ActionKind::kCopyStore});
-    Action restore{span.at + span.lasts, ActionKind::kRestoreStore};
+    Action restore{span.at + span.duration, ActionKind::kRestoreStore};
     restore.rewritten_after = options.rewritten_after.value_or(
         milliseconds(kSoonestRewriteMs +
                      rewrites.Below(kLatestRewriteMs - kSoonestRewriteMs)));
     plan.push_back(restore);
     plan.push_back(
-        {span.at + span.lasts + kAfterRestore, ActionKind::kReshard});
+        {span.at + span.duration + kReshardAfterRestore, ActionKind::kReshard});
   }
 }
 
@@ -140,20 +142,20 @@
   Random random(options.seed);
   std::vector<Action> plan;
   for (std::size_t fault = 0; fault < options.faults; ++fault) {
-    const Pair& pair = kPairs[random.Below(kPairs.size())];
+    const FaultPair& pair = kFaultPairs[random.Below(kFaultPairs.size())];
     Action action;
     action.kind = pair.begin;
     action.store = Draw(kStoreFaultNames, random);
     action.link = DrawLink(random);
     action.mode = Draw(kLinkModeNames, random, 1);
     action.subject =
-        random.Below(IsOfEntries(action) ? options.entries : kTargets);
+        random.Below(AffectsEntry(action) ? options.entries : kTargets);
     const Span span = DrawSpan(options, kShortestMs, kLongestMs, random);
     action.at = span.at;
     plan.push_back(action);
     if (pair.end != pair.begin) {
       action.kind = pair.end;
-      action.at += span.lasts;
+      action.at += span.duration;
       plan.push_back(action);
     }
   }
--- a/soak/stage.cc
+++ b/soak/stage.cc
@@ -25,24 +25,24 @@
 //! still run after this time.
 constexpr int kGraceMs = 2500;
 //! Time that new targets run before a configuration names them.
-constexpr Duration kBeforeReshard = milliseconds(1500);
+constexpr Duration kNewTargetsLeadTime = milliseconds(1500);
 //! Time from writing a configuration until the old targets drain; longer than
 //! the bound within which all entries must use the configuration.
-constexpr Duration kAfterReshard = milliseconds(3200);
+constexpr Duration kOldTargetsDrainDelay = milliseconds(3200);
 //! Time that a continued process gets to handle what expired while it was
 //! stopped.
-constexpr Duration kThaw = seconds(1);
+constexpr Duration kContinueRecovery = seconds(1);
 //! Recovery period after the last fault: Bounds::contact and a margin. Calls
 //! sent after it must be answered.
 constexpr Duration kRecovery = seconds(6);
 //! Slightly longer than the callers' timeout, so that each call under way ends
 //! before the loop stops.
-constexpr Duration kLastCalls = milliseconds(3200);
+constexpr Duration kLastCallsWait = milliseconds(3200);
 constexpr std::uint32_t kReplicas = 2;
 constexpr const char* kOtherDomain = "b";
 
-[[nodiscard]] std::string Cause(const char* what, std::size_t life) {
-  return std::string(what) + " " + std::to_string(life);
+[[nodiscard]] std::string Cause(const char* what, std::size_t instance) {
+  return std::string(what) + " " + std::to_string(instance);
 }
 
 }  // namespace
@@ -59,11 +59,11 @@
   m_loop.stop();
 }
 
-std::string Stage::PathOf(const std::string& program) const {
+std::string Stage::ProgramPath(const std::string& program) const {
   return (m_options.programs / program).string();
 }
 
-std::string Stage::FileOf(const std::string& name) const {
+std::string Stage::WorkFilePath(const std::string& name) const {
   return (m_options.work / name).string();
 }
 
@@ -80,46 +80,46 @@
   }
 }
 
-void Stage::Do(const Action& action) {
+void Stage::Apply(const Action& action) {
   //! Indexed by ActionKind.
   static constexpr std::array<Step, kActionNames.names.size()> kSteps{
-      &Stage::StopEntry,      &Stage::ContinueEntry, &Stage::KillEntry,
-      &Stage::DrainEntry,     &Stage::RestartEntry,  &Stage::StopTarget,
-      &Stage::ContinueTarget, &Stage::KillTarget,    &Stage::DrainTarget,
-      &Stage::LoseAnswers,    &Stage::AnswerAll,     &Stage::Reshard,
-      &Stage::HarmStore,      &Stage::ForgetInStore, &Stage::HealStore,
-      &Stage::HarmLink,       &Stage::HealLink,      &Stage::Evacuate,
-      &Stage::GiveBack,       &Stage::CopyStore,     &Stage::RestoreStore};
+      &Stage::StopEntry,        &Stage::ContinueEntry,  &Stage::KillEntry,
+      &Stage::DrainEntry,       &Stage::RestartEntry,   &Stage::StopTarget,
+      &Stage::ContinueTarget,   &Stage::KillTarget,     &Stage::DrainTarget,
+      &Stage::LoseAnswers,      &Stage::AnswerAll,      &Stage::Reshard,
+      &Stage::InjectStoreFault, &Stage::CompactStore,   &Stage::ClearStoreFault,
+      &Stage::InjectLinkFault,  &Stage::ClearLinkFault, &Stage::Evacuate,
+      &Stage::EndEvacuation,    &Stage::CopyStore,      &Stage::RestoreStore};
   const Step step = kSteps[static_cast<std::size_t>(action.kind)];
   (this->*step)(action);
 }
 
-void Stage::Later(Duration after, std::function<void()> step) {
-  m_later.emplace(Now() + after, std::move(step));
+void Stage::Schedule(Duration after, std::function<void()> step) {
+  m_scheduled.emplace(Now() + after, std::move(step));
 }
 
-void Stage::DoDue() {
-  while (!m_later.empty() && m_later.begin()->first <= Now()) {
-    const auto due = m_later.extract(m_later.begin());
+void Stage::RunDueSteps() {
+  while (!m_scheduled.empty() && m_scheduled.begin()->first <= Now()) {
+    const auto due = m_scheduled.extract(m_scheduled.begin());
     due.mapped()();
   }
 }
 
-void Stage::Begin(const std::string& cause,
-                  const std::vector<std::size_t>& lives,
-                  Harm harm,
-                  Duration after) {
-  for (const std::size_t life : lives) {
-    m_open[cause].push_back(m_troubles.size());
-    m_troubles.push_back({life, harm, Now() + after});
+void Stage::BeginFaultPeriods(const std::string& cause,
+                              const std::vector<std::size_t>& instances,
+                              FaultEffect effect,
+                              Duration after) {
+  for (const std::size_t instance : instances) {
+    m_open_periods[cause].push_back(m_fault_periods.size());
+    m_fault_periods.push_back({instance, effect, Now() + after});
   }
 }
 
-void Stage::End(const std::string& cause, Duration after) {
-  for (const std::size_t index : m_open[cause]) {
-    m_troubles[index].to = Now() + after;
+void Stage::EndFaultPeriods(const std::string& cause, Duration after) {
+  for (const std::size_t index : m_open_periods[cause]) {
+    m_fault_periods[index].to = Now() + after;
   }
-  m_open.erase(cause);
+  m_open_periods.erase(cause);
 }
 
 Stage::Entry& Stage::EntryOf(const Action& action) {
@@ -128,57 +128,60 @@
 
 void Stage::StopEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
-  const std::string cause = Cause("stopped", entry.life);
-  Begin(cause, {entry.life}, Harm::kKnowledge);
-  Begin(cause, {entry.life}, Harm::kConnections);
+  const std::string cause = Cause("stopped", entry.instance);
+  BeginFaultPeriods(cause, {entry.instance}, FaultEffect::kPropagation);
+  BeginFaultPeriods(cause, {entry.instance}, FaultEffect::kConnections);
   entry.child->Signal(SIGSTOP);
 }
 
 void Stage::ContinueEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   entry.child->Signal(SIGCONT);
-  End(Cause("stopped", entry.life), kThaw);
+  EndFaultPeriods(Cause("stopped", entry.instance), kContinueRecovery);
 }
 
 void Stage::KillEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   // The fault period must begin before the signal: callers see the connection
   // close within microseconds of it, and the check would report a cut request.
-  Begin(Cause("killed", entry.life), {entry.life}, Harm::kConnections);
+  BeginFaultPeriods(Cause("killed", entry.instance), {entry.instance},
+                    FaultEffect::kConnections);
   entry.child->Signal(SIGKILL);
-  asio::post(m_loop, [this, life = entry.life] { m_callers.Remove(life); });
+  asio::post(m_loop,
+             [this, instance = entry.instance] { m_callers.Remove(instance); });
 }
 
 void Stage::DrainEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   entry.child->Signal(SIGTERM);
-  Begin(Cause("killed", entry.life), {entry.life}, Harm::kConnections,
-        milliseconds(kGraceMs));
-  asio::post(m_loop, [this, life = entry.life] { m_callers.Remove(life); });
+  BeginFaultPeriods(Cause("killed", entry.instance), {entry.instance},
+                    FaultEffect::kConnections, milliseconds(kGraceMs));
+  asio::post(m_loop,
+             [this, instance = entry.instance] { m_callers.Remove(instance); });
 }
 
 void Stage::RestartEntry(const Action& action) {
   Entry& entry = EntryOf(action);
   if (entry.child->IsRunning() &&
-      !m_open.contains(Cause("killed", entry.life))) {
+      !m_open_periods.contains(Cause("killed", entry.instance))) {
     return;
   }
   if (entry.child->IsRunning()) {
     // The old process still drains; its name is in use until it ends.
-    Later(milliseconds(200), [this, action] { RestartEntry(action); });
+    Schedule(milliseconds(200), [this, action] { RestartEntry(action); });
     return;
   }
   StartEntry(entry);
 }
 
 void Stage::StartEntry(Entry& entry) {
-  entry.life = m_lives++;
-  Retire(std::move(entry.store));
-  Retire(std::move(entry.callers));
+  entry.instance = m_next_entry_instance++;
+  KeepReplacedProxy(std::move(entry.store));
+  KeepReplacedProxy(std::move(entry.callers));
   entry.store = std::make_unique<LoopbackProxy>(m_loop);
   entry.store->SetUpstream(m_store_port);
   entry.callers = std::make_unique<LoopbackProxy>(m_loop);
-  const std::string settings = FileOf(entry.name + ".toml");
+  const std::string settings = WorkFilePath(entry.name + ".toml");
   standins::WriteFile(
       settings,
       "[host]\nname = \"" + entry.name + "\"\nfailure_domain = \"" + kDomain +
@@ -188,28 +191,29 @@
           std::to_string(entry.store->port()) + "\"\n[shutdown]\ngrace_ms = " +
           std::to_string(kGraceMs) + "\n[log]\nsample = 1\n");
   const std::string output =
-      FileOf(entry.name + "." + std::to_string(entry.life) + ".log");
+      WorkFilePath(entry.name + "." + std::to_string(entry.instance) + ".log");
   entry.child = std::make_unique<Child>(
-      std::vector<std::string>{PathOf("platform/jacinthdeckd"), "--config",
+      std::vector<std::string>{ProgramPath("platform/jacinthdeckd"), "--config",
                                settings},
       output);
   const std::string port =
-      entry.child->WaitFor(R"("callers_port":(\d+))", kStartPatience);
+      entry.child->WaitForOutput(R"("callers_port":(\d+))", kStartTimeout);
   entry.callers->SetUpstream(static_cast<std::uint16_t>(std::stoi(port)));
-  const std::string started = Cause("started", entry.life);
-  Begin(started, {entry.life}, Harm::kKnowledge);
-  End(started);
-  if (m_open.contains("store")) {
-    Begin("store", {entry.life}, Harm::kKnowledge);
+  const std::string started = Cause("started", entry.instance);
+  BeginFaultPeriods(started, {entry.instance}, FaultEffect::kPropagation);
+  EndFaultPeriods(started);
+  if (m_open_periods.contains("store")) {
+    BeginFaultPeriods("store", {entry.instance}, FaultEffect::kPropagation);
   }
-  asio::post(m_loop, [this, life = entry.life, proxy = entry.callers->port()] {
-    m_callers.Add(life, proxy);
-  });
+  asio::post(m_loop,
+             [this, instance = entry.instance, proxy = entry.callers->port()] {
+               m_callers.Add(instance, proxy);
+             });
 }
 
-void Stage::Retire(std::unique_ptr<LoopbackProxy> proxy) {
+void Stage::KeepReplacedProxy(std::unique_ptr<LoopbackProxy> proxy) {
   if (proxy) {
-    m_retired.push_back(std::move(proxy));
+    m_replaced_proxies.push_back(std::move(proxy));
   }
 }
 
@@ -222,7 +226,7 @@
   }
   const auto single =
       std::find_if(m_targets.rbegin(), m_targets.rend(), [&](const auto& it) {
-        return it->service == SingleName(m_layout) && !it->leaving;
+        return it->service == SingleServiceName(m_layout) && !it->leaving;
       });
   return single == m_targets.rend() ? any : **single;
 }
@@ -231,7 +235,7 @@
                         std::uint32_t shard,
                         const std::string& domain) {
   auto target = std::make_unique<Target>();
-  target->id = "t-" + std::to_string(m_target_lives++);
+  target->id = "t-" + std::to_string(m_next_target_number++);
   target->service = service;
   target->shard = shard;
   target->domain = domain;
@@ -239,14 +243,14 @@
   target->proxy = std::make_unique<LoopbackProxy>(m_loop);
   target->child = std::make_unique<Child>(
       std::vector<std::string>{
-          PathOf("soak/soak_target"), "--id", target->id, "--service", service,
-          "--store", std::to_string(m_store_port), "--advertised",
-          std::to_string(target->proxy->port()), "--log", FileOf("runs.log"),
-          "--layout", std::to_string(m_layout), "--shard",
-          std::to_string(shard), "--domain", domain},
-      FileOf(target->id + ".log"));
-  const std::string port =
-      target->child->WaitFor(R"(listening 127\.0\.0\.1:(\d+))", kStartPatience);
+          ProgramPath("soak/soak_target"), "--id", target->id, "--service",
+          service, "--store", std::to_string(m_store_port), "--advertised",
+          std::to_string(target->proxy->port()), "--log",
+          WorkFilePath("runs.log"), "--layout", std::to_string(m_layout),
+          "--shard", std::to_string(shard), "--domain", domain},
+      WorkFilePath(target->id + ".log"));
+  const std::string port = target->child->WaitForOutput(
+      R"(listening 127\.0\.0\.1:(\d+))", kStartTimeout);
   target->proxy->SetUpstream(static_cast<std::uint16_t>(std::stoi(port)));
   m_targets.push_back(std::move(target));
 }
@@ -259,7 +263,7 @@
     for (std::uint32_t shard = 0; shard < kShards; ++shard) {
       StartTarget(ServiceName(m_layout, shard), shard, domain);
     }
-    StartTarget(SingleName(m_layout), 0, domain);
+    StartTarget(SingleServiceName(m_layout), 0, domain);
   }
 }
 
@@ -306,9 +310,9 @@
     return;
   }
   StartLayout();
-  Later(kBeforeReshard, [this] {
+  Schedule(kNewTargetsLeadTime, [this] {
     WriteConfig();
-    Later(kAfterReshard, [this] { DrainOldTargets(); });
+    Schedule(kOldTargetsDrainDelay, [this] { DrainOldTargets(); });
   });
 }
 
@@ -316,7 +320,7 @@
   const std::string current = "-" + std::to_string(m_layout);
   for (const auto& target : m_targets) {
     const bool is_current =
-        target->service == SingleName(m_layout) ||
+        target->service == SingleServiceName(m_layout) ||
         target->service.starts_with("shard" + current + "-");
     if (!is_current && !std::exchange(target->leaving, true)) {
       target->child->Signal(SIGTERM);
@@ -333,17 +337,19 @@
   return action.link == Link::kStore ? *entry.store : *entry.callers;
 }
 
-void Stage::HarmLink(const Action& action) {
-  const std::size_t life = EntryOf(action).life;
+void Stage::InjectLinkFault(const Action& action) {
+  const std::size_t instance = EntryOf(action).instance;
   if (action.link == Link::kStore) {
-    Begin(Cause("store link", life), {life}, Harm::kKnowledge);
+    BeginFaultPeriods(Cause("store link", instance), {instance},
+                      FaultEffect::kPropagation);
   } else if (action.link == Link::kCallers) {
-    Begin(Cause("callers link", life), {life}, Harm::kConnections);
+    BeginFaultPeriods(Cause("callers link", instance), {instance},
+                      FaultEffect::kConnections);
   }
   LinkOf(action).SetMode(action.mode);
 }
 
-void Stage::HealLink(const Action& action) {
+void Stage::ClearLinkFault(const Action& action) {
   if (action.link == Link::kTarget) {
     for (const auto& target : m_targets) {
       target->proxy->SetMode(LinkMode::kPass);
@@ -351,22 +357,24 @@
     return;
   }
   LinkOf(action).SetMode(LinkMode::kPass);
-  const std::size_t life = EntryOf(action).life;
-  End(Cause(action.link == Link::kStore ? "store link" : "callers link", life),
-      action.link == Link::kStore ? Duration::zero() : kThaw);
+  const std::size_t instance = EntryOf(action).instance;
+  EndFaultPeriods(
+      Cause(action.link == Link::kStore ? "store link" : "callers link",
+            instance),
+      action.link == Link::kStore ? Duration::zero() : kContinueRecovery);
 }
 
-void Stage::Calm() {
-  GiveBack({});
-  HealStore({});
-  HealLink({{}, ActionKind::kLinkWell, 0, {}, Link::kTarget});
+void Stage::EndAllFaults() {
+  EndEvacuation({});
+  ClearStoreFault({});
+  ClearLinkFault({{}, ActionKind::kLinkWell, 0, {}, Link::kTarget});
   ContinueTarget({});
   AnswerAll({});
   for (std::size_t index = 0; index < m_entries.size(); ++index) {
     const Action of_entry{{}, ActionKind::kStartEntry, index};
     ContinueEntry(of_entry);
     for (const Link link : {Link::kCallers, Link::kStore}) {
-      HealLink({{}, ActionKind::kLinkWell, index, {}, link});
+      ClearLinkFault({{}, ActionKind::kLinkWell, index, {}, link});
     }
     RestartEntry(of_entry);
   }
@@ -375,7 +383,7 @@
 
 History Stage::Finish() {
   asio::post(m_loop, [this] { m_callers.Stop(); });
-  std::this_thread::sleep_for(kLastCalls);
+  std::this_thread::sleep_for(kLastCallsWait);
   m_loop.stop();
   m_loop_thread.join();
   History history;
@@ -383,14 +391,14 @@
   history.layouts = m_layouts;
   history.placements = m_placements;
   history.evacuations = m_evacuations;
-  history.troubles = m_troubles;
+  history.fault_periods = m_fault_periods;
   history.calm_since = m_calm_since;
   ReadLog(history);
   return history;
 }
 
 void Stage::ReadLog(History& history) const {
-  std::ifstream file(FileOf("runs.log"));
+  std::ifstream file(WorkFilePath("runs.log"));
   std::string event;
   std::string target;
   std::string request;
--- a/soak/stage.h
+++ b/soak/stage.h
@@ -27,7 +27,7 @@
 //! that most requests go there. Evacuations apply to this domain.
 inline constexpr const char* kDomain = "a";
 //! Longest time for a process to report that it is ready.
-inline constexpr Duration kStartPatience = std::chrono::seconds(20);
+inline constexpr Duration kStartTimeout = std::chrono::seconds(20);
 
 /*! \brief Location of the programs and number of processes of a run. */
 struct StageOptions {
@@ -62,11 +62,11 @@
    * \throw std::runtime_error if one does not become ready. */
   void Start();
   /*! \brief Applies one step of a plan now. */
-  void Do(const Action& action);
+  void Apply(const Action& action);
   /*! \brief Runs the scheduled steps that are due. */
-  void DoDue();
+  void RunDueSteps();
   /*! \brief Ends all faults and restarts entries that have ended. */
-  void Calm();
+  void EndAllFaults();
   /*! \brief Stops the callers and the loop and returns the recorded events. */
   [[nodiscard]] History Finish();
 
@@ -85,7 +85,7 @@
   struct Entry {
     std::string name;
     //! Number of the entry's current process, in the order of starts.
-    std::size_t life = 0;
+    std::size_t instance = 0;
     std::unique_ptr<LoopbackProxy> store;
     std::unique_ptr<LoopbackProxy> callers;
     std::unique_ptr<Child> child;
@@ -104,13 +104,13 @@
   void LoseAnswers(const Action& action);
   void AnswerAll(const Action& action);
   void Reshard(const Action& action);
-  void HarmStore(const Action& action);
-  void ForgetInStore(const Action& action);
-  void HealStore(const Action& action);
-  void HarmLink(const Action& action);
-  void HealLink(const Action& action);
+  void InjectStoreFault(const Action& action);
+  void CompactStore(const Action& action);
+  void ClearStoreFault(const Action& action);
+  void InjectLinkFault(const Action& action);
+  void ClearLinkFault(const Action& action);
   void Evacuate(const Action& action);
-  void GiveBack(const Action& action);
+  void EndEvacuation(const Action& action);
   void CopyStore(const Action& action);
   void RestoreStore(const Action& action);
 
@@ -118,7 +118,7 @@
   void StartEntry(Entry& entry);
   //! Keeps a replaced proxy until the end of the run, because a handler on the
   //! loop thread may still use it.
-  void Retire(std::unique_ptr<LoopbackProxy> proxy);
+  void KeepReplacedProxy(std::unique_ptr<LoopbackProxy> proxy);
   void StartTarget(const std::string& service,
                    std::uint32_t shard,
                    const std::string& domain);
@@ -132,25 +132,25 @@
   void RemoveFromStore(const std::string& key);
   //! Repeats the configuration and evacuation writes that a restore lost, as
   //! operators do.
-  void WriteAgain();
+  void RepeatLostWrites();
   [[nodiscard]] bool IsEvacuated() const;
   [[nodiscard]] Entry& EntryOf(const Action& action);
   [[nodiscard]] Target& TargetOf(const Action& action);
   [[nodiscard]] LoopbackProxy& LinkOf(const Action& action);
-  void Later(Duration after, std::function<void()> step);
+  void Schedule(Duration after, std::function<void()> step);
   //! Opens a fault period for entry processes, starting after a delay. The
   //! periods that the cause has opened before stay open.
-  void Begin(const std::string& cause,
-             const std::vector<std::size_t>& lives,
-             Harm harm,
-             Duration after = {});
+  void BeginFaultPeriods(const std::string& cause,
+                         const std::vector<std::size_t>& instances,
+                         FaultEffect effect,
+                         Duration after = {});
   //! Ends all fault periods of a cause after a delay.
-  void End(const std::string& cause, Duration after = {});
-  void BeginStoreHarm();
-  [[nodiscard]] std::vector<std::size_t> EntryLives() const;
+  void EndFaultPeriods(const std::string& cause, Duration after = {});
+  void BeginStoreFaultPeriod();
+  [[nodiscard]] std::vector<std::size_t> EntryInstances() const;
   void ReadLog(History& history) const;
-  [[nodiscard]] std::string PathOf(const std::string& program) const;
-  [[nodiscard]] std::string FileOf(const std::string& name) const;
+  [[nodiscard]] std::string ProgramPath(const std::string& program) const;
+  [[nodiscard]] std::string WorkFilePath(const std::string& name) const;
 
   StageOptions m_options;
   BoottimeClock m_clock;
@@ -159,16 +159,16 @@
   std::uint16_t m_store_port = 0;
   std::vector<Entry> m_entries;
   std::vector<std::unique_ptr<Target>> m_targets;
-  std::vector<std::unique_ptr<LoopbackProxy>> m_retired;
-  std::size_t m_lives = 0;
-  std::size_t m_target_lives = 0;
+  std::vector<std::unique_ptr<LoopbackProxy>> m_replaced_proxies;
+  std::size_t m_next_entry_instance = 0;
+  std::size_t m_next_target_number = 0;
   std::uint32_t m_layout = 0;
   bool m_is_resharding = false;
   bool m_is_restoring = false;
-  std::multimap<TimePoint, std::function<void()>> m_later;
-  std::vector<Trouble> m_troubles;
-  //! Indices into m_troubles of the open fault periods, by cause.
-  std::map<std::string, std::vector<std::size_t>> m_open;
+  std::multimap<TimePoint, std::function<void()>> m_scheduled;
+  std::vector<FaultPeriod> m_fault_periods;
+  //! Indices into m_fault_periods of the open fault periods, by cause.
+  std::map<std::string, std::vector<std::size_t>> m_open_periods;
   std::vector<LayoutChange> m_layouts;
   std::vector<Placement> m_placements;
   //! At most one of them, the last, has not ended.
--- a/soak/stage_store.cc
+++ b/soak/stage_store.cc
@@ -25,7 +25,7 @@
 
 constexpr Duration kControlTimeout = seconds(5);
 //! Outage of the store before it returns with a copy.
-constexpr Duration kBeforeRestore = milliseconds(700);
+constexpr Duration kRestoreOutage = milliseconds(700);
 //! Configuration writes after a copy, which a restore loses. Without them the
 //! revisions of the restored store would pass those from before the restore
 //! within a moment, and entries that confuse the two histories would recover
@@ -46,10 +46,10 @@
 
 void Stage::StartStore() {
   m_store = std::make_unique<Child>(
-      std::vector<std::string>{PathOf("standins/standin_store")},
-      FileOf("store.log"));
+      std::vector<std::string>{ProgramPath("standins/standin_store")},
+      WorkFilePath("store.log"));
   const std::string port =
-      m_store->WaitFor(R"(listening 127\.0\.0\.1:(\d+))", kStartPatience);
+      m_store->WaitForOutput(R"(listening 127\.0\.0\.1:(\d+))", kStartTimeout);
   m_store_port = static_cast<std::uint16_t>(std::stoi(port));
 }
 
@@ -73,34 +73,34 @@
   ControlStore(DumpJson(*message));
 }
 
-void Stage::BeginStoreHarm() {
-  if (!m_open.contains("store")) {
-    Begin("store", EntryLives(), Harm::kKnowledge);
+void Stage::BeginStoreFaultPeriod() {
+  if (!m_open_periods.contains("store")) {
+    BeginFaultPeriods("store", EntryInstances(), FaultEffect::kPropagation);
   }
 }
 
-std::vector<std::size_t> Stage::EntryLives() const {
-  std::vector<std::size_t> lives;
-  lives.reserve(m_entries.size());
+std::vector<std::size_t> Stage::EntryInstances() const {
+  std::vector<std::size_t> instances;
+  instances.reserve(m_entries.size());
   for (const Entry& entry : m_entries) {
-    lives.push_back(entry.life);
+    instances.push_back(entry.instance);
   }
-  return lives;
+  return instances;
 }
 
-void Stage::HarmStore(const Action& action) {
-  BeginStoreHarm();
+void Stage::InjectStoreFault(const Action& action) {
+  BeginStoreFaultPeriod();
   const auto fault = static_cast<std::size_t>(action.store);
   ControlStore(kStoreMessages[fault]);
 }
 
-void Stage::ForgetInStore(const Action& /*action*/) {
+void Stage::CompactStore(const Action& /*action*/) {
   ControlStore(R"({"compact":true})");
 }
 
-void Stage::HealStore(const Action& /*action*/) {
+void Stage::ClearStoreFault(const Action& /*action*/) {
   ControlStore(kStoreWell);
-  End("store");
+  EndFaultPeriods("store");
 }
 
 bool Stage::IsEvacuated() const {
@@ -115,7 +115,7 @@
   }
 }
 
-void Stage::GiveBack(const Action& /*action*/) {
+void Stage::EndEvacuation(const Action& /*action*/) {
   if (!IsEvacuated()) {
     return;
   }
@@ -137,18 +137,18 @@
   if (std::exchange(m_is_restoring, true)) {
     return;
   }
-  BeginStoreHarm();
+  BeginStoreFaultPeriod();
   ControlStore(R"({"outage":"silent"})");
-  Later(kBeforeRestore, [this, rewritten_after = action.rewritten_after] {
+  Schedule(kRestoreOutage, [this, rewritten_after = action.rewritten_after] {
     // Another action may have ended the outage, and with it the fault period.
-    BeginStoreHarm();
+    BeginStoreFaultPeriod();
     ControlStore(R"({"restore":true})");
-    HealStore({});
-    Later(rewritten_after, [this] { WriteAgain(); });
+    ClearStoreFault({});
+    Schedule(rewritten_after, [this] { RepeatLostWrites(); });
   });
 }
 
-void Stage::WriteAgain() {
+void Stage::RepeatLostWrites() {
   PutInStore(std::string(platform::wire::kConfigKey),
              ConfigText(m_layouts.back().layout));
   if (IsEvacuated()) {
--- a/soak/target_main.cc
+++ b/soak/target_main.cc
@@ -29,14 +29,14 @@
 using std::chrono::milliseconds;
 
 //! Period at which the target renews its registration.
-constexpr milliseconds kBeatPeriod{1000};
+constexpr milliseconds kRenewalPeriod{1000};
 //! Time to live of the registration: three missed renewals and a margin.
-constexpr int kLifeMs = 3600;
+constexpr int kRegistrationTtlMs = 3600;
 //! A draining target serves for twice the bound within which all entries must
 //! stop sending to it, so that a late request is observed.
-constexpr milliseconds kDrain{6000};
+constexpr milliseconds kDrainDuration{6000};
 //! Upper limit of the execution time, which is derived from the request id.
-constexpr std::uint64_t kMostWorkMs = 60;
+constexpr std::uint64_t kMaxExecutionMs = 60;
 constexpr Duration kStoreTimeout = std::chrono::seconds(2);
 constexpr int kSlots = 8;
 //! One in this many answers is lost while the target loses answers.
@@ -74,18 +74,20 @@
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
 
   //! Renews the registration until stopped; runs on its own thread.
-  void Beat(const std::stop_token& stop) {
+  void RenewRegistration(const std::stop_token& stop) {
     while (!stop.stop_requested()) {
-      if (Register() && m_leaving && !m_told) {
+      if (Register() && m_leaving && !m_leaving_confirmed) {
         Write("leaving", "-");
-        m_told = true;
+        m_leaving_confirmed = true;
       }
-      std::this_thread::sleep_for(kBeatPeriod / 10);
+      std::this_thread::sleep_for(kRenewalPeriod / 10);
     }
   }
 
-  void Leave() { m_leaving = true; }
-  [[nodiscard]] bool has_told() const { return m_told; }
+  void StartLeaving() { m_leaving = true; }
+  [[nodiscard]] bool is_leaving_confirmed() const {
+    return m_leaving_confirmed;
+  }
 
  private:
   //! Appends one line with a single write(), so that a kill leaves no partial
@@ -116,7 +118,8 @@
       return NotRun(http_status::kMisdirected);
     }
     Write("run", id->second);
-    std::this_thread::sleep_for(milliseconds(HashOf(id->second) % kMostWorkMs));
+    std::this_thread::sleep_for(
+        milliseconds(HashOf(id->second) % kMaxExecutionMs));
     if (loses_answers != 0 && HashOf(id->second) % kLostOneIn == 0) {
       return standins::DropConnection();
     }
@@ -131,10 +134,10 @@
 
   [[nodiscard]] bool Register() {
     const auto now = m_clock.Now();
-    if (!m_leaving && now < m_next_beat) {
+    if (!m_leaving && now < m_next_renewal) {
       return false;
     }
-    m_next_beat = now + kBeatPeriod;
+    m_next_renewal = now + kRenewalPeriod;
     const std::string address =
         "127.0.0.1:" + std::to_string(m_options.advertised);
     const JsonPtr entry(json_pack(
@@ -145,7 +148,7 @@
     const std::string key = std::string(wire::kTargetKeys) + m_options.id;
     const JsonPtr message(
         json_pack("{s:[{s:s, s:s, s:i}]}", "put", "key", key.c_str(), "value",
-                  DumpJson(*entry).c_str(), "ttl_ms", kLifeMs));
+                  DumpJson(*entry).c_str(), "ttl_ms", kRegistrationTtlMs));
     const ClientReply reply =
         CallAndWait({"127.0.0.1", m_options.store},
                     {"POST", "/control", DumpJson(*message)}, kStoreTimeout);
@@ -155,9 +158,9 @@
   TargetOptions m_options;
   BoottimeClock m_clock;
   const int m_log;
-  TimePoint m_next_beat;
+  TimePoint m_next_renewal;
   std::atomic<bool> m_leaving = false;
-  std::atomic<bool> m_told = false;
+  std::atomic<bool> m_leaving_confirmed = false;
   //! Declared last, because its handler uses the members above as soon as it is
   //! constructed.
   standins::HttpServer m_server;
@@ -167,14 +170,15 @@
   (void)std::signal(SIGUSR1, [](int) { loses_answers = 1; });
   (void)std::signal(SIGUSR2, [](int) { loses_answers = 0; });
   Target target(options);
-  std::jthread beats(
-      [&target](const std::stop_token& stop) { target.Beat(stop); });
+  std::jthread renewals([&target](const std::stop_token& stop) {
+    target.RenewRegistration(stop);
+  });
   standins::ServeUntilSignal(target.port());
-  target.Leave();
-  while (!target.has_told()) {
-    std::this_thread::sleep_for(kBeatPeriod / 10);
+  target.StartLeaving();
+  while (!target.is_leaving_confirmed()) {
+    std::this_thread::sleep_for(kRenewalPeriod / 10);
   }
-  std::this_thread::sleep_for(kDrain);
+  std::this_thread::sleep_for(kDrainDuration);
   return 0;
 }
 
--- a/test/soak/checks_test.cc
+++ b/test/soak/checks_test.cc
@@ -119,8 +119,8 @@
 
 BOOST_AUTO_TEST_CASE(OldLayout_AtAnEntryThatWasHarmed_IsAllowedUntilContact) {
   history.layouts = {{1, At({})}, {2, At(seconds(10))}};
-  history.troubles = {
-      {kEntry, Harm::kKnowledge, At(seconds(9)), At(seconds(12))}};
+  history.fault_periods = {
+      {kEntry, FaultEffect::kPropagation, At(seconds(9)), At(seconds(12))}};
   AddCall("a", milliseconds(15900), 1);
   BOOST_TEST(IsKept());
   AddCall("b", milliseconds(16100), 1);
@@ -174,8 +174,8 @@
   BOOST_TEST(IsKept());
   AddRun("a", "t1", seconds(1));
   BOOST_TEST(IsBroken(Promise::kNoRequestIsCut));
-  history.troubles = {
-      {kEntry, Harm::kConnections, At(milliseconds(1010)), TimePoint::max()}};
+  history.fault_periods = {{kEntry, FaultEffect::kConnections,
+                            At(milliseconds(1010)), TimePoint::max()}};
   BOOST_TEST(IsKept());
 }
 
--- a/test/soak/loopback_proxy_test.cc
+++ b/test/soak/loopback_proxy_test.cc
@@ -26,9 +26,9 @@
 
   ProxyFixture() { proxy.SetUpstream(server.port()); }
 
-  void Call(Duration patience) {
+  void Call(Duration timeout) {
     bool ended = false;
-    session.Call({"GET", "/", ""}, patience, [&](const ClientReply& got) {
+    session.Call({"GET", "/", ""}, timeout, [&](const ClientReply& got) {
       reply = got;
       ended = true;
     });
