--- a/test/soak/checks_test.cc
+++ b/test/soak/checks_test.cc
@@ -48,17 +48,19 @@
     return found.size() == 1 && found.front().promise == promise;
   }
 
-  [[nodiscard]] bool IsKept() const { return FindViolations(history).empty(); }
+  [[nodiscard]] bool HoldsAll() const {
+    return FindViolations(history).empty();
+  }
 };
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(ChecksTest, HistoryFixture)
 
-BOOST_AUTO_TEST_CASE(Claim_RanTwice_IsSeen) {
+BOOST_AUTO_TEST_CASE(Claim_RanTwice_IsReported) {
   AddCall("a", seconds(1), 1).kind = CallKind::kClaim;
   AddRun("a", "t1", seconds(1));
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddRun("a", "t2", seconds(1));
   BOOST_TEST(IsBroken(Promise::kRunsOnce));
 }
@@ -67,40 +69,40 @@
   AddCall("a", seconds(1), 1).kind = CallKind::kLookup;
   AddRun("a", "t1", seconds(1));
   AddRun("a", "t2", seconds(1));
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
 }
 
-BOOST_AUTO_TEST_CASE(Claim_ToldNotRunAndRanLater_IsSeen) {
+BOOST_AUTO_TEST_CASE(Claim_ReportedNotRunAndRanLater_IsReported) {
   Call& call = AddCall("a", seconds(1), 1);
   call.kind = CallKind::kClaim;
   call.status = http_status::kUnavailable;
   call.records.clear();
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddRun("a", "t1", seconds(5));
   BOOST_TEST(IsBroken(Promise::kNotRunIsTrue));
 }
 
-BOOST_AUTO_TEST_CASE(Run_NobodyAskedForIt_IsSeen) {
+BOOST_AUTO_TEST_CASE(Run_WithoutRequest_IsReported) {
   AddRun("a", "t1", seconds(1));
   BOOST_TEST(IsBroken(Promise::kOnlyAskedRuns));
 }
 
-BOOST_AUTO_TEST_CASE(Answer_HoldsTwoLayouts_IsSeen) {
+BOOST_AUTO_TEST_CASE(Answer_HoldsTwoLayouts_IsReported) {
   AddCall("a", seconds(1), 1).records[1].layout = 2;
   BOOST_TEST(IsBroken(Promise::kOneLayout));
 }
 
-BOOST_AUTO_TEST_CASE(Answer_HoldsAShardTwice_IsSeen) {
+BOOST_AUTO_TEST_CASE(Answer_HoldsAShardTwice_IsReported) {
   AddCall("a", seconds(1), 1).records[1].shard = 0;
   BOOST_TEST(IsBroken(Promise::kOneLayout));
 }
 
-BOOST_AUTO_TEST_CASE(Answer_HoldsAnotherRequestsRecord_IsSeen) {
+BOOST_AUTO_TEST_CASE(Answer_HoldsAnotherRequestsRecord_IsReported) {
   AddCall("a", seconds(1), 1).records[1].request = HashOf("b");
   BOOST_TEST(IsBroken(Promise::kOneLayout));
 }
 
-BOOST_AUTO_TEST_CASE(Answer_IsEmptySuccess_IsSeen) {
+BOOST_AUTO_TEST_CASE(Answer_SuccessWithoutRecords_IsReported) {
   AddCall("a", seconds(1), 1).records.clear();
   BOOST_TEST(IsBroken(Promise::kOneLayout));
 }
@@ -108,29 +110,30 @@
 BOOST_AUTO_TEST_CASE(OldLayout_WithinTheBound_IsAllowed) {
   history.layouts = {{1, At({})}, {2, At(seconds(10))}};
   AddCall("a", milliseconds(12900), 1);
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
 }
 
-BOOST_AUTO_TEST_CASE(OldLayout_AfterTheBound_IsSeen) {
+BOOST_AUTO_TEST_CASE(OldLayout_AfterTheBound_IsReported) {
   history.layouts = {{1, At({})}, {2, At(seconds(10))}};
   AddCall("a", milliseconds(13100), 1);
   BOOST_TEST(IsBroken(Promise::kConfigInTime));
 }
 
-BOOST_AUTO_TEST_CASE(OldLayout_AtAnEntryThatWasHarmed_IsAllowedUntilContact) {
+BOOST_AUTO_TEST_CASE(
+    OldLayout_AtAnEntryAfterAFault_IsAllowedUntilContactBound) {
   history.layouts = {{1, At({})}, {2, At(seconds(10))}};
   history.fault_periods = {
       {kEntry, FaultEffect::kPropagation, At(seconds(9)), At(seconds(12))}};
   AddCall("a", milliseconds(15900), 1);
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddCall("b", milliseconds(16100), 1);
   BOOST_TEST(IsBroken(Promise::kConfigInTime));
 }
 
-BOOST_AUTO_TEST_CASE(Layout_GoesBackAtOneEntry_IsSeen) {
+BOOST_AUTO_TEST_CASE(Layout_GoesBackAtOneEntry_IsReported) {
   AddCall("a", seconds(1), 2);
   AddCall("b", milliseconds(1200), 1);
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddCall("c", milliseconds(1300), 1);
   BOOST_TEST(IsBroken(Promise::kConfigNeverReverts));
 }
@@ -138,20 +141,20 @@
 BOOST_AUTO_TEST_CASE(Layout_IsOlderAtAnotherEntry_IsAllowed) {
   AddCall("a", seconds(1), 2);
   AddCall("b", seconds(2), 1).entry = kEntry + 1;
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
 }
 
-BOOST_AUTO_TEST_CASE(Target_HasLeftAndGetsARequest_IsSeen) {
+BOOST_AUTO_TEST_CASE(Target_HasLeftAndGetsARequest_IsReported) {
   history.leavings = {{"t1", At(seconds(10))}};
   AddCall("a", milliseconds(12900), 1);
   AddRun("a", "t1", milliseconds(12900));
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddCall("b", milliseconds(13100), 1);
   AddRun("b", "t1", milliseconds(13100));
   BOOST_TEST(IsBroken(Promise::kLeftTargetGetsNothing));
 }
 
-BOOST_AUTO_TEST_CASE(Domain_IsEvacuatedAndGetsARequest_IsSeen) {
+BOOST_AUTO_TEST_CASE(Domain_IsEvacuatedAndGetsARequest_IsReported) {
   history.placements = {{"t1", "z1"}, {"t2", "z2"}};
   history.evacuations = {{"z1", At(seconds(10)), At(seconds(15))}};
   AddCall("a", milliseconds(10900), 1);
@@ -160,26 +163,26 @@
   AddRun("b", "t2", milliseconds(11100));
   AddCall("c", milliseconds(15100), 1);
   AddRun("c", "t1", milliseconds(15100));
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddCall("d", milliseconds(11100), 1);
   AddRun("d", "t1", milliseconds(11100));
   BOOST_TEST(IsBroken(Promise::kEvacuatedGetsNothing));
 }
 
-BOOST_AUTO_TEST_CASE(Request_RanAndItsConnectionEnded_IsSeen) {
+BOOST_AUTO_TEST_CASE(Request_RanAndItsConnectionEnded_IsReported) {
   Call& call = AddCall("a", seconds(1), 1);
   call.end = CallEnd::kClosed;
   call.status = 0;
   call.records.clear();
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   AddRun("a", "t1", seconds(1));
   BOOST_TEST(IsBroken(Promise::kNoRequestIsCut));
   history.fault_periods = {{kEntry, FaultEffect::kConnections,
                             At(milliseconds(1010)), TimePoint::max()}};
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
 }
 
-BOOST_AUTO_TEST_CASE(CalmTimes_FewAreAnswered_IsSeen) {
+BOOST_AUTO_TEST_CASE(CalmPeriod_FewCallsAreAnswered_IsReported) {
   history.calm_since = At(seconds(10));
   for (int index = 0; index < 10; ++index) {
     Call& call = AddCall(std::to_string(index), seconds(11 + index), 1);
@@ -188,7 +191,7 @@
       call.records.clear();
     }
   }
-  BOOST_TEST(IsKept());
+  BOOST_TEST(HoldsAll());
   history.calls[2].status = http_status::kUnavailable;
   history.calls[2].records.clear();
   BOOST_TEST(IsBroken(Promise::kRecovers));
--- a/test/soak/loopback_proxy_test.cc
+++ b/test/soak/loopback_proxy_test.cc
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoopbackProxyTest, ProxyFixture)
 
-BOOST_AUTO_TEST_CASE(Link_IsWell_PassesBothWays) {
+BOOST_AUTO_TEST_CASE(Link_WithoutFault_PassesBothWays) {
   Call(std::chrono::seconds(10));
   BOOST_TEST(reply.status == http_status::kOk);
   BOOST_TEST(reply.body == "well");
