--- a/soak/callers.h
+++ b/soak/callers.h
@@ -20,10 +20,10 @@
 /**
  * \brief Callers on one event loop that record the outcome of each call.
  *
- * Each caller makes one call at a time on a persistent connection. When the
- * connection closes or an entry refuses a call, the caller connects to an entry
- * drawn at random, after a refusal another one if there is any, as the
- * platform's clients do.
+ * Each caller makes one call at a time on a persistent connection. After a call
+ * that is refused or gets no answer, the caller connects to an entry drawn at
+ * random, as the platform's clients do; after a refusal to another entry, if
+ * there is one.
  *
  * All members but the constructor must be called on the loop.
  */
--- a/soak/history.h
+++ b/soak/history.h
@@ -13,9 +13,9 @@
 
 namespace jacinthdeck::soak {
 
-/*! \brief Kind of a request; it decides whether a target may repeat it. */
+/*! \brief Kind of a request; decides whether it may run more than once. */
 enum class CallKind {
-  //! Must run at most once.
+  //! Goes to one target and must run at most once.
   kClaim,
   //! Goes to one target; may run repeatedly.
   kLookup,
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -73,10 +73,10 @@
 
 /*! \brief One timed step of a plan. */
 struct Action {
-  //! Time since the begin of the plan.
+  //! Time since the start of the plan.
   Duration at{};
   ActionKind kind = ActionKind::kReshard;
-  //! Index of the affected entry or target, modulo the number of them.
+  //! Selects the affected entry or target, modulo the number of them.
   std::size_t subject = 0;
   StoreFault store = StoreFault::kBusy;
   Link link = Link::kCallers;
--- a/soak/stage_store.cc
+++ b/soak/stage_store.cc
@@ -23,8 +23,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+//! Longest time for the store to answer a control message.
 constexpr Duration kControlTimeout = seconds(5);
-//! Outage of the store before it returns with a copy.
+//! Length of the store's outage before it returns with a copy.
 constexpr Duration kRestoreOutage = milliseconds(700);
 //! Configuration writes after a copy, which a restore loses. Without them the
 //! revisions of the restored store would pass those from before the restore
