--- a/soak/checks.h
+++ b/soak/checks.h
@@ -55,7 +55,7 @@
   //! After a call saw a configuration, later calls at that entry may still see
   //! the previous one for this long.
   Duration rollback = std::chrono::milliseconds(250);
-  //! Least share of answered calls in the calm period.
+  //! Minimum share of answered calls in the calm period.
   double recovered_share = 0.25;
 };
 
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -33,8 +33,8 @@
 constexpr std::size_t kTargets = 64;
 
 //! A fault and the action that ends it; both are equal if the fault needs no
-//! end. A pair listed twice is drawn twice as often: target faults are, because
-//! each affects only one of many targets.
+//! end. A pair listed twice is drawn twice as often; kDrainTarget and
+//! kLoseAnswers are, because they affect only one of many targets.
 struct FaultPair {
   ActionKind begin;
   ActionKind end;
--- a/soak/stage.h
+++ b/soak/stage.h
@@ -65,7 +65,8 @@
   void Apply(const Action& action);
   /*! \brief Runs the scheduled steps that are due. */
   void RunDueSteps();
-  /*! \brief Ends all faults and restarts entries that have ended. */
+  /*! \brief Ends all faults, restarts entries that have ended and starts the
+   * recovery period. */
   void EndAllFaults();
   /*! \brief Stops the callers and the loop and returns the recorded events. */
   [[nodiscard]] History Finish();
