--- a/soak/checks.cc
+++ b/soak/checks.cc
@@ -232,7 +232,7 @@
                                const std::string& domain,
                                const Call& call) {
   return std::ranges::any_of(
-      index.history.evacuations, [&](const EvacuatedTime& evacuated) {
+      index.history.evacuations, [&](const EvacuationPeriod& evacuated) {
         return evacuated.domain == domain &&
                evacuated.confirmed + index.bounds.evacuate < call.sent &&
                call.ended < evacuated.ended;
--- a/soak/history.h
+++ b/soak/history.h
@@ -67,7 +67,7 @@
 };
 
 /*! \brief Period in which no request may be sent to a failure domain. */
-struct EvacuatedTime {
+struct EvacuationPeriod {
   std::string domain;
   //! When the store confirmed the evacuation.
   TimePoint confirmed;
@@ -98,7 +98,7 @@
   std::vector<LayoutChange> layouts;
   std::vector<Leaving> leavings;
   std::vector<Placement> placements;
-  std::vector<EvacuatedTime> evacuations;
+  std::vector<EvacuationPeriod> evacuations;
   std::vector<FaultPeriod> fault_periods;
   //! End of the recovery period that follows the last fault.
   TimePoint calm_since = TimePoint::max();
--- a/soak/stage.h
+++ b/soak/stage.h
@@ -173,7 +173,7 @@
   std::vector<LayoutChange> m_layouts;
   std::vector<Placement> m_placements;
   //! At most one of them, the last, has not ended.
-  std::vector<EvacuatedTime> m_evacuations;
+  std::vector<EvacuationPeriod> m_evacuations;
   TimePoint m_calm_since = TimePoint::max();
   Callers m_callers;
   //! Declared last, because the thread uses the members above.
