--- a/soak/checks.cc
+++ b/soak/checks.cc
@@ -32,7 +32,7 @@
   for (const Run& run : history.runs) {
     index.runs[run.request].push_back(&run);
   }
-  for (const Leaving& left : history.leavings) {
+  for (const TargetDeparture& left : history.departures) {
     index.leaving.emplace(left.target, left.confirmed);
   }
   for (const Placement& placement : history.placements) {
--- a/soak/history.h
+++ b/soak/history.h
@@ -55,7 +55,7 @@
 };
 
 /*! \brief Records when the store confirmed that a target is draining. */
-struct Leaving {
+struct TargetDeparture {
   std::string target;
   TimePoint confirmed;
 };
@@ -96,7 +96,7 @@
   std::vector<Call> calls;
   std::vector<Run> runs;
   std::vector<LayoutChange> layouts;
-  std::vector<Leaving> leavings;
+  std::vector<TargetDeparture> departures;
   std::vector<Placement> placements;
   std::vector<EvacuationPeriod> evacuations;
   std::vector<FaultPeriod> fault_periods;
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -63,7 +63,7 @@
   const CalmCalls calm = CountCalmCalls(history);
   std::cout << "seed " << seed << ": " << history.calls.size() << " calls, "
             << history.runs.size() << " runs, " << history.layouts.size()
-            << " layouts, " << history.leavings.size() << " targets left, "
+            << " layouts, " << history.departures.size() << " targets left, "
             << calm.answered << " of " << calm.sent << " answered when calm, "
             << found.size() << " promises broken" << std::endl;
   for (std::size_t index = 0; index < found.size() && index < kMaxPrinted;
--- a/soak/stage.cc
+++ b/soak/stage.cc
@@ -407,7 +407,7 @@
     if (event == "run") {
       history.runs.push_back({request, target, TimePoint(Duration(at))});
     } else {
-      history.leavings.push_back({target, TimePoint(Duration(at))});
+      history.departures.push_back({target, TimePoint(Duration(at))});
     }
   }
 }
--- a/test/soak/checks_test.cc
+++ b/test/soak/checks_test.cc
@@ -43,7 +43,7 @@
     history.runs.push_back({id, target, At(at)});
   }
 
-  [[nodiscard]] bool IsBroken(Promise promise) const {
+  [[nodiscard]] bool BreaksOnly(Promise promise) const {
     const std::vector<Violation> found = FindViolations(history);
     return found.size() == 1 && found.front().promise == promise;
   }
@@ -62,7 +62,7 @@
   AddRun("a", "t1", seconds(1));
   BOOST_TEST(HoldsAll());
   AddRun("a", "t2", seconds(1));
-  BOOST_TEST(IsBroken(Promise::kRunsOnce));
+  BOOST_TEST(BreaksOnly(Promise::kRunsOnce));
 }
 
 BOOST_AUTO_TEST_CASE(Lookup_RanTwice_IsAllowed) {
@@ -79,32 +79,32 @@
   call.records.clear();
   BOOST_TEST(HoldsAll());
   AddRun("a", "t1", seconds(5));
-  BOOST_TEST(IsBroken(Promise::kNotRunIsTrue));
+  BOOST_TEST(BreaksOnly(Promise::kNotRunIsTrue));
 }
 
 BOOST_AUTO_TEST_CASE(Run_WithoutRequest_IsReported) {
   AddRun("a", "t1", seconds(1));
-  BOOST_TEST(IsBroken(Promise::kOnlyAskedRuns));
+  BOOST_TEST(BreaksOnly(Promise::kOnlyAskedRuns));
 }
 
 BOOST_AUTO_TEST_CASE(Answer_HoldsTwoLayouts_IsReported) {
   AddCall("a", seconds(1), 1).records[1].layout = 2;
-  BOOST_TEST(IsBroken(Promise::kOneLayout));
+  BOOST_TEST(BreaksOnly(Promise::kOneLayout));
 }
 
 BOOST_AUTO_TEST_CASE(Answer_HoldsAShardTwice_IsReported) {
   AddCall("a", seconds(1), 1).records[1].shard = 0;
-  BOOST_TEST(IsBroken(Promise::kOneLayout));
+  BOOST_TEST(BreaksOnly(Promise::kOneLayout));
 }
 
 BOOST_AUTO_TEST_CASE(Answer_HoldsAnotherRequestsRecord_IsReported) {
   AddCall("a", seconds(1), 1).records[1].request = HashOf("b");
-  BOOST_TEST(IsBroken(Promise::kOneLayout));
+  BOOST_TEST(BreaksOnly(Promise::kOneLayout));
 }
 
 BOOST_AUTO_TEST_CASE(Answer_SuccessWithoutRecords_IsReported) {
   AddCall("a", seconds(1), 1).records.clear();
-  BOOST_TEST(IsBroken(Promise::kOneLayout));
+  BOOST_TEST(BreaksOnly(Promise::kOneLayout));
 }
 
 BOOST_AUTO_TEST_CASE(OldLayout_WithinTheBound_IsAllowed) {
@@ -116,7 +116,7 @@
 BOOST_AUTO_TEST_CASE(OldLayout_AfterTheBound_IsReported) {
   history.layouts = {{1, At({})}, {2, At(seconds(10))}};
   AddCall("a", milliseconds(13100), 1);
-  BOOST_TEST(IsBroken(Promise::kConfigInTime));
+  BOOST_TEST(BreaksOnly(Promise::kConfigInTime));
 }
 
 BOOST_AUTO_TEST_CASE(
@@ -127,7 +127,7 @@
   AddCall("a", milliseconds(15900), 1);
   BOOST_TEST(HoldsAll());
   AddCall("b", milliseconds(16100), 1);
-  BOOST_TEST(IsBroken(Promise::kConfigInTime));
+  BOOST_TEST(BreaksOnly(Promise::kConfigInTime));
 }
 
 BOOST_AUTO_TEST_CASE(Layout_GoesBackAtOneEntry_IsReported) {
@@ -135,7 +135,7 @@
   AddCall("b", milliseconds(1200), 1);
   BOOST_TEST(HoldsAll());
   AddCall("c", milliseconds(1300), 1);
-  BOOST_TEST(IsBroken(Promise::kConfigNeverReverts));
+  BOOST_TEST(BreaksOnly(Promise::kConfigNeverReverts));
 }
 
 BOOST_AUTO_TEST_CASE(Layout_IsOlderAtAnotherEntry_IsAllowed) {
@@ -145,13 +145,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(Target_HasLeftAndGetsARequest_IsReported) {
-  history.leavings = {{"t1", At(seconds(10))}};
+  history.departures = {{"t1", At(seconds(10))}};
   AddCall("a", milliseconds(12900), 1);
   AddRun("a", "t1", milliseconds(12900));
   BOOST_TEST(HoldsAll());
   AddCall("b", milliseconds(13100), 1);
   AddRun("b", "t1", milliseconds(13100));
-  BOOST_TEST(IsBroken(Promise::kLeftTargetGetsNothing));
+  BOOST_TEST(BreaksOnly(Promise::kLeftTargetGetsNothing));
 }
 
 BOOST_AUTO_TEST_CASE(Domain_IsEvacuatedAndGetsARequest_IsReported) {
@@ -166,7 +166,7 @@
   BOOST_TEST(HoldsAll());
   AddCall("d", milliseconds(11100), 1);
   AddRun("d", "t1", milliseconds(11100));
-  BOOST_TEST(IsBroken(Promise::kEvacuatedGetsNothing));
+  BOOST_TEST(BreaksOnly(Promise::kEvacuatedGetsNothing));
 }
 
 BOOST_AUTO_TEST_CASE(Request_RanAndItsConnectionEnded_IsReported) {
@@ -176,7 +176,7 @@
   call.records.clear();
   BOOST_TEST(HoldsAll());
   AddRun("a", "t1", seconds(1));
-  BOOST_TEST(IsBroken(Promise::kNoRequestIsCut));
+  BOOST_TEST(BreaksOnly(Promise::kNoRequestIsCut));
   history.fault_periods = {{kEntry, FaultEffect::kConnections,
                             At(milliseconds(1010)), TimePoint::max()}};
   BOOST_TEST(HoldsAll());
@@ -194,7 +194,7 @@
   BOOST_TEST(HoldsAll());
   history.calls[2].status = http_status::kUnavailable;
   history.calls[2].records.clear();
-  BOOST_TEST(IsBroken(Promise::kRecovers));
+  BOOST_TEST(BreaksOnly(Promise::kRecovers));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
