--- a/soak/child.cc
+++ b/soak/child.cc
@@ -1,4 +1,5 @@
-// fork() and exec(), with the kernel's promise to end the child with us.
+// Starts children with fork() and execv(); PR_SET_PDEATHSIG makes the kernel
+// kill a child when its parent ends.
 #include "soak/child.h"
 
 #include <fcntl.h>
@@ -22,15 +23,18 @@
 constexpr int kCannotStart = 127;
 constexpr std::chrono::milliseconds kPollPeriod{5};
 
-//! Never returns.
-void Become(std::vector<char*>& arguments, const char* output, pid_t parent) {
+//! Executes the program in the forked child. Never returns.
+void ExecChild(std::vector<char*>& arguments,
+               const char* output,
+               pid_t parent) {
   sigset_t none;
   sigemptyset(&none);
   sigprocmask(SIG_SETMASK, &none, nullptr);
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   const int file =
       open(output, O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0644);
-  // The parent may have ended before the kernel's promise was given.
+  // If the parent ended before prctl(), no death signal will come, so the child
+  // ends itself.
   if (file < 0 || getppid() != parent) {
     _exit(kCannotStart);
   }
@@ -53,7 +57,7 @@
   const pid_t parent = getpid();
   m_id = fork();
   if (m_id == 0) {
-    Become(arguments, m_output.c_str(), parent);
+    ExecChild(arguments, m_output.c_str(), parent);
   }
   if (m_id < 0) {
     throw std::runtime_error("cannot start " + command.front());
@@ -80,9 +84,9 @@
   return !m_ended;
 }
 
-std::string Child::WaitFor(const std::string& pattern, Duration patience) {
+std::string Child::WaitForOutput(const std::string& pattern, Duration timeout) {
   const std::regex wanted(pattern);
-  const auto end = std::chrono::steady_clock::now() + patience;
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (IsRunning() && std::chrono::steady_clock::now() < end) {
     std::ifstream file(m_output);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -1,4 +1,4 @@
-// Plays seeds, one after the other, and says which promises broke.
+// Runs the plans of one or more seeds in turn and reports broken promises.
 #include <unistd.h>
 
 #include <chrono>
@@ -16,14 +16,17 @@
 
 namespace {
 
+//! Exit code if a promise was broken.
 constexpr int kPromiseBroken = 3;
 constexpr std::chrono::milliseconds kTick{5};
-//! Before the first fault: all entries know what they need.
+//! Time before the first fault in which entries receive their configuration and
+//! targets.
 constexpr Duration kWarmUp = std::chrono::seconds(2);
-//! After the last: time to recover, and to be seen to serve.
+//! Time after the last fault: the recovery period, then a calm period in which
+//! calls must be answered.
 constexpr Duration kCalm = std::chrono::seconds(8);
-//! Breaches that are printed of one seed.
-constexpr std::size_t kMostPrinted = 10;
+//! Most violations printed per seed.
+constexpr std::size_t kMaxPrinted = 10;
 
 struct SoakOptions {
   PlanOptions plan;
@@ -35,34 +38,35 @@
   bool keep = false;
 };
 
-void Play(Stage& stage, const std::vector<Action>& plan, Duration length) {
+void RunPlan(Stage& stage, const std::vector<Action>& plan, Duration length) {
   const TimePoint begin = stage.Now() + kWarmUp;
   std::size_t next = 0;
   bool is_calm = false;
   while (stage.Now() < begin + length + kCalm) {
-    stage.DoDue();
+    stage.RunDueSteps();
     if (next < plan.size() && begin + plan[next].at <= stage.Now()) {
-      stage.Do(plan[next]);
+      stage.Apply(plan[next]);
       ++next;
     } else if (!is_calm && begin + length < stage.Now()) {
-      stage.Calm();
+      stage.EndAllFaults();
       is_calm = true;
     }
     std::this_thread::sleep_for(kTick);
   }
 }
 
-//! Whether all promises held.
+//! Prints the summary line and violations of a seed.
+//! \return Whether all promises held.
 [[nodiscard]] bool Report(std::uint64_t seed,
                           const History& history,
                           const std::vector<Violation>& found) {
   const CalmCalls calm = CountCalmCalls(history);
   std::cout << "seed " << seed << ": " << history.calls.size() << " calls, "
             << history.runs.size() << " runs, " << history.layouts.size()
-            << " layouts, " << history.leavings.size() << " targets left, "
+            << " layouts, " << history.departures.size() << " targets left, "
             << calm.answered << " of " << calm.sent << " answered when calm, "
             << found.size() << " promises broken" << std::endl;
-  for (std::size_t index = 0; index < found.size() && index < kMostPrinted;
+  for (std::size_t index = 0; index < found.size() && index < kMaxPrinted;
        ++index) {
     std::cout << "  " << kPromiseNames.Name(found[index].promise) << ": "
               << found[index].text << "\n";
@@ -70,7 +74,7 @@
   return found.empty();
 }
 
-[[nodiscard]] bool PlaySeed(SoakOptions options, std::uint64_t seed) {
+[[nodiscard]] bool RunSeed(SoakOptions options, std::uint64_t seed) {
   options.plan.seed = seed;
   options.plan.length = std::chrono::seconds(options.seconds);
   options.plan.entries = options.stage.entries;
@@ -84,32 +88,32 @@
   std::string work =
       (std::filesystem::temp_directory_path() / "soak-XXXXXX").string();
   if (mkdtemp(work.data()) == nullptr) {
-    throw std::runtime_error("cannot make " + work);
+    throw std::runtime_error("cannot create directory " + work);
   }
   options.stage.seed = seed;
   options.stage.two_domains = options.plan.evacuations > 0;
   options.stage.work = work;
   options.stage.programs = options.programs;
-  bool kept = false;
+  bool all_held = false;
   {
     Stage stage(options.stage);
     stage.Start();
-    Play(stage, plan, options.plan.length);
+    RunPlan(stage, plan, options.plan.length);
     const History history = stage.Finish();
-    kept = Report(seed, history, FindViolations(history));
+    all_held = Report(seed, history, FindViolations(history));
   }
-  if (kept && !options.keep) {
+  if (all_held && !options.keep) {
     std::filesystem::remove_all(work);
   } else {
     std::cout << "  logs: " << work << std::endl;
   }
-  return kept;
+  return all_held;
 }
 
-int PlayAll(const SoakOptions& options) {
+int RunAllSeeds(const SoakOptions& options) {
   std::uint64_t broken = 0;
   for (std::uint64_t index = 0; index < options.seeds; ++index) {
-    broken += PlaySeed(options, options.plan.seed + index) ? 0 : 1;
+    broken += RunSeed(options, options.plan.seed + index) ? 0 : 1;
   }
   std::cout << options.seeds << " seeds, " << broken << " with broken promises"
             << std::endl;
@@ -127,32 +131,34 @@
   options.add_options()(
       "seed", po::value(&soak.plan.seed)->default_value(soak.plan.seed),
       "first seed")("seeds", po::value(&soak.seeds)->default_value(soak.seeds),
-                    "seeds to play, one after the other")(
+                    "number of seeds to run in sequence")(
       "faults", po::value(&soak.plan.faults)->default_value(soak.plan.faults),
-      "faults of a seed")("seconds",
-                          po::value(&soak.seconds)->default_value(soak.seconds),
-                          "time in which faults begin and end")(
+      "number of faults per seed")(
+      "seconds", po::value(&soak.seconds)->default_value(soak.seconds),
+      "period in which faults begin and end")(
       "evacuations",
       po::value(&soak.plan.evacuations)->default_value(soak.plan.evacuations),
-      "times that one of two failure domains is evacuated")(
+      "number of evacuations of one of two failure domains")(
       "restores",
       po::value(&soak.plan.restores)->default_value(soak.plan.restores),
-      "times that the store comes back from an older copy")(
+      "number of restores of the store from an older copy")(
       "rewritten-after-ms",
       po::value<std::uint64_t>()->notifier([&soak](std::uint64_t after) {
         soak.plan.rewritten_after = std::chrono::milliseconds(after);
       }),
-      "time from there until operators write again; drawn if it is not given")(
+      "time from a restore until operators write again; random by default")(
       "entries",
       po::value(&soak.stage.entries)->default_value(soak.stage.entries),
-      "entry processes")(
+      "number of entry processes")(
       "callers",
       po::value(&soak.stage.callers)->default_value(soak.stage.callers),
-      "callers, each with one connection")(
+      "number of callers, each with one connection")(
       "programs", po::value(&soak.programs)->default_value(soak.programs),
       "build directory")("plan", po::bool_switch(&soak.plan_only),
-                         "print the plan and play nothing")(
-      "keep", po::bool_switch(&soak.keep), "keep the logs of good seeds too");
-  return jacinthdeck::standins::RunProgram(
-      argc, argv, options, [&] { return jacinthdeck::soak::PlayAll(soak); });
+                         "print the plan without running it")(
+      "keep", po::bool_switch(&soak.keep),
+      "keep the logs of seeds without violations");
+  return jacinthdeck::standins::RunProgram(argc, argv, options, [&] {
+    return jacinthdeck::soak::RunAllSeeds(soak);
+  });
 }
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -1,4 +1,4 @@
-// Draws faults that overlap, each with its end.
+// Generates overlapping faults, each with the action that ends it.
 #include "soak/plan.h"
 
 #include <algorithm>
@@ -12,44 +12,48 @@
 
 using std::chrono::milliseconds;
 
-//! Faults last so long: from a blink to beyond the bounds of the promises.
+//! Range of fault durations, from 200 ms to longer than the time bounds of the
+//! promises.
 constexpr std::uint64_t kShortestMs = 200;
 constexpr std::uint64_t kLongestMs = 4000;
-//! Beyond the bound on an evacuation.
+//! Range of evacuation durations; even the shortest exceeds the bound within
+//! which an evacuation must take effect.
 constexpr std::uint64_t kShortestEvacuationMs = 2000;
 constexpr std::uint64_t kLongestEvacuationMs = 9000;
-//! Age of the copy that a store comes back from.
+//! Range of the age of the copy that the store is restored from.
 constexpr std::uint64_t kYoungestCopyMs = 500;
 constexpr std::uint64_t kOldestCopyMs = 5000;
-//! The store is back by then; its operators have repeated their writes or not.
-constexpr Duration kAfterRestore = milliseconds(2000);
-//! Operators see that their last writes are lost, and repeat them.
+//! Time from the restore until the following reshard. The store is reachable
+//! again by then; operators may or may not have repeated their lost writes.
+constexpr Duration kReshardAfterRestore = milliseconds(2000);
+//! Range of the time until operators notice lost writes and repeat them.
 constexpr std::uint64_t kSoonestRewriteMs = 200;
 constexpr std::uint64_t kLatestRewriteMs = 3000;
-//! Targets that a plan tells apart.
+//! Range of the target indices that a plan draws.
 constexpr std::size_t kTargets = 64;
 
-//! A fault that is begun, and what ends it; both the same for what ends itself.
-//! What stands twice is drawn twice as often: a target is one of many.
-struct Pair {
+//! A fault and the action that ends it; both are equal if the fault needs no
+//! end. A pair listed twice is drawn twice as often; kDrainTarget and
+//! kLoseAnswers are, because they affect only one of many targets.
+struct FaultPair {
   ActionKind begin;
   ActionKind end;
 };
 
-constexpr std::array kPairs{
-    Pair{ActionKind::kStopEntry, ActionKind::kContinueEntry},
-    Pair{ActionKind::kKillEntry, ActionKind::kStartEntry},
-    Pair{ActionKind::kDrainEntry, ActionKind::kStartEntry},
-    Pair{ActionKind::kStopTarget, ActionKind::kContinueTarget},
-    Pair{ActionKind::kKillTarget, ActionKind::kKillTarget},
-    Pair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
-    Pair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
-    Pair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
-    Pair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
-    Pair{ActionKind::kReshard, ActionKind::kReshard},
-    Pair{ActionKind::kStoreFault, ActionKind::kStoreWell},
-    Pair{ActionKind::kStoreForgets, ActionKind::kStoreForgets},
-    Pair{ActionKind::kLinkFault, ActionKind::kLinkWell}};
+constexpr std::array kFaultPairs{
+    FaultPair{ActionKind::kStopEntry, ActionKind::kContinueEntry},
+    FaultPair{ActionKind::kKillEntry, ActionKind::kStartEntry},
+    FaultPair{ActionKind::kDrainEntry, ActionKind::kStartEntry},
+    FaultPair{ActionKind::kStopTarget, ActionKind::kContinueTarget},
+    FaultPair{ActionKind::kKillTarget, ActionKind::kKillTarget},
+    FaultPair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
+    FaultPair{ActionKind::kDrainTarget, ActionKind::kDrainTarget},
+    FaultPair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
+    FaultPair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
+    FaultPair{ActionKind::kReshard, ActionKind::kReshard},
+    FaultPair{ActionKind::kStoreFault, ActionKind::kStoreWell},
+    FaultPair{ActionKind::kStoreForgets, ActionKind::kStoreForgets},
+    FaultPair{ActionKind::kLinkFault, ActionKind::kLinkWell}};
 
 template <typename Enum, std::size_t Size>
 [[nodiscard]] Enum Draw(const NameTable<Enum, Size>& /*names*/,
@@ -58,7 +62,8 @@
   return static_cast<Enum>(first + random.Below(Size - first));
 }
 
-//! Half of them to targets: what is lost there is what is told untruly.
+//! Draws target links for half of the link faults: a loss there is what can
+//! lead an entry to report a wrong outcome.
 [[nodiscard]] Link DrawLink(Random& random) {
   constexpr std::uint64_t kChances = 4;
   const std::uint64_t drawn = random.Below(kChances);
@@ -67,7 +72,7 @@
                       : Link::kTarget;
 }
 
-[[nodiscard]] bool IsOfEntries(const Action& action) {
+[[nodiscard]] bool AffectsEntry(const Action& action) {
   return action.kind == ActionKind::kStopEntry ||
          action.kind == ActionKind::kKillEntry ||
          action.kind == ActionKind::kDrainEntry ||
@@ -77,54 +82,57 @@
 
 struct Span {
   Duration at{};
-  Duration lasts{};
+  Duration duration{};
 };
 
-//! Draws a span within a plan's time.
+//! Draws a span that ends within the length of the plan, if it fits.
 [[nodiscard]] Span DrawSpan(const PlanOptions& options,
                             std::uint64_t shortest_ms,
                             std::uint64_t longest_ms,
                             Random& random) {
   Span span;
-  span.lasts =
+  span.duration =
       milliseconds(shortest_ms + random.Below(longest_ms - shortest_ms));
-  const Duration room = std::max(options.length - span.lasts, Duration(1));
-  span.at = Duration(random.Below(static_cast<std::uint64_t>(room.count())));
+  const Duration begin_range =
+      std::max(options.length - span.duration, Duration(1));
+  span.at =
+      Duration(random.Below(static_cast<std::uint64_t>(begin_range.count())));
   return span;
 }
 
-//! Drawn apart from the faults, whose draws stay those of their seed.
+//! Adds evacuations from a generator of their own, so that the faults of a seed
+//! stay the same.
 void AddEvacuations(const PlanOptions& options, std::vector<Action>& plan) {
-  constexpr std::uint64_t kOtherDraws = 0x9e3779b97f4a7c15U;
-  Random random(options.seed ^ kOtherDraws);
+  constexpr std::uint64_t kSeedMask = 0x9e3779b97f4a7c15U;
+  Random random(options.seed ^ kSeedMask);
   for (std::size_t index = 0; index < options.evacuations; ++index) {
     const Span span =
         DrawSpan(options, kShortestEvacuationMs, kLongestEvacuationMs, random);
     plan.push_back({span.at, ActionKind::kEvacuate});
-    plan.push_back({span.at + span.lasts, ActionKind::kGiveBack});
+    plan.push_back({span.at + span.duration, ActionKind::kGiveBack});
   }
 }
 
-//! Each is followed by a reshard: what is written then must reach all entries.
-//! A second copy may be made before the store comes back from the first: then
-//! it comes back from the second.
+//! Adds restores of the store, each followed by a reshard, since a write after
+//! a restore must still reach all entries. If a second copy is made before the
+//! first restore, the first restore uses the second copy.
 void AddRestores(const PlanOptions& options, std::vector<Action>& plan) {
-  constexpr std::uint64_t kOtherDraws = 0xd1b54a32d192ed03U;
-  constexpr std::uint64_t kRewriteDraws = 0x8cb92ba72f3d8dd7U;
-  Random random(options.seed ^ kOtherDraws);
-  Random rewrites(options.seed ^ kRewriteDraws);
+  constexpr std::uint64_t kSeedMask = 0xd1b54a32d192ed03U;
+  constexpr std::uint64_t kRewriteSeedMask = 0x8cb92ba72f3d8dd7U;
+  Random random(options.seed ^ kSeedMask);
+  Random rewrites(options.seed ^ kRewriteSeedMask);
   for (std::size_t index = 0; index < options.restores; ++index) {
     PlanOptions earlier = options;
-    earlier.length -= std::min(options.length, kAfterRestore);
+    earlier.length -= std::min(options.length, kReshardAfterRestore);
     const Span span = DrawSpan(earlier, kYoungestCopyMs, kOldestCopyMs, random);
     plan.push_back({span.at, ActionKind::kCopyStore});
-    Action restore{span.at + span.lasts, ActionKind::kRestoreStore};
+    Action restore{span.at + span.duration, ActionKind::kRestoreStore};
     restore.rewritten_after = options.rewritten_after.value_or(
         milliseconds(kSoonestRewriteMs +
                      rewrites.Below(kLatestRewriteMs - kSoonestRewriteMs)));
     plan.push_back(restore);
     plan.push_back(
-        {span.at + span.lasts + kAfterRestore, ActionKind::kReshard});
+        {span.at + span.duration + kReshardAfterRestore, ActionKind::kReshard});
   }
 }
 
@@ -134,20 +142,20 @@
   Random random(options.seed);
   std::vector<Action> plan;
   for (std::size_t fault = 0; fault < options.faults; ++fault) {
-    const Pair& pair = kPairs[random.Below(kPairs.size())];
+    const FaultPair& pair = kFaultPairs[random.Below(kFaultPairs.size())];
     Action action;
     action.kind = pair.begin;
     action.store = Draw(kStoreFaultNames, random);
     action.link = DrawLink(random);
     action.mode = Draw(kLinkModeNames, random, 1);
     action.subject =
-        random.Below(IsOfEntries(action) ? options.entries : kTargets);
+        random.Below(AffectsEntry(action) ? options.entries : kTargets);
     const Span span = DrawSpan(options, kShortestMs, kLongestMs, random);
     action.at = span.at;
     plan.push_back(action);
     if (pair.end != pair.begin) {
       action.kind = pair.end;
-      action.at += span.lasts;
+      action.at += span.duration;
       plan.push_back(action);
     }
   }
--- a/soak/stage_store.cc
+++ b/soak/stage_store.cc
@@ -1,4 +1,4 @@
-// What is done to the store, and what operators write there.
+// Store faults and the writes of operators to the store.
 #include <jansson.h>
 
 #include <array>
@@ -23,14 +23,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+//! Longest time for the store to answer a control message.
 constexpr Duration kControlTimeout = seconds(5);
-//! A store that comes back from a copy is away for so long before.
-constexpr Duration kBeforeRestore = milliseconds(700);
-//! Writes of the configuration that a restore loses. Without them the new
-//! history passes the one before within a moment, and entries that confuse the
-//! two recover.
+//! Length of the store's outage before it returns with a copy.
+constexpr Duration kRestoreOutage = milliseconds(700);
+//! Configuration writes after a copy, which a restore loses. Without them the
+//! revisions of the restored store would pass those from before the restore
+//! within a moment, and entries that confuse the two histories would recover
+//! unnoticed.
 constexpr int kLostWrites = 60;
-//! Messages to the store's control port in the order of StoreFault.
+//! Messages to the store's control path, indexed by StoreFault.
 constexpr std::array kStoreMessages{
     R"({"outage":"busy"})", R"({"outage":"drop"})", R"({"outage":"silent"})",
     R"({"delay_ms":800})", R"({"lose_reply_share":0.5})"};
@@ -45,10 +47,10 @@
 
 void Stage::StartStore() {
   m_store = std::make_unique<Child>(
-      std::vector<std::string>{PathOf("standins/standin_store")},
-      FileOf("store.log"));
+      std::vector<std::string>{ProgramPath("standins/standin_store")},
+      WorkFilePath("store.log"));
   const std::string port =
-      m_store->WaitFor(R"(listening 127\.0\.0\.1:(\d+))", kStartPatience);
+      m_store->WaitForOutput(R"(listening 127\.0\.0\.1:(\d+))", kStartTimeout);
   m_store_port = static_cast<std::uint16_t>(std::stoi(port));
 }
 
@@ -57,7 +59,7 @@
       CallAndWait({"127.0.0.1", m_store_port}, {"POST", "/control", message},
                   kControlTimeout);
   if (reply.status != http_status::kOk) {
-    throw std::runtime_error("the store did not take " + message);
+    throw std::runtime_error("the store did not accept " + message);
   }
 }
 
@@ -72,34 +74,34 @@
   ControlStore(DumpJson(*message));
 }
 
-void Stage::BeginStoreHarm() {
-  if (!m_open.contains("store")) {
-    Begin("store", EntryLives(), Harm::kKnowledge);
+void Stage::BeginStoreFaultPeriod() {
+  if (!m_open_periods.contains("store")) {
+    BeginFaultPeriods("store", EntryInstances(), FaultEffect::kPropagation);
   }
 }
 
-std::vector<std::size_t> Stage::EntryLives() const {
-  std::vector<std::size_t> lives;
-  lives.reserve(m_entries.size());
+std::vector<std::size_t> Stage::EntryInstances() const {
+  std::vector<std::size_t> instances;
+  instances.reserve(m_entries.size());
   for (const Entry& entry : m_entries) {
-    lives.push_back(entry.life);
+    instances.push_back(entry.instance);
   }
-  return lives;
+  return instances;
 }
 
-void Stage::HarmStore(const Action& action) {
-  BeginStoreHarm();
+void Stage::InjectStoreFault(const Action& action) {
+  BeginStoreFaultPeriod();
   const auto fault = static_cast<std::size_t>(action.store);
   ControlStore(kStoreMessages[fault]);
 }
 
-void Stage::ForgetInStore(const Action& /*action*/) {
+void Stage::CompactStore(const Action& /*action*/) {
   ControlStore(R"({"compact":true})");
 }
 
-void Stage::HealStore(const Action& /*action*/) {
+void Stage::ClearStoreFault(const Action& /*action*/) {
   ControlStore(kStoreWell);
-  End("store");
+  EndFaultPeriods("store");
 }
 
 bool Stage::IsEvacuated() const {
@@ -114,11 +116,12 @@
   }
 }
 
-void Stage::GiveBack(const Action& /*action*/) {
+void Stage::EndEvacuation(const Action& /*action*/) {
   if (!IsEvacuated()) {
     return;
   }
-  // Noted first: requests go there as soon as the store has taken it.
+  // The end must be recorded before the write: entries send requests to the
+  // domain as soon as the store accepts it, and the check would report them.
   m_evacuations.back().ended = Now();
   RemoveFromStore(EvacuationKey());
 }
@@ -135,18 +138,18 @@
   if (std::exchange(m_is_restoring, true)) {
     return;
   }
-  BeginStoreHarm();
+  BeginStoreFaultPeriod();
   ControlStore(R"({"outage":"silent"})");
-  Later(kBeforeRestore, [this, rewritten_after = action.rewritten_after] {
-    // Other ends of its outage may have come before.
-    BeginStoreHarm();
+  Schedule(kRestoreOutage, [this, rewritten_after = action.rewritten_after] {
+    // Another action may have ended the outage, and with it the fault period.
+    BeginStoreFaultPeriod();
     ControlStore(R"({"restore":true})");
-    HealStore({});
-    Later(rewritten_after, [this] { WriteAgain(); });
+    ClearStoreFault({});
+    Schedule(rewritten_after, [this] { RepeatLostWrites(); });
   });
 }
 
-void Stage::WriteAgain() {
+void Stage::RepeatLostWrites() {
   PutInStore(std::string(platform::wire::kConfigKey),
              ConfigText(m_layouts.back().layout));
   if (IsEvacuated()) {
--- a/soak/target_main.cc
+++ b/soak/target_main.cc
@@ -1,5 +1,5 @@
-// A target of the soak: answers any request with one record, and writes down
-// each run before it begins, so that a kill loses none.
+// A target of the soak. It answers each request with one record and logs each
+// run before it executes it, so that a kill cannot lose a run.
 #include <fcntl.h>
 #include <jansson.h>
 #include <unistd.h>
@@ -28,26 +28,27 @@
 namespace wire = platform::wire;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kBeatPeriod{1000};
-//! Three beats of silence.
-constexpr int kLifeMs = 3600;
-//! A leaving target serves on for twice the bound in which all must know, so
-//! that a request which comes too late is seen.
-constexpr milliseconds kDrain{6000};
-//! Requests take up to this long, each its own time.
-constexpr std::uint64_t kMostWorkMs = 60;
+//! Period at which the target renews its registration.
+constexpr milliseconds kRenewalPeriod{1000};
+//! Time to live of the registration: three missed renewals and a margin.
+constexpr int kRegistrationTtlMs = 3600;
+//! A draining target serves for twice the bound within which all entries must
+//! stop sending to it, so that a late request is observed.
+constexpr milliseconds kDrainDuration{6000};
+//! Upper limit of the execution time, which is derived from the request id.
+constexpr std::uint64_t kMaxExecutionMs = 60;
 constexpr Duration kStoreTimeout = std::chrono::seconds(2);
 constexpr int kSlots = 8;
-//! One in so many answers is lost, while answers are.
+//! One in this many answers is lost while the target loses answers.
 constexpr std::uint64_t kLostOneIn = 3;
 
-//! Set by signals from outside.
+//! Set by SIGUSR1, reset by SIGUSR2.
 volatile std::sig_atomic_t loses_answers = 0;
 
 struct TargetOptions {
   std::string id;
   std::string service;
-  //! Ports on loopback: of the store, and that which entries are told.
+  //! Loopback ports of the store and of the address that entries connect to.
   std::uint16_t store = 0;
   std::uint16_t advertised = 0;
   std::string log;
@@ -72,22 +73,25 @@
 
   [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
 
-  //! Tells the store again and again, from a thread of its own.
-  void Beat(const std::stop_token& stop) {
+  //! Renews the registration until stopped; runs on its own thread.
+  void RenewRegistration(const std::stop_token& stop) {
     while (!stop.stop_requested()) {
-      if (Register() && m_leaving && !m_told) {
+      if (Register() && m_leaving && !m_leaving_confirmed) {
         Write("leaving", "-");
-        m_told = true;
+        m_leaving_confirmed = true;
       }
-      std::this_thread::sleep_for(kBeatPeriod / 10);
+      std::this_thread::sleep_for(kRenewalPeriod / 10);
     }
   }
 
-  void Leave() { m_leaving = true; }
-  [[nodiscard]] bool has_told() const { return m_told; }
+  void StartLeaving() { m_leaving = true; }
+  [[nodiscard]] bool is_leaving_confirmed() const {
+    return m_leaving_confirmed;
+  }
 
  private:
-  //! One line with one call: lines of a killed process are whole.
+  //! Appends one line with a single write(), so that a kill leaves no partial
+  //! line.
   void Write(const char* event, const std::string& request) {
     const std::string line =
         std::string(event) + " " + m_options.id + " " + request + " " +
@@ -114,7 +118,8 @@
       return NotRun(http_status::kMisdirected);
     }
     Write("run", id->second);
-    std::this_thread::sleep_for(milliseconds(HashOf(id->second) % kMostWorkMs));
+    std::this_thread::sleep_for(
+        milliseconds(HashOf(id->second) % kMaxExecutionMs));
     if (loses_answers != 0 && HashOf(id->second) % kLostOneIn == 0) {
       return standins::DropConnection();
     }
@@ -129,10 +134,10 @@
 
   [[nodiscard]] bool Register() {
     const auto now = m_clock.Now();
-    if (!m_leaving && now < m_next_beat) {
+    if (!m_leaving && now < m_next_renewal) {
       return false;
     }
-    m_next_beat = now + kBeatPeriod;
+    m_next_renewal = now + kRenewalPeriod;
     const std::string address =
         "127.0.0.1:" + std::to_string(m_options.advertised);
     const JsonPtr entry(json_pack(
@@ -143,7 +148,7 @@
     const std::string key = std::string(wire::kTargetPrefix) + m_options.id;
     const JsonPtr message(
         json_pack("{s:[{s:s, s:s, s:i}]}", "put", "key", key.c_str(), "value",
-                  DumpJson(*entry).c_str(), "ttl_ms", kLifeMs));
+                  DumpJson(*entry).c_str(), "ttl_ms", kRegistrationTtlMs));
     const ClientReply reply =
         CallAndWait({"127.0.0.1", m_options.store},
                     {"POST", "/control", DumpJson(*message)}, kStoreTimeout);
@@ -153,10 +158,11 @@
   TargetOptions m_options;
   BoottimeClock m_clock;
   const int m_log;
-  TimePoint m_next_beat;
+  TimePoint m_next_renewal;
   std::atomic<bool> m_leaving = false;
-  std::atomic<bool> m_told = false;
-  //! Last: it calls the members above from its first moment on.
+  std::atomic<bool> m_leaving_confirmed = false;
+  //! Declared last, because its handler uses the members above as soon as it is
+  //! constructed.
   standins::HttpServer m_server;
 };
 
@@ -164,14 +170,15 @@
   (void)std::signal(SIGUSR1, [](int) { loses_answers = 1; });
   (void)std::signal(SIGUSR2, [](int) { loses_answers = 0; });
   Target target(options);
-  std::jthread beats(
-      [&target](const std::stop_token& stop) { target.Beat(stop); });
+  std::jthread renewals([&target](const std::stop_token& stop) {
+    target.RenewRegistration(stop);
+  });
   standins::ServeUntilSignal(target.port());
-  target.Leave();
-  while (!target.has_told()) {
-    std::this_thread::sleep_for(kBeatPeriod / 10);
+  target.StartLeaving();
+  while (!target.is_leaving_confirmed()) {
+    std::this_thread::sleep_for(kRenewalPeriod / 10);
   }
-  std::this_thread::sleep_for(kDrain);
+  std::this_thread::sleep_for(kDrainDuration);
   return 0;
 }
 
@@ -184,15 +191,17 @@
   jacinthdeck::soak::TargetOptions target;
   po::options_description options("Target");
   options.add_options()("id", po::value(&target.id)->required(),
-                        "id of this life")(
-      "service", po::value(&target.service)->required(), "its service")(
-      "store", po::value(&target.store)->required(), "port of the store")(
+                        "id of this target process")(
+      "service", po::value(&target.service)->required(),
+      "service that the target serves")("store",
+                                        po::value(&target.store)->required(),
+                                        "loopback port of the store")(
       "advertised", po::value(&target.advertised)->required(),
-      "port that entries are told")("log", po::value(&target.log)->required(),
-                                    "file that takes its runs")(
-      "domain", po::value(&target.domain), "its failure domain")(
-      "layout", po::value(&target.layout), "layout that its records name")(
-      "shard", po::value(&target.shard), "shard that its records name");
+      "port that entries connect to")("log", po::value(&target.log)->required(),
+                                      "file that runs are appended to")(
+      "domain", po::value(&target.domain), "failure domain of the target")(
+      "layout", po::value(&target.layout), "layout number in the records")(
+      "shard", po::value(&target.shard), "shard number in the records");
   return jacinthdeck::standins::RunServer(
       argc, argv, options,
       [&](std::uint16_t) { return jacinthdeck::soak::Serve(target); });
--- a/test/soak/loopback_proxy_test.cc
+++ b/test/soak/loopback_proxy_test.cc
@@ -1,4 +1,4 @@
-// Tests of the proxy that harms links.
+// Tests of the proxy that injects link faults.
 #include "soak/loopback_proxy.h"
 
 #include <boost/test/unit_test.hpp>
@@ -26,9 +26,9 @@
 
   ProxyFixture() { proxy.SetUpstream(server.port()); }
 
-  void Call(Duration patience) {
+  void Call(Duration timeout) {
     bool ended = false;
-    session.Call({"GET", "/", ""}, patience, [&](const ClientReply& got) {
+    session.Call({"GET", "/", ""}, timeout, [&](const ClientReply& got) {
       reply = got;
       ended = true;
     });
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoopbackProxyTest, ProxyFixture)
 
-BOOST_AUTO_TEST_CASE(Link_IsWell_PassesBothWays) {
+BOOST_AUTO_TEST_CASE(Link_WithoutFault_PassesBothWays) {
   Call(std::chrono::seconds(10));
   BOOST_TEST(reply.status == http_status::kOk);
   BOOST_TEST(reply.body == "well");
