--- a/src/jacinthdeck/entry/caller_handler.cc
+++ b/src/jacinthdeck/entry/caller_handler.cc
@@ -1,4 +1,5 @@
-// Headers that the system sets itself are taken off a caller's request.
+// Conversion of requests to calls. Headers that the system itself sets on
+// requests to targets are removed from the caller's request.
 #include "jacinthdeck/entry/caller_handler.h"
 
 #include <algorithm>
@@ -11,10 +12,11 @@
 
 namespace {
 
-//! Longest time that a caller can ask for.
+//! Longest time until the deadline that a caller can request, in milliseconds.
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 
-//! When the caller stops waiting; max() where it does not say, or nonsense.
+//! Returns when the caller stops waiting; max() if the text is empty, not a
+//! number or negative.
 [[nodiscard]] TimePoint DeadlineOf(std::string_view text, TimePoint arrived) {
   std::int64_t requested_ms = 0;
   const char* end = text.data() + text.size();
--- a/test/jacinthdeck/entry/entry_node_test.cc
+++ b/test/jacinthdeck/entry/entry_node_test.cc
@@ -1,5 +1,5 @@
-// Tests of an entry as a whole, against the stand-in store and a target that
-// the test plays.
+// Tests of a complete EntryNode with the stand-in store and a target that the
+// test simulates.
 #include "jacinthdeck/entry/entry_node.h"
 
 #include <signal.h>
@@ -77,7 +77,7 @@
   }
 
   ~NodeFixture() {
-    // The node has a handler of its own for it, so the process lives on.
+    // The node handles SIGTERM itself, so the test process continues.
     (void)raise(SIGTERM);
     runner.join();
   }
@@ -126,16 +126,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(EntryNodeTest, NodeFixture)
 
-// A host that has just started knows nothing yet. It says so with a time to
-// come back, instead of answering that there is no such route.
+// A host that has just started has no configuration yet. It answers 503, with a
+// time after which to retry, instead of reporting that the route does not
+// exist.
 BOOST_AUTO_TEST_CASE(Host_WithoutConfig_RefusesAndIsNotReady) {
   BOOST_TEST(Get(callers, "/a/1").status == 503);
   BOOST_TEST(Get(ready, "/-/ready").status == 503);
 }
 
-// No host learns from another one, and each reads the store itself.
-// The kernel picks the port on which others ask; the host told the store the
-// port 0 of its settings, so others dialled a port that nobody listens on.
+// Guards against a record that holds port 0 of the settings instead of the port
+// for followers that the kernel chose. Other hosts then connected to a port
+// that nobody listens on, so no host got the store's content from another one,
+// and each read the store itself.
 BOOST_AUTO_TEST_CASE(Host_KernelChoosesPeersPort_RecordHoldsChosenPort) {
   const std::string key = std::string(platform::wire::kHostPrefix) + "h1";
   BOOST_TEST(WaitUntil([&] { return store.content().Get(key).has_value(); }));
@@ -151,7 +153,8 @@
 BOOST_AUTO_TEST_CASE(Host_ReadsConfigFromStore_ServesAndIsInDirectory) {
   PutConfigAndTarget();
   BOOST_TEST(WaitUntil([&] { return Get(ready, "/-/ready").status == 200; }));
-  // The target of this test bears no proof, so its answers are no success.
+  // The target of this test sends no server stamp, the proof that a response is
+  // its own, so its responses do not count as a success.
   BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
   BOOST_TEST(Get(callers, "/b/1").status == 404);
   const ClientReply resolved = Get(directory, "/-/resolve?name=x&zone=z");
@@ -159,8 +162,8 @@
   BOOST_TEST(resolved.body.find(std::to_string(callers)) != std::string::npos);
 }
 
-// Guards against a host that serves on into an evacuated domain, and one that
-// does not come back after its end.
+// Guards against a host that still sends requests to an evacuated failure
+// domain, and against one that sends none after the evacuation has ended.
 BOOST_AUTO_TEST_CASE(Host_DomainIsEvacuatedAndGivenBack_RefusesAndServes) {
   PutConfigAndTarget();
   BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
@@ -180,9 +183,9 @@
   BOOST_TEST(WaitUntil([&] { return Get(callers, "/a/1").status == 502; }));
 }
 
-// The settings file changes while callers hold connections.
-// SIGHUP reads it again; a caller that has sent half of a request sends the
-// rest afterwards and must be answered on the same connection.
+// Guards against a reload of the settings by SIGHUP that drops connections. A
+// caller that has sent half of a request sends the rest after the reload, and
+// must be answered on the same connection.
 BOOST_AUTO_TEST_CASE(Settings_ReloadedBySighup_OpenRequestIsAnswered) {
   asio::io_context loop;
   tcp::socket caller(loop);
