--- a/src/jacinthdeck/forward/latency_profile.h
+++ b/src/jacinthdeck/forward/latency_profile.h
@@ -41,7 +41,7 @@
   [[nodiscard]] Duration hedge_delay() const noexcept { return m_hedge_delay; }
 
   /*! \brief Time after which a target that has not answered counts as silent.
-   * \brief Time after which a target that has not answered counts as silent. */
+   */
   [[nodiscard]] Duration silence_timeout() const noexcept {
     return m_silence_timeout;
   }
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -21,7 +21,7 @@
 enum class PartPhase { kOpen, kAnswered, kGivenUp };
 
 /*! \brief One shard of a fan-out, or the only part of a call for one service.
- * \brief One shard of a fan-out, or the only part of a call for one service. */
+ */
 struct CallPart {
   ServiceId service;
   PartPhase phase = PartPhase::kOpen;
--- a/src/jacinthdeck/routing/router.h
+++ b/src/jacinthdeck/routing/router.h
@@ -92,9 +92,12 @@
 
   /**
    * \brief Sets the number of hosts among which the targets' limits are
-   * divided. \param hosts Hosts that may hold connections now, including this
-   * one; at least 1. A decrease takes effect after
-   * RouterOptions::host_count_window. \param now Current time.
+   * divided.
+   *
+   * \param hosts Hosts that may hold connections now, including this one; at
+   * least 1. A decrease takes effect after RouterOptions::host_count_window.
+   *
+   * \param now Current time.
    */
   void SetHostCount(std::uint32_t hosts, TimePoint now);
 
--- a/src/jacinthdeck/schema/key_hash.h
+++ b/src/jacinthdeck/schema/key_hash.h
@@ -9,8 +9,10 @@
 
 /**
  * \brief Hashes a key with XXH32 and seed 0 over its text, as index builders
- * do. \param key Text of the key; integers in decimal. \return Position in [0,
- * 2^32).
+ * do.
+ *
+ * \param key Text of the key; integers in decimal.
+ * \return Position in [0, 2^32).
  */
 [[nodiscard]] std::uint64_t HashKey(std::string_view key) noexcept;
 
--- a/src/jacinthdeck/typed/typed_port.h
+++ b/src/jacinthdeck/typed/typed_port.h
@@ -15,9 +15,12 @@
  public:
   virtual ~TypedPort() = default;
 
-  /*! \brief Sends an attempt to its target. Its end must be reported exactly
-   * once with TypedCallRunner::OnReply(), unless it is cancelled. \param
-   * connection_limit Connections that this host may hold to the target. */
+  /**
+   * \brief Sends an attempt to its target. Its end must be reported exactly
+   * once with TypedCallRunner::OnReply(), unless it is cancelled.
+   *
+   * \param connection_limit Connections that this host may hold to the target.
+   */
   virtual void SendTyped(const SendAttempt& attempt,
                          const TargetInfo& target,
                          std::uint32_t connection_limit) = 0;
--- a/standins/target/work_queue.h
+++ b/standins/target/work_queue.h
@@ -44,9 +44,10 @@
    * \brief Waits for a slot.
    * \param attempt Attempt that is to run.
    * \param queue_limit Maximum number of requests that wait at once; when it is
-   * reached and no slot is free the result is kQueueFull. \param deadline End
-   * of the wait. \return kDone once the slot is taken; ReleaseSlot() gives it
-   * back.
+   * reached and no slot is free the result is kQueueFull.
+   *
+   * \param deadline End of the wait.
+   * \return kDone once the slot is taken; ReleaseSlot() gives it back.
    */
   [[nodiscard]] WorkOutcome AcquireSlot(const std::string& attempt,
                                         std::uint32_t queue_limit,
--- a/test/jacinthdeck/forward/forwarder_fixture.h
+++ b/test/jacinthdeck/forward/forwarder_fixture.h
@@ -49,7 +49,7 @@
 };
 
 /*! \brief Forwarder with four shards and a plain service, three targets each.
- * \brief Forwarder with four shards and a plain service, three targets each. */
+ */
 struct ForwarderFixture {
   static constexpr std::size_t kShards = 4;
   static constexpr std::size_t kReplicas = 3;
