--- a/test/jacinthdeck/peer/feed_choice_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -112,9 +112,9 @@
 // serves callers reads the store at once: waiting for a seed would cost the
 // time in which the seed starts.
 BOOST_AUTO_TEST_CASE(Start_StrongHostInRunningFleet_StoreIsReadAtOnce) {
-  FeederSelector weak_host(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, false, 1,
-                           now);
-  BOOST_TEST(weak_host.Step(now + milliseconds(40)).watch_store);
+  FeederSelector strong_host(MakeHost(9, 2), {Endpoint{"10.0.0.1", 1}}, false,
+                             1, now);
+  BOOST_TEST(strong_host.Step(now + milliseconds(40)).watch_store);
 }
 
 BOOST_AUTO_TEST_CASE(Hosts_WatcherInOwnDomain_IsFollowed) {
