--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -180,7 +180,7 @@
       const char* end = name.id.data() + name.id.size();
       if (change.value &&
           std::from_chars(name.id.data(), end, raw, kHex).ec == std::errc()) {
-        changed.convictions.emplace_back(raw);
+        changed.quarantines.emplace_back(raw);
       }
       break;
     }
--- a/src/jacinthdeck/discovery/knowledge.h
+++ b/src/jacinthdeck/discovery/knowledge.h
@@ -35,7 +35,7 @@
   //! Services whose partition maps were written.
   std::vector<ServiceId> indexes;
   //! Fingerprints of requests that another host found to crash targets.
-  std::vector<Fingerprint> convictions;
+  std::vector<Fingerprint> quarantines;
   //! Errors of entries that could not be decoded.
   std::vector<Error> unreadable;
 
--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -372,7 +372,7 @@
   }
   const bool news = change.schema || !change.indexes.empty() || change.config ||
                     change.targets || change.hosts ||
-                    !change.convictions.empty() || !change.unreadable.empty();
+                    !change.quarantines.empty() || !change.unreadable.empty();
   if (news) {
     m_observer.OnDiscoveryChange(change, m_position);
   }
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -133,7 +133,7 @@
 
   /*! \brief Informs the other hosts, through the store, that a request crashes
    * its targets. */
-  void ShareConviction(Fingerprint fingerprint);
+  void ShareQuarantine(Fingerprint fingerprint);
 
   /*! \brief Applies due removals and writes due member records; called a few
    * times a second. */
@@ -244,7 +244,7 @@
   //! nothing.
   StorePosition m_record_position;
   TimePoint m_renew_at;
-  std::vector<Fingerprint> m_convictions;
+  std::vector<Fingerprint> m_quarantines;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -59,9 +59,9 @@
   m_members.OnMemberLeft(name);
 }
 
-void StoreSession::ShareConviction(Fingerprint fingerprint) {
-  if (m_convictions.size() < kMaxPendingConvictions) {
-    m_convictions.push_back(fingerprint);
+void StoreSession::ShareQuarantine(Fingerprint fingerprint) {
+  if (m_quarantines.size() < kMaxPendingConvictions) {
+    m_quarantines.push_back(fingerprint);
   }
   if (!m_writes.busy()) {
     ScheduleWriteStep(Duration::zero());
@@ -85,14 +85,14 @@
       RemoveRecord();
     }
   } else if (!m_record) {
-    if (!m_convictions.empty()) {
+    if (!m_quarantines.empty()) {
       WriteConviction();
     }
   } else if (m_lease == 0) {
     GrantLease();
   } else if (!m_record_written) {
     PutRecord();
-  } else if (!m_convictions.empty()) {
+  } else if (!m_quarantines.empty()) {
     WriteConviction();
   } else if (m_clock.Now() >= m_renew_at) {
     RenewLease();
@@ -217,17 +217,17 @@
   ++m_counters.writes;
   Send(m_codec.GrantCall(kConvictionLeaseDuration), {},
        [this](const StoreAck& lease) {
-         if (m_convictions.empty()) {
+         if (m_quarantines.empty()) {
            OnWriteFailed(lease.status);
            return;
          }
          ++m_counters.writes;
          StoreWrite write;
          write.puts.push_back(
-             {m_codec.ConvictionKey(m_convictions.back()), "1", lease.lease});
+             {m_codec.ConvictionKey(m_quarantines.back()), "1", lease.lease});
          Send(m_codec.WriteCall(write), {}, [this](const StoreAck&) {
-           if (!m_convictions.empty()) {
-             m_convictions.pop_back();
+           if (!m_quarantines.empty()) {
+             m_quarantines.pop_back();
            }
            RunWriteStep();
          });
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -213,7 +213,7 @@
   LogLine line = m_log.Begin(LogEvent::kConvicted);
   line.Hash("fingerprint", fingerprint.raw());
   m_log.Add(std::move(line));
-  m_store.ShareConviction(fingerprint);
+  m_store.ShareQuarantine(fingerprint);
 }
 
 void EntryNode::OnAttemptEnd(AttemptEnd& end) {
--- a/src/jacinthdeck/entry/entry_node_knowledge.cc
+++ b/src/jacinthdeck/entry/entry_node_knowledge.cc
@@ -81,7 +81,7 @@
   if (change.hosts || change.config) {
     UpdateHosts(now);
   }
-  for (const Fingerprint fingerprint : change.convictions) {
+  for (const Fingerprint fingerprint : change.quarantines) {
     m_forwarder.QuarantineRequest(fingerprint, now);
   }
   UpdateRecordWriter(now);
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -171,8 +171,8 @@
   const Fingerprint fingerprint(0xabcdef0123456789U);
   const DiscoveryChange change =
       Change(codec.ConvictionKey(fingerprint), std::string("1"));
-  BOOST_REQUIRE_EQUAL(change.convictions.size(), 1U);
-  BOOST_TEST(change.convictions.front() == fingerprint);
+  BOOST_REQUIRE_EQUAL(change.quarantines.size(), 1U);
+  BOOST_TEST(change.quarantines.front() == fingerprint);
 }
 
 // Guards against requests to the targets of an evacuated domain.
--- a/test/scenario/world.cc
+++ b/test/scenario/world.cc
@@ -144,7 +144,7 @@
   m_cancelled.insert(attempt.raw());
 }
 
-void World::Deliver(CallId call, ForwardAnswer answer, const CallTrace& story) {
+void World::Deliver(CallId call, ForwardAnswer answer, const CallTrace& trace) {
   CallRecord& record = m_calls[call.raw()];
   if (record.end) {
     AddFault("call " + std::to_string(call.raw()) + " got two answers");
@@ -156,9 +156,9 @@
   if (answer.kind == AnswerKind::kNotRun && !answer.retry_after) {
     AddFault("a refusal names no time to come back");
   }
-  CheckParts(answer, story);
+  CheckParts(answer, trace);
   record.end = CallEnd{answer.kind, answer.reason, answer.missing_parts,
-                       story.answered, m_clock.Now()};
+                       trace.answered, m_clock.Now()};
 }
 
 void World::Take(const StoreChange& change) {
@@ -190,11 +190,11 @@
   }
 }
 
-void World::CheckParts(const ForwardAnswer& answer, const CallTrace& story) {
+void World::CheckParts(const ForwardAnswer& answer, const CallTrace& trace) {
   if (answer.kind != AnswerKind::kMerged) {
     return;
   }
-  const std::vector<ServiceId>& shards = story.route->shards;
+  const std::vector<ServiceId>& shards = trace.route->shards;
   const std::set<std::string> parts(answer.part_stamps.begin(),
                                     answer.part_stamps.end());
   const bool known = std::ranges::all_of(parts, [&](const std::string& part) {
--- a/test/scenario/world.h
+++ b/test/scenario/world.h
@@ -94,13 +94,13 @@
   void Cancel(AttemptId attempt) override;
   void Deliver(CallId call,
                ForwardAnswer answer,
-               const CallTrace& story) override;
+               const CallTrace& trace) override;
   void ShareQuarantine(Fingerprint /*fingerprint*/) override {}
 
   void Take(const StoreChange& change);
   void Act(const DiscoveryChange& change);
   void Run(const OutgoingAttempt& attempt);
-  void CheckParts(const ForwardAnswer& answer, const CallTrace& story);
+  void CheckParts(const ForwardAnswer& answer, const CallTrace& trace);
 
   ManualClock m_clock;
   const TimePoint m_start = m_clock.Now();
