--- a/soak/stage.cc
+++ b/soak/cluster.cc
@@ -1,5 +1,5 @@
 // Each action kind is applied by one member function.
-#include "soak/stage.h"
+#include "soak/cluster.h"
 
 #include <algorithm>
 #include <array>
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-Stage::Stage(StageOptions options)
+Cluster::Cluster(ClusterOptions options)
     : m_options(std::move(options)),
       m_callers(m_loop, m_options.callers, m_options.seed),
       m_loop_thread([this] {
@@ -55,19 +55,19 @@
         m_loop.run();
       }) {}
 
-Stage::~Stage() {
+Cluster::~Cluster() {
   m_loop.stop();
 }
 
-std::string Stage::ProgramPath(const std::string& program) const {
+std::string Cluster::ProgramPath(const std::string& program) const {
   return (m_options.programs / program).string();
 }
 
-std::string Stage::WorkFilePath(const std::string& name) const {
+std::string Cluster::WorkFilePath(const std::string& name) const {
   return (m_options.work / name).string();
 }
 
-void Stage::Start() {
+void Cluster::Start() {
   StartStore();
   StartLayout();
   WriteConfig();
@@ -80,53 +80,57 @@
   }
 }
 
-void Stage::Apply(const Action& action) {
+void Cluster::Apply(const Action& action) {
   //! Indexed by ActionKind.
   static constexpr std::array<Step, kActionNames.names.size()> kSteps{
-      &Stage::StopEntry,        &Stage::ContinueEntry,  &Stage::KillEntry,
-      &Stage::DrainEntry,       &Stage::RestartEntry,   &Stage::StopTarget,
-      &Stage::ContinueTarget,   &Stage::KillTarget,     &Stage::DrainTarget,
-      &Stage::LoseAnswers,      &Stage::AnswerAll,      &Stage::Reshard,
-      &Stage::InjectStoreFault, &Stage::CompactStore,   &Stage::ClearStoreFault,
-      &Stage::InjectLinkFault,  &Stage::ClearLinkFault, &Stage::Evacuate,
-      &Stage::EndEvacuation,    &Stage::CopyStore,      &Stage::RestoreStore};
+      &Cluster::StopEntry,        &Cluster::ContinueEntry,
+      &Cluster::KillEntry,        &Cluster::DrainEntry,
+      &Cluster::RestartEntry,     &Cluster::StopTarget,
+      &Cluster::ContinueTarget,   &Cluster::KillTarget,
+      &Cluster::DrainTarget,      &Cluster::LoseAnswers,
+      &Cluster::AnswerAll,        &Cluster::Reshard,
+      &Cluster::InjectStoreFault, &Cluster::CompactStore,
+      &Cluster::ClearStoreFault,  &Cluster::InjectLinkFault,
+      &Cluster::ClearLinkFault,   &Cluster::Evacuate,
+      &Cluster::EndEvacuation,    &Cluster::CopyStore,
+      &Cluster::RestoreStore};
   const Step step = kSteps[static_cast<std::size_t>(action.kind)];
   (this->*step)(action);
 }
 
-void Stage::Schedule(Duration after, std::function<void()> step) {
+void Cluster::Schedule(Duration after, std::function<void()> step) {
   m_scheduled.emplace(Now() + after, std::move(step));
 }
 
-void Stage::RunDueSteps() {
+void Cluster::RunDueSteps() {
   while (!m_scheduled.empty() && m_scheduled.begin()->first <= Now()) {
     const auto due = m_scheduled.extract(m_scheduled.begin());
     due.mapped()();
   }
 }
 
-void Stage::BeginFaultPeriods(const std::string& cause,
-                              const std::vector<std::size_t>& instances,
-                              FaultEffect effect,
-                              Duration after) {
+void Cluster::BeginFaultPeriods(const std::string& cause,
+                                const std::vector<std::size_t>& instances,
+                                FaultEffect effect,
+                                Duration after) {
   for (const std::size_t instance : instances) {
     m_open_periods[cause].push_back(m_fault_periods.size());
     m_fault_periods.push_back({instance, effect, Now() + after});
   }
 }
 
-void Stage::EndFaultPeriods(const std::string& cause, Duration after) {
+void Cluster::EndFaultPeriods(const std::string& cause, Duration after) {
   for (const std::size_t index : m_open_periods[cause]) {
     m_fault_periods[index].to = Now() + after;
   }
   m_open_periods.erase(cause);
 }
 
-Stage::Entry& Stage::EntryOf(const Action& action) {
+Cluster::Entry& Cluster::EntryOf(const Action& action) {
   return m_entries[action.subject % m_entries.size()];
 }
 
-void Stage::StopEntry(const Action& action) {
+void Cluster::StopEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   const std::string cause = Cause("stopped", entry.instance);
   BeginFaultPeriods(cause, {entry.instance}, FaultEffect::kPropagation);
@@ -134,13 +138,13 @@
   entry.child->Signal(SIGSTOP);
 }
 
-void Stage::ContinueEntry(const Action& action) {
+void Cluster::ContinueEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   entry.child->Signal(SIGCONT);
   EndFaultPeriods(Cause("stopped", entry.instance), kContinueRecovery);
 }
 
-void Stage::KillEntry(const Action& action) {
+void Cluster::KillEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   // The fault period must begin before the signal: callers see the connection
   // close within microseconds of it, and the check would report a cut request.
@@ -151,7 +155,7 @@
              [this, instance = entry.instance] { m_callers.Remove(instance); });
 }
 
-void Stage::DrainEntry(const Action& action) {
+void Cluster::DrainEntry(const Action& action) {
   const Entry& entry = EntryOf(action);
   entry.child->Signal(SIGTERM);
   BeginFaultPeriods(Cause("killed", entry.instance), {entry.instance},
@@ -160,7 +164,7 @@
              [this, instance = entry.instance] { m_callers.Remove(instance); });
 }
 
-void Stage::RestartEntry(const Action& action) {
+void Cluster::RestartEntry(const Action& action) {
   Entry& entry = EntryOf(action);
   if (entry.child->IsRunning() &&
       !m_open_periods.contains(Cause("killed", entry.instance))) {
@@ -174,7 +178,7 @@
   StartEntry(entry);
 }
 
-void Stage::StartEntry(Entry& entry) {
+void Cluster::StartEntry(Entry& entry) {
   entry.instance = m_next_entry_instance++;
   KeepReplacedProxy(std::move(entry.store));
   KeepReplacedProxy(std::move(entry.callers));
@@ -211,13 +215,13 @@
              });
 }
 
-void Stage::KeepReplacedProxy(std::unique_ptr<LoopbackProxy> proxy) {
+void Cluster::KeepReplacedProxy(std::unique_ptr<LoopbackProxy> proxy) {
   if (proxy) {
     m_replaced_proxies.push_back(std::move(proxy));
   }
 }
 
-Stage::Target& Stage::TargetOf(const Action& action) {
+Cluster::Target& Cluster::TargetOf(const Action& action) {
   // Half of the requests go to the targets of the single service, so half of
   // the faults, those with odd subjects, affect one of these targets.
   Target& any = *m_targets[action.subject / 2 % m_targets.size()];
@@ -231,9 +235,9 @@
   return single == m_targets.rend() ? any : **single;
 }
 
-void Stage::StartTarget(const std::string& service,
-                        std::uint32_t shard,
-                        const std::string& domain) {
+void Cluster::StartTarget(const std::string& service,
+                          std::uint32_t shard,
+                          const std::string& domain) {
   auto target = std::make_unique<Target>();
   target->id = "t-" + std::to_string(m_next_target_number++);
   target->service = service;
@@ -255,7 +259,7 @@
   m_targets.push_back(std::move(target));
 }
 
-void Stage::StartLayout() {
+void Cluster::StartLayout() {
   ++m_layout;
   for (std::uint32_t replica = 0; replica < kReplicas; ++replica) {
     const bool other = m_options.two_domains && replica > 0;
@@ -267,11 +271,11 @@
   }
 }
 
-void Stage::StopTarget(const Action& action) {
+void Cluster::StopTarget(const Action& action) {
   TargetOf(action).child->Signal(SIGSTOP);
 }
 
-void Stage::ContinueTarget(const Action& /*action*/) {
+void Cluster::ContinueTarget(const Action& /*action*/) {
   // New targets change which target a subject selects, so the stopped one is
   // not known here; all targets are continued.
   for (const auto& target : m_targets) {
@@ -279,7 +283,7 @@
   }
 }
 
-void Stage::KillTarget(const Action& action) {
+void Cluster::KillTarget(const Action& action) {
   Target& target = TargetOf(action);
   target.child->Signal(SIGKILL);
   if (!std::exchange(target.leaving, true) && !m_is_resharding) {
@@ -287,7 +291,7 @@
   }
 }
 
-void Stage::DrainTarget(const Action& action) {
+void Cluster::DrainTarget(const Action& action) {
   Target& target = TargetOf(action);
   if (!std::exchange(target.leaving, true) && !m_is_resharding) {
     target.child->Signal(SIGTERM);
@@ -295,17 +299,17 @@
   }
 }
 
-void Stage::LoseAnswers(const Action& action) {
+void Cluster::LoseAnswers(const Action& action) {
   TargetOf(action).child->Signal(SIGUSR1);
 }
 
-void Stage::AnswerAll(const Action& /*action*/) {
+void Cluster::AnswerAll(const Action& /*action*/) {
   for (const auto& target : m_targets) {
     target->child->Signal(SIGUSR2);
   }
 }
 
-void Stage::Reshard(const Action& /*action*/) {
+void Cluster::Reshard(const Action& /*action*/) {
   if (std::exchange(m_is_resharding, true)) {
     return;
   }
@@ -316,7 +320,7 @@
   });
 }
 
-void Stage::DrainOldTargets() {
+void Cluster::DrainOldTargets() {
   const std::string current = "-" + std::to_string(m_layout);
   for (const auto& target : m_targets) {
     const bool is_current =
@@ -329,7 +333,7 @@
   m_is_resharding = false;
 }
 
-LoopbackProxy& Stage::LinkOf(const Action& action) {
+LoopbackProxy& Cluster::LinkOf(const Action& action) {
   if (action.link == Link::kTarget) {
     return *TargetOf(action).proxy;
   }
@@ -337,7 +341,7 @@
   return action.link == Link::kStore ? *entry.store : *entry.callers;
 }
 
-void Stage::InjectLinkFault(const Action& action) {
+void Cluster::InjectLinkFault(const Action& action) {
   const std::size_t instance = EntryOf(action).instance;
   if (action.link == Link::kStore) {
     BeginFaultPeriods(Cause("store link", instance), {instance},
@@ -349,7 +353,7 @@
   LinkOf(action).SetMode(action.mode);
 }
 
-void Stage::ClearLinkFault(const Action& action) {
+void Cluster::ClearLinkFault(const Action& action) {
   if (action.link == Link::kTarget) {
     for (const auto& target : m_targets) {
       target->proxy->SetMode(LinkMode::kPass);
@@ -364,7 +368,7 @@
       action.link == Link::kStore ? Duration::zero() : kContinueRecovery);
 }
 
-void Stage::EndAllFaults() {
+void Cluster::EndAllFaults() {
   EndEvacuation({});
   ClearStoreFault({});
   ClearLinkFault({{}, ActionKind::kLinkWell, 0, {}, Link::kTarget});
@@ -381,7 +385,7 @@
   m_calm_since = Now() + kRecovery;
 }
 
-History Stage::Finish() {
+History Cluster::Finish() {
   asio::post(m_loop, [this] { m_callers.Stop(); });
   std::this_thread::sleep_for(kLastCallsWait);
   m_loop.stop();
@@ -397,7 +401,7 @@
   return history;
 }
 
-void Stage::ReadLog(History& history) const {
+void Cluster::ReadLog(History& history) const {
   std::ifstream file(WorkFilePath("runs.log"));
   std::string event;
   std::string target;
--- a/soak/stage.h
+++ b/soak/cluster.h
@@ -1,6 +1,6 @@
-// Starts the processes of one run and applies the actions of its plan.
-#ifndef SOAK_STAGE_H_
-#define SOAK_STAGE_H_
+// The processes of one run: starts them and applies the actions of the plan.
+#ifndef SOAK_CLUSTER_H_
+#define SOAK_CLUSTER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -29,8 +29,8 @@
 //! Longest time for a process to report that it is ready.
 inline constexpr Duration kStartTimeout = std::chrono::seconds(20);
 
-/*! \brief Location of the programs and number of processes of a run. */
-struct StageOptions {
+/*! \brief Location of the programs and number of processes of a cluster. */
+struct ClusterOptions {
   //! Build directory.
   std::filesystem::path programs;
   //! Existing directory for settings and logs.
@@ -51,12 +51,12 @@
  * Records which entries a fault affected and when, so that the checks do not
  * report the direct effects of the faults.
  */
-class Stage {
+class Cluster {
  public:
-  explicit Stage(StageOptions options);
-  ~Stage();
-  Stage(const Stage&) = delete;
-  Stage& operator=(const Stage&) = delete;
+  explicit Cluster(ClusterOptions options);
+  ~Cluster();
+  Cluster(const Cluster&) = delete;
+  Cluster& operator=(const Cluster&) = delete;
 
   /*! \brief Starts all processes.
    * \throw std::runtime_error if one does not become ready. */
@@ -91,7 +91,7 @@
     std::unique_ptr<LoopbackProxy> callers;
     std::unique_ptr<Child> child;
   };
-  using Step = void (Stage::*)(const Action&);
+  using Step = void (Cluster::*)(const Action&);
 
   void StopEntry(const Action& action);
   void ContinueEntry(const Action& action);
@@ -153,7 +153,7 @@
   [[nodiscard]] std::string ProgramPath(const std::string& program) const;
   [[nodiscard]] std::string WorkFilePath(const std::string& name) const;
 
-  StageOptions m_options;
+  ClusterOptions m_options;
   BoottimeClock m_clock;
   asio::io_context m_loop;
   std::unique_ptr<Child> m_store;
@@ -182,4 +182,4 @@
 
 }  // namespace jacinthdeck::soak
 
-#endif  // SOAK_STAGE_H_
+#endif  // SOAK_CLUSTER_H_
--- a/soak/stage_store.cc
+++ b/soak/cluster_store.cc
@@ -13,8 +13,8 @@
 #include "jacinthdeck/http/blocking_client.h"
 #include "jacinthdeck/http/status.h"
 #include "platform/wire_names.h"
+#include "soak/cluster.h"
 #include "soak/layout.h"
-#include "soak/stage.h"
 
 namespace jacinthdeck::soak {
 
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-void Stage::StartStore() {
+void Cluster::StartStore() {
   m_store = std::make_unique<Child>(
       std::vector<std::string>{ProgramPath("standins/standin_store")},
       WorkFilePath("store.log"));
@@ -54,7 +54,7 @@
   m_store_port = static_cast<std::uint16_t>(std::stoi(port));
 }
 
-void Stage::ControlStore(const std::string& message) {
+void Cluster::ControlStore(const std::string& message) {
   const ClientReply reply =
       CallAndWait({"127.0.0.1", m_store_port}, {"POST", "/control", message},
                   kControlTimeout);
@@ -63,24 +63,24 @@
   }
 }
 
-void Stage::PutInStore(const std::string& key, const std::string& value) {
+void Cluster::PutInStore(const std::string& key, const std::string& value) {
   const JsonPtr message(json_pack("{s:[{s:s, s:s}]}", "put", "key", key.c_str(),
                                   "value", value.c_str()));
   ControlStore(DumpJson(*message));
 }
 
-void Stage::RemoveFromStore(const std::string& key) {
+void Cluster::RemoveFromStore(const std::string& key) {
   const JsonPtr message(json_pack("{s:[s]}", "remove", key.c_str()));
   ControlStore(DumpJson(*message));
 }
 
-void Stage::BeginStoreFaultPeriod() {
+void Cluster::BeginStoreFaultPeriod() {
   if (!m_open_periods.contains("store")) {
     BeginFaultPeriods("store", EntryInstances(), FaultEffect::kPropagation);
   }
 }
 
-std::vector<std::size_t> Stage::EntryInstances() const {
+std::vector<std::size_t> Cluster::EntryInstances() const {
   std::vector<std::size_t> instances;
   instances.reserve(m_entries.size());
   for (const Entry& entry : m_entries) {
@@ -89,34 +89,34 @@
   return instances;
 }
 
-void Stage::InjectStoreFault(const Action& action) {
+void Cluster::InjectStoreFault(const Action& action) {
   BeginStoreFaultPeriod();
   const auto fault = static_cast<std::size_t>(action.store);
   ControlStore(kStoreMessages[fault]);
 }
 
-void Stage::CompactStore(const Action& /*action*/) {
+void Cluster::CompactStore(const Action& /*action*/) {
   ControlStore(R"({"compact":true})");
 }
 
-void Stage::ClearStoreFault(const Action& /*action*/) {
+void Cluster::ClearStoreFault(const Action& /*action*/) {
   ControlStore(kStoreWell);
   EndFaultPeriods("store");
 }
 
-bool Stage::IsEvacuated() const {
+bool Cluster::IsEvacuated() const {
   return !m_evacuations.empty() &&
          m_evacuations.back().ended == TimePoint::max();
 }
 
-void Stage::Evacuate(const Action& /*action*/) {
+void Cluster::Evacuate(const Action& /*action*/) {
   if (!IsEvacuated()) {
     PutInStore(EvacuationKey(), "{}");
     m_evacuations.push_back({kDomain, Now()});
   }
 }
 
-void Stage::EndEvacuation(const Action& /*action*/) {
+void Cluster::EndEvacuation(const Action& /*action*/) {
   if (!IsEvacuated()) {
     return;
   }
@@ -126,7 +126,7 @@
   RemoveFromStore(EvacuationKey());
 }
 
-void Stage::CopyStore(const Action& /*action*/) {
+void Cluster::CopyStore(const Action& /*action*/) {
   ControlStore(R"({"copy":true})");
   for (int write = 0; write < kLostWrites; ++write) {
     PutInStore(std::string(platform::wire::kConfigKey),
@@ -134,7 +134,7 @@
   }
 }
 
-void Stage::RestoreStore(const Action& action) {
+void Cluster::RestoreStore(const Action& action) {
   if (std::exchange(m_is_restoring, true)) {
     return;
   }
@@ -149,7 +149,7 @@
   });
 }
 
-void Stage::RepeatLostWrites() {
+void Cluster::RepeatLostWrites() {
   PutInStore(std::string(platform::wire::kConfigKey),
              ConfigText(m_layouts.back().layout));
   if (IsEvacuated()) {
@@ -160,7 +160,7 @@
   m_is_restoring = false;
 }
 
-void Stage::WriteConfig() {
+void Cluster::WriteConfig() {
   PutInStore(std::string(platform::wire::kConfigKey), ConfigText(m_layout));
   m_layouts.push_back({m_layout, Now()});
 }
--- a/soak/fwd.h
+++ b/soak/fwd.h
@@ -7,8 +7,8 @@
 
 class Callers;
 class Child;
+class Cluster;
 class LoopbackProxy;
-class Stage;
 struct Action;
 struct Call;
 struct History;
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -9,8 +9,8 @@
 
 #include "process/process.h"
 #include "soak/checks.h"
+#include "soak/cluster.h"
 #include "soak/plan.h"
-#include "soak/stage.h"
 
 namespace jacinthdeck::soak {
 
@@ -30,7 +30,7 @@
 
 struct SoakOptions {
   PlanOptions plan;
-  StageOptions stage;
+  ClusterOptions cluster;
   std::string programs = "build";
   std::uint64_t seeds = 1;
   std::uint64_t seconds = 12;
@@ -38,17 +38,19 @@
   bool keep = false;
 };
 
-void RunPlan(Stage& stage, const std::vector<Action>& plan, Duration length) {
-  const TimePoint begin = stage.Now() + kWarmUp;
+void RunPlan(Cluster& cluster,
+             const std::vector<Action>& plan,
+             Duration length) {
+  const TimePoint begin = cluster.Now() + kWarmUp;
   std::size_t next = 0;
   bool is_calm = false;
-  while (stage.Now() < begin + length + kCalm) {
-    stage.RunDueSteps();
-    if (next < plan.size() && begin + plan[next].at <= stage.Now()) {
-      stage.Apply(plan[next]);
+  while (cluster.Now() < begin + length + kCalm) {
+    cluster.RunDueSteps();
+    if (next < plan.size() && begin + plan[next].at <= cluster.Now()) {
+      cluster.Apply(plan[next]);
       ++next;
-    } else if (!is_calm && begin + length < stage.Now()) {
-      stage.EndAllFaults();
+    } else if (!is_calm && begin + length < cluster.Now()) {
+      cluster.EndAllFaults();
       is_calm = true;
     }
     std::this_thread::sleep_for(kTick);
@@ -77,7 +79,7 @@
 [[nodiscard]] bool RunSeed(SoakOptions options, std::uint64_t seed) {
   options.plan.seed = seed;
   options.plan.length = std::chrono::seconds(options.seconds);
-  options.plan.entries = options.stage.entries;
+  options.plan.entries = options.cluster.entries;
   const std::vector<Action> plan = MakePlan(options.plan);
   if (options.plan_only) {
     for (const Action& action : plan) {
@@ -90,16 +92,16 @@
   if (mkdtemp(work.data()) == nullptr) {
     throw std::runtime_error("cannot create directory " + work);
   }
-  options.stage.seed = seed;
-  options.stage.two_domains = options.plan.evacuations > 0;
-  options.stage.work = work;
-  options.stage.programs = options.programs;
+  options.cluster.seed = seed;
+  options.cluster.two_domains = options.plan.evacuations > 0;
+  options.cluster.work = work;
+  options.cluster.programs = options.programs;
   bool all_held = false;
   {
-    Stage stage(options.stage);
-    stage.Start();
-    RunPlan(stage, plan, options.plan.length);
-    const History history = stage.Finish();
+    Cluster cluster(options.cluster);
+    cluster.Start();
+    RunPlan(cluster, plan, options.plan.length);
+    const History history = cluster.Finish();
     all_held = Report(seed, history, FindViolations(history));
   }
   if (all_held && !options.keep) {
@@ -148,10 +150,10 @@
       }),
       "time from a restore until operators write again; random by default")(
       "entries",
-      po::value(&soak.stage.entries)->default_value(soak.stage.entries),
+      po::value(&soak.cluster.entries)->default_value(soak.cluster.entries),
       "number of entry processes")(
       "callers",
-      po::value(&soak.stage.callers)->default_value(soak.stage.callers),
+      po::value(&soak.cluster.callers)->default_value(soak.cluster.callers),
       "number of callers, each with one connection")(
       "programs", po::value(&soak.programs)->default_value(soak.programs),
       "build directory")("plan", po::bool_switch(&soak.plan_only),
