--- a/soak/cluster.cc
+++ b/soak/cluster.cc
@@ -371,14 +371,14 @@
 void Cluster::EndAllFaults() {
   EndEvacuation({});
   ClearStoreFault({});
-  ClearLinkFault({{}, ActionKind::kLinkWell, 0, {}, Link::kTarget});
+  ClearLinkFault({{}, ActionKind::kClearLinkFault, 0, {}, Link::kTarget});
   ContinueTarget({});
   AnswerAll({});
   for (std::size_t index = 0; index < m_entries.size(); ++index) {
     const Action of_entry{{}, ActionKind::kStartEntry, index};
     ContinueEntry(of_entry);
     for (const Link link : {Link::kCallers, Link::kStore}) {
-      ClearLinkFault({{}, ActionKind::kLinkWell, index, {}, link});
+      ClearLinkFault({{}, ActionKind::kClearLinkFault, index, {}, link});
     }
     RestartEntry(of_entry);
   }
--- a/soak/cluster_store.cc
+++ b/soak/cluster_store.cc
@@ -32,11 +32,13 @@
 //! within a moment, and entries that confuse the two histories would recover
 //! unnoticed.
 constexpr int kLostWrites = 60;
-//! Messages to the store's control path, indexed by StoreFault.
-constexpr std::array kStoreMessages{
+//! Messages to the store's control path that inject a fault, indexed by
+//! StoreFault.
+constexpr std::array kStoreFaultMessages{
     R"({"outage":"busy"})", R"({"outage":"drop"})", R"({"outage":"silent"})",
     R"({"delay_ms":800})", R"({"lose_reply_share":0.5})"};
-constexpr const char* kStoreWell =
+//! Ends all store faults.
+constexpr const char* kClearStoreFaultMessage =
     R"({"outage":"none","delay_ms":0,"lose_reply_share":0})";
 
 [[nodiscard]] std::string EvacuationKey() {
@@ -92,7 +94,7 @@
 void Cluster::InjectStoreFault(const Action& action) {
   BeginStoreFaultPeriod();
   const auto fault = static_cast<std::size_t>(action.store);
-  ControlStore(kStoreMessages[fault]);
+  ControlStore(kStoreFaultMessages[fault]);
 }
 
 void Cluster::CompactStore(const Action& /*action*/) {
@@ -100,7 +102,7 @@
 }
 
 void Cluster::ClearStoreFault(const Action& /*action*/) {
-  ControlStore(kStoreWell);
+  ControlStore(kClearStoreFaultMessage);
   EndFaultPeriods("store");
 }
 
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -51,9 +51,9 @@
     FaultPair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
     FaultPair{ActionKind::kLoseAnswers, ActionKind::kAnswerAll},
     FaultPair{ActionKind::kReshard, ActionKind::kReshard},
-    FaultPair{ActionKind::kStoreFault, ActionKind::kStoreWell},
-    FaultPair{ActionKind::kStoreForgets, ActionKind::kStoreForgets},
-    FaultPair{ActionKind::kLinkFault, ActionKind::kLinkWell}};
+    FaultPair{ActionKind::kStoreFault, ActionKind::kClearStoreFault},
+    FaultPair{ActionKind::kCompactStore, ActionKind::kCompactStore},
+    FaultPair{ActionKind::kLinkFault, ActionKind::kClearLinkFault}};
 
 template <typename Enum, std::size_t Size>
 [[nodiscard]] Enum Draw(const NameTable<Enum, Size>& /*names*/,
@@ -109,7 +109,7 @@
     const Span span =
         DrawSpan(options, kShortestEvacuationMs, kLongestEvacuationMs, random);
     plan.push_back({span.at, ActionKind::kEvacuate});
-    plan.push_back({span.at + span.duration, ActionKind::kGiveBack});
+    plan.push_back({span.at + span.duration, ActionKind::kEndEvacuation});
   }
 }
 
@@ -173,7 +173,7 @@
     text += " " + std::string(kStoreFaultNames.Name(action.store));
   }
   if (action.kind == ActionKind::kLinkFault ||
-      action.kind == ActionKind::kLinkWell) {
+      action.kind == ActionKind::kClearLinkFault) {
     text += " " + std::string(kLinkNames.Name(action.link)) + " " +
             std::string(kLinkModeNames.Name(action.mode));
   }
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -29,20 +29,22 @@
   kAnswerAll,
   kReshard,
   kStoreFault,
-  kStoreForgets,
-  kStoreWell,
+  //! The store discards its history; watches from older revisions fail.
+  kCompactStore,
+  kClearStoreFault,
   kLinkFault,
-  kLinkWell,
+  kClearLinkFault,
   //! Operators forbid requests to the targets of one failure domain.
   kEvacuate,
-  kGiveBack,
+  //! Operators allow requests to that failure domain again.
+  kEndEvacuation,
   //! The store saves a copy of its contents.
   kCopyStore,
   //! The store is unreachable for a short time and returns with that copy.
   kRestoreStore,
 };
 
-//! Names of the actions in reports.
+//! Names of the actions in reports, indexed by ActionKind.
 inline constexpr NameTable<ActionKind, 21> kActionNames{
     {"stop_entry",   "continue_entry", "kill_entry",      "drain_entry",
      "start_entry",  "stop_target",    "continue_target", "kill_target",
--- a/test/soak/plan_test.cc
+++ b/test/soak/plan_test.cc
@@ -37,7 +37,7 @@
   BOOST_TEST(plan.size() == faults.size() + 6);
   std::erase_if(plan, [](const Action& action) {
     return action.kind == ActionKind::kEvacuate ||
-           action.kind == ActionKind::kGiveBack;
+           action.kind == ActionKind::kEndEvacuation;
   });
   BOOST_TEST((plan == faults));
 }
