--- a/soak/checks.cc
+++ b/soak/checks.cc
@@ -22,7 +22,9 @@
   const History& history;
   const Bounds& bounds;
   RunsByRequest runs;
-  std::unordered_map<std::string, TimePoint> leaving;
+  //! When the store confirmed that a target is draining, by target.
+  std::unordered_map<std::string, TimePoint> departures;
+  //! Failure domain by target.
   std::unordered_map<std::string, std::string> domains;
 };
 
@@ -32,8 +34,8 @@
   for (const Run& run : history.runs) {
     index.runs[run.request].push_back(&run);
   }
-  for (const TargetDeparture& left : history.departures) {
-    index.leaving.emplace(left.target, left.confirmed);
+  for (const TargetDeparture& departure : history.departures) {
+    index.departures.emplace(departure.target, departure.confirmed);
   }
   for (const Placement& placement : history.placements) {
     index.domains.emplace(placement.target, placement.domain);
@@ -149,13 +151,13 @@
 //! Layout numbers only increase.
 [[nodiscard]] std::uint32_t MinLayout(const HistoryIndex& index,
                                       TimePoint sent) {
-  std::uint32_t least = 0;
+  std::uint32_t min_layout = 0;
   for (const LayoutChange& change : index.history.layouts) {
     if (change.confirmed + index.bounds.apply < sent) {
-      least = std::max(least, change.layout);
+      min_layout = std::max(min_layout, change.layout);
     }
   }
-  return least;
+  return min_layout;
 }
 
 void CheckConfigInTime(const HistoryIndex& index, Violations& found) {
@@ -165,13 +167,13 @@
                    index.bounds.contact)) {
       continue;
     }
-    const std::uint32_t least = MinLayout(index, call.sent);
-    if (call.records.front().layout < least) {
+    const std::uint32_t min_layout = MinLayout(index, call.sent);
+    if (call.records.front().layout < min_layout) {
       found.push_back(
           {Promise::kConfigInTime,
            DescribeCall(call, "served by layout " +
                                   std::to_string(call.records.front().layout) +
-                                  ", due " + std::to_string(least))});
+                                  ", due " + std::to_string(min_layout))});
     }
   }
 }
@@ -199,8 +201,8 @@
   }
 }
 
-//! Passes on each run of a call whose entry no fault kept from receiving
-//! changes.
+//! Visits the runs of all calls, except calls whose entry may not have received
+//! changes because of a fault.
 template <typename Visitor>
 void ForEachUnaffectedRun(const HistoryIndex& index, Visitor visit) {
   for (const Call& call : index.history.calls) {
@@ -216,9 +218,9 @@
 
 void CheckLeftTargets(const HistoryIndex& index, Violations& found) {
   ForEachUnaffectedRun(index, [&](const Call& call, const Run& run) {
-    const auto left = index.leaving.find(run.target);
-    if (left != index.leaving.end() &&
-        left->second + index.bounds.drain < call.sent) {
+    const auto departure = index.departures.find(run.target);
+    if (departure != index.departures.end() &&
+        departure->second + index.bounds.drain < call.sent) {
       found.push_back(
           {Promise::kLeftTargetGetsNothing,
            DescribeCall(call, "ran at " + run.target + ", which had left")});
@@ -226,16 +228,16 @@
   });
 }
 
-//! Whether the call falls wholly into an evacuation of the domain, after its
-//! bound.
+//! Whether the whole call took place while the domain was evacuated, later than
+//! the time bound within which an evacuation must take effect.
 [[nodiscard]] bool IsEvacuated(const HistoryIndex& index,
                                const std::string& domain,
                                const Call& call) {
   return std::ranges::any_of(
-      index.history.evacuations, [&](const EvacuationPeriod& evacuated) {
-        return evacuated.domain == domain &&
-               evacuated.confirmed + index.bounds.evacuate < call.sent &&
-               call.ended < evacuated.ended;
+      index.history.evacuations, [&](const EvacuationPeriod& period) {
+        return period.domain == domain &&
+               period.confirmed + index.bounds.evacuate < call.sent &&
+               call.ended < period.ended;
       });
 }
 
--- a/soak/cluster.cc
+++ b/soak/cluster.cc
@@ -375,12 +375,12 @@
   ContinueTarget({});
   AnswerAll({});
   for (std::size_t index = 0; index < m_entries.size(); ++index) {
-    const Action of_entry{{}, ActionKind::kStartEntry, index};
-    ContinueEntry(of_entry);
+    const Action entry_action{{}, ActionKind::kStartEntry, index};
+    ContinueEntry(entry_action);
     for (const Link link : {Link::kCallers, Link::kStore}) {
       ClearLinkFault({{}, ActionKind::kClearLinkFault, index, {}, link});
     }
-    RestartEntry(of_entry);
+    RestartEntry(entry_action);
   }
   m_calm_since = Now() + kRecovery;
 }
