--- a/test/scenario/main.cc
+++ b/test/scenario/main.cc
@@ -1,4 +1,5 @@
-// Runs one script over some seeds: scenario_runner FIRST LAST SCRIPT.
+// Runs a scenario script once for each seed of a range and prints the failures:
+// scenario_runner FIRST_SEED LAST_SEED SCRIPT.
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -15,9 +16,9 @@
   const std::uint64_t last = std::strtoull(argv[2], nullptr, 10);
   int status = 0;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    for (const std::string& fault :
+    for (const std::string& failure :
          jacinthdeck::scenario::RunScript(argv[3], seed)) {
-      std::cerr << "seed " << seed << ": " << fault << "\n";
+      std::cerr << "seed " << seed << ": " << failure << "\n";
       status = 1;
     }
   }
--- a/test/scenario/script.cc
+++ b/test/scenario/script.cc
@@ -1,4 +1,4 @@
-// Verbs over the C interface of Lua.
+// Binds the functions of the scenario language to a simulation.
 #include "scenario/script.h"
 
 #include <array>
@@ -11,48 +11,49 @@
 
 namespace {
 
-[[nodiscard]] World& WorldOf(lua_State* lua) {
-  return *static_cast<World*>(lua_touserdata(lua, lua_upvalueindex(1)));
+[[nodiscard]] Simulation& SimulationOf(lua_State* lua) {
+  return *static_cast<Simulation*>(lua_touserdata(lua, lua_upvalueindex(1)));
 }
 
 [[nodiscard]] Duration MillisecondsAt(lua_State* lua, int index) {
-  constexpr double kMicroseconds = 1000;
-  return Duration(
-      static_cast<Duration::rep>(luaL_checknumber(lua, index) * kMicroseconds));
+  constexpr double kMicrosecondsPerMillisecond = 1000;
+  return Duration(static_cast<Duration::rep>(luaL_checknumber(lua, index) *
+                                             kMicrosecondsPerMillisecond));
 }
 
-//! Where the script stands, for the words of a failed expectation.
+//! Adds a failure at the script's current line unless the condition holds.
 void Expect(lua_State* lua, bool holds, const std::string& text) {
   if (holds) {
     return;
   }
   luaL_where(lua, 1);
-  WorldOf(lua).AddFault(lua_tostring(lua, -1) + text);
+  SimulationOf(lua).AddFailure(lua_tostring(lua, -1) + text);
   lua_pop(lua, 1);
 }
 
-int Config(lua_State* lua) {
-  WorldOf(lua).PutConfig(luaL_checkstring(lua, 1));
+int PutConfig(lua_State* lua) {
+  SimulationOf(lua).PutConfig(luaL_checkstring(lua, 1));
   return 0;
 }
 
-int Target(lua_State* lua) {
-  WorldOf(lua).PutTarget(luaL_checkstring(lua, 1), luaL_checkstring(lua, 2));
+int PutTarget(lua_State* lua) {
+  SimulationOf(lua).PutTarget(luaL_checkstring(lua, 1),
+                              luaL_checkstring(lua, 2));
   return 0;
 }
 
-int Remove(lua_State* lua) {
-  WorldOf(lua).RemoveTarget(luaL_checkstring(lua, 1));
+int RemoveTarget(lua_State* lua) {
+  SimulationOf(lua).RemoveTarget(luaL_checkstring(lua, 1));
   return 0;
 }
 
-int StoreAway(lua_State* lua) {
-  WorldOf(lua).StoreAway();
+int SetStoreUnavailable(lua_State* lua) {
+  SimulationOf(lua).SetStoreUnavailable();
   return 0;
 }
 
-int StoreBack(lua_State* lua) {
-  WorldOf(lua).StoreBack();
+int SetStoreAvailable(lua_State* lua) {
+  SimulationOf(lua).SetStoreAvailable();
   return 0;
 }
 
@@ -73,33 +74,34 @@
   return value;
 }
 
-int Behave(lua_State* lua) {
-  constexpr double kMicroseconds = 1000;
-  World& world = WorldOf(lua);
+int SetBehaviour(lua_State* lua) {
+  constexpr double kMicrosecondsPerMillisecond = 1000;
+  Simulation& simulation = SimulationOf(lua);
   const std::string id = luaL_checkstring(lua, 1);
   luaL_checktype(lua, 2, LUA_TTABLE);
-  Behaviour behaviour = world.BehaviourOf(id);
+  Behaviour behaviour = simulation.BehaviourOf(id);
   const double latency =
       NumberIn(lua, "latency_ms", ToMilliseconds(behaviour.latency));
-  behaviour.latency =
-      Duration(static_cast<Duration::rep>(latency * kMicroseconds));
+  behaviour.latency = Duration(
+      static_cast<Duration::rep>(latency * kMicrosecondsPerMillisecond));
   behaviour.status =
       static_cast<int>(NumberIn(lua, "status", behaviour.status));
   behaviour.mute = FlagIn(lua, "mute", behaviour.mute);
   behaviour.sheds = FlagIn(lua, "sheds", behaviour.sheds);
-  behaviour.loses = FlagIn(lua, "loses", behaviour.loses);
-  world.Behave(id, behaviour);
+  behaviour.drops_connection = FlagIn(lua, "loses", behaviour.drops_connection);
+  simulation.SetBehaviour(id, behaviour);
   return 0;
 }
 
-int SubmitAs(lua_State* lua, bool once) {
+int SubmitAs(lua_State* lua, bool at_most_once) {
   const std::string path = luaL_checkstring(lua, 1);
-  constexpr double kPatienceMs = 1500;
-  constexpr double kMicroseconds = 1000;
-  const double patience = luaL_optnumber(lua, 2, kPatienceMs);
-  const std::uint64_t call = WorldOf(lua).Submit(
-      path, once,
-      Duration(static_cast<Duration::rep>(patience * kMicroseconds)));
+  constexpr double kDefaultTimeoutMs = 1500;
+  constexpr double kMicrosecondsPerMillisecond = 1000;
+  const double timeout = luaL_optnumber(lua, 2, kDefaultTimeoutMs);
+  const std::uint64_t call = SimulationOf(lua).Submit(
+      path, at_most_once,
+      Duration(
+          static_cast<Duration::rep>(timeout * kMicrosecondsPerMillisecond)));
   lua_pushinteger(lua, static_cast<lua_Integer>(call));
   return 1;
 }
@@ -112,18 +114,19 @@
   return SubmitAs(lua, true);
 }
 
-int Leave(lua_State* lua) {
-  WorldOf(lua).Leave(static_cast<std::uint64_t>(luaL_checkinteger(lua, 1)));
+int Abandon(lua_State* lua) {
+  SimulationOf(lua).Abandon(
+      static_cast<std::uint64_t>(luaL_checkinteger(lua, 1)));
   return 0;
 }
 
 int Advance(lua_State* lua) {
-  WorldOf(lua).Advance(MillisecondsAt(lua, 1));
+  SimulationOf(lua).Advance(MillisecondsAt(lua, 1));
   return 0;
 }
 
 [[nodiscard]] std::optional<CallEnd> EndAt(lua_State* lua) {
-  return WorldOf(lua).EndOf(
+  return SimulationOf(lua).EndOf(
       static_cast<std::uint64_t>(luaL_checkinteger(lua, 1)));
 }
 
@@ -156,12 +159,12 @@
 }
 
 int RunsAt(lua_State* lua) {
-  lua_pushinteger(lua, WorldOf(lua).RunsAt(luaL_checkstring(lua, 1)));
+  lua_pushinteger(lua, SimulationOf(lua).RunsAt(luaL_checkstring(lua, 1)));
   return 1;
 }
 
 int RunsOf(lua_State* lua) {
-  lua_pushinteger(lua, WorldOf(lua).RunsOf(static_cast<std::uint64_t>(
+  lua_pushinteger(lua, SimulationOf(lua).RunsOf(static_cast<std::uint64_t>(
                            luaL_checkinteger(lua, 1))));
   return 1;
 }
@@ -171,21 +174,22 @@
   return 0;
 }
 
-struct Verb {
+//! A global function of the scripts and its implementation.
+struct ScriptFunction {
   const char* name;
-  lua_CFunction run;
+  lua_CFunction call;
 };
 
-constexpr std::array<Verb, 16> kVerbs{{
-    {"config", &Config},
-    {"target", &Target},
-    {"remove", &Remove},
-    {"store_away", &StoreAway},
-    {"store_back", &StoreBack},
-    {"behave", &Behave},
+constexpr std::array<ScriptFunction, 16> kScriptFunctions{{
+    {"config", &PutConfig},
+    {"target", &PutTarget},
+    {"remove", &RemoveTarget},
+    {"store_away", &SetStoreUnavailable},
+    {"store_back", &SetStoreAvailable},
+    {"behave", &SetBehaviour},
     {"submit", &Submit},
     {"claim", &Claim},
-    {"leave", &Leave},
+    {"leave", &Abandon},
     {"advance", &Advance},
     {"expect_answer", &ExpectAnswer},
     {"expect_missing", &ExpectMissing},
@@ -199,23 +203,24 @@
 
 std::vector<std::string> RunScript(const std::string& path,
                                    std::uint64_t seed) {
-  World world(seed);
+  Simulation simulation(seed);
   const std::unique_ptr<lua_State, decltype(&lua_close)> lua(luaL_newstate(),
                                                              &lua_close);
   luaL_openlibs(lua.get());
-  for (const Verb& verb : kVerbs) {
-    lua_pushlightuserdata(lua.get(), &world);
-    lua_pushcclosure(lua.get(), verb.run, 1);
-    lua_setglobal(lua.get(), verb.name);
+  for (const ScriptFunction& function : kScriptFunctions) {
+    lua_pushlightuserdata(lua.get(), &simulation);
+    lua_pushcclosure(lua.get(), function.call, 1);
+    lua_setglobal(lua.get(), function.name);
   }
   lua_pushinteger(lua.get(), static_cast<lua_Integer>(seed));
   lua_setglobal(lua.get(), "seed");
-  std::vector<std::string> faults;
+  std::vector<std::string> failures;
   if (luaL_dofile(lua.get(), path.c_str()) != LUA_OK) {
-    faults.emplace_back(lua_tostring(lua.get(), -1));
+    failures.emplace_back(lua_tostring(lua.get(), -1));
   }
-  faults.insert(faults.end(), world.faults().begin(), world.faults().end());
-  return faults;
+  failures.insert(failures.end(), simulation.failures().begin(),
+                  simulation.failures().end());
+  return failures;
 }
 
 }  // namespace jacinthdeck::scenario
--- a/test/scenario/world.cc
+++ b/test/scenario/world.cc
@@ -1,4 +1,4 @@
-// Events of a scenario, and the promises.
+// Applies the events of a scenario and checks the promises.
 #include "scenario/world.h"
 
 #include <algorithm>
@@ -17,115 +17,120 @@
   return options;
 }
 
-//! Latencies vary by this part, by the seed.
-constexpr double kSpread = 0.4;
+//! Width of the range of random latencies, as a share of the configured
+//! latency, which is the middle of the range.
+constexpr double kLatencySpread = 0.4;
 
 }  // namespace
 
-World::World(std::uint64_t seed)
+Simulation::Simulation(std::uint64_t seed)
     : m_random(seed),
       m_forwarder(Options(), *this, m_random.DrawSeed(), m_clock.Now()) {
-  // Past the time in which a fresh budget grows.
+  // The budget's constant part grows from zero over one window after the start;
+  // scenarios begin when it is fully available.
   m_clock.Advance(seconds(20));
 }
 
-void World::PutConfig(const std::string& json) {
-  Take({"op/config", {StoreEra{}, ++m_revision}, json});
+void Simulation::PutConfig(const std::string& json) {
+  ApplyStoreChange({"op/config", {StoreEra{}, ++m_revision}, json});
 }
 
-void World::PutTarget(const std::string& id, const std::string& json) {
-  Take({"servers/" + id, {StoreEra{}, ++m_revision}, json});
+void Simulation::PutTarget(const std::string& id, const std::string& json) {
+  ApplyStoreChange({"servers/" + id, {StoreEra{}, ++m_revision}, json});
 }
 
-void World::RemoveTarget(const std::string& id) {
-  Take({"servers/" + id, {StoreEra{}, ++m_revision}, std::nullopt});
+void Simulation::RemoveTarget(const std::string& id) {
+  ApplyStoreChange({"servers/" + id, {StoreEra{}, ++m_revision}, std::nullopt});
 }
 
-void World::StoreBack() {
-  Act(m_discovery_state.OnChanges({}, m_clock.Now()));
+void Simulation::SetStoreAvailable() {
+  ApplyDiscoveryChange(m_discovery_state.OnChanges({}, m_clock.Now()));
 }
 
-void World::Behave(const std::string& id, const Behaviour& behaviour) {
+void Simulation::SetBehaviour(const std::string& id,
+                              const Behaviour& behaviour) {
   m_behaviours[id] = behaviour;
 }
 
-Behaviour World::BehaviourOf(const std::string& id) const {
+Behaviour Simulation::BehaviourOf(const std::string& id) const {
   const auto found = m_behaviours.find(id);
   return found == m_behaviours.end() ? Behaviour{} : found->second;
 }
 
-std::uint64_t World::Submit(const std::string& path,
-                            bool once,
-                            Duration patience) {
+std::uint64_t Simulation::Submit(const std::string& path,
+                                 bool at_most_once,
+                                 Duration timeout) {
   const std::uint64_t number = m_next_call++;
   auto request = std::make_shared<OpaqueRequest>();
-  request->method = once ? "POST" : "GET";
+  request->method = at_most_once ? "POST" : "GET";
   request->host = "desk";
   request->target = path;
   request->request_id = std::to_string(number);
-  m_calls[number].once = once;
+  m_calls[number].at_most_once = at_most_once;
   ForwardCall call;
   call.id = CallId(number);
   call.request = std::move(request);
   call.arrived = m_clock.Now();
-  call.deadline = m_clock.Now() + patience;
+  call.deadline = m_clock.Now() + timeout;
   m_forwarder.Submit(std::move(call), m_clock.Now());
   return number;
 }
 
-void World::Leave(std::uint64_t call) {
+void Simulation::Abandon(std::uint64_t call) {
   m_forwarder.Abandon(CallId(call), m_clock.Now());
 }
 
-void World::Advance(Duration time) {
+void Simulation::Advance(Duration time) {
   const TimePoint end = m_clock.Now() + time;
   while (m_clock.Now() < end) {
     TimePoint next = end;
-    if (!m_due.empty()) {
-      next = std::min(next, m_due.begin()->first);
+    if (!m_scheduled_ends.empty()) {
+      next = std::min(next, m_scheduled_ends.begin()->first);
     }
     next = std::min(next, m_forwarder.NextTimer().value_or(next));
     next = std::min(next, m_discovery_state.NextTimer().value_or(next));
-    // At least a step, so that what is due now is not looked at for ever.
+    // Advances by at least one tick; a timer that is already due could
+    // otherwise keep the clock from advancing.
     m_clock.Advance(std::max(next - m_clock.Now(), Duration(1)));
-    while (!m_due.empty() && m_due.begin()->first <= m_clock.Now()) {
-      Due due = std::move(m_due.begin()->second);
-      m_due.erase(m_due.begin());
-      if (!m_cancelled.contains(due.end.id.raw())) {
-        m_forwarder.OnAttemptEnd(due.end, m_clock.Now());
+    while (!m_scheduled_ends.empty() &&
+           m_scheduled_ends.begin()->first <= m_clock.Now()) {
+      ScheduledEnd scheduled = std::move(m_scheduled_ends.begin()->second);
+      m_scheduled_ends.erase(m_scheduled_ends.begin());
+      if (!m_cancelled.contains(scheduled.end.id.raw())) {
+        m_forwarder.OnAttemptEnd(scheduled.end, m_clock.Now());
       }
     }
     m_forwarder.OnTimer(m_clock.Now());
-    Act(m_discovery_state.OnTimer(m_clock.Now()));
+    ApplyDiscoveryChange(m_discovery_state.OnTimer(m_clock.Now()));
   }
 }
 
-std::optional<CallEnd> World::EndOf(std::uint64_t call) const {
+std::optional<CallEnd> Simulation::EndOf(std::uint64_t call) const {
   const auto found = m_calls.find(call);
   return found == m_calls.end() ? std::nullopt : found->second.end;
 }
 
-std::uint32_t World::RunsAt(const std::string& target) const {
+std::uint32_t Simulation::RunsAt(const std::string& target) const {
   const auto found = m_runs.find(target);
   return found == m_runs.end() ? 0 : found->second;
 }
 
-std::uint32_t World::RunsOf(std::uint64_t call) const {
+std::uint32_t Simulation::RunsOf(std::uint64_t call) const {
   const auto found = m_calls.find(call);
   return found == m_calls.end() ? 0 : found->second.runs;
 }
 
-void World::Send(const OutgoingAttempt& attempt) {
+void Simulation::Send(const OutgoingAttempt& attempt) {
   const Behaviour behaviour = BehaviourOf(attempt.target.id.raw());
   AttemptEnd end;
   end.id = attempt.id;
   if (behaviour.sheds) {
     end.outcome = AttemptOutcome::kNotExecuted;
   } else {
-    Run(attempt);
-    end.outcome =
-        behaviour.loses ? AttemptOutcome::kBroken : AttemptOutcome::kResponse;
-    end.connection_lost = behaviour.loses;
+    RecordRun(attempt);
+    end.outcome = behaviour.drops_connection ? AttemptOutcome::kBroken
+                                             : AttemptOutcome::kResponse;
+    end.connection_lost = behaviour.drops_connection;
     end.response.status = behaviour.status;
     end.response.stamp = attempt.target.service.raw();
     end.response.body = std::string(16, 'r');
@@ -133,44 +138,48 @@
   if (behaviour.mute) {
     return;
   }
-  const double factor = 1 + kSpread * (m_random.Unit() - 0.5);
+  const double factor = 1 + kLatencySpread * (m_random.Unit() - 0.5);
   const auto latency = Duration(static_cast<Duration::rep>(
       static_cast<double>(behaviour.latency.count()) * factor));
-  m_due.emplace(m_clock.Now() + latency,
-                Due{std::move(end), attempt.target.id.raw()});
+  m_scheduled_ends.emplace(
+      m_clock.Now() + latency,
+      ScheduledEnd{std::move(end), attempt.target.id.raw()});
 }
 
-void World::Cancel(AttemptId attempt) {
+void Simulation::Cancel(AttemptId attempt) {
   m_cancelled.insert(attempt.raw());
 }
 
-void World::Deliver(CallId call, ForwardAnswer answer, const CallTrace& trace) {
+void Simulation::Deliver(CallId call,
+                         ForwardAnswer answer,
+                         const CallTrace& trace) {
   CallRecord& record = m_calls[call.raw()];
   if (record.end) {
-    AddFault("call " + std::to_string(call.raw()) + " got two answers");
+    AddFailure("call " + std::to_string(call.raw()) + " got two answers");
   }
   if (answer.kind == AnswerKind::kNotRun && record.runs > 0) {
-    AddFault("call " + std::to_string(call.raw()) +
-             " was refused as not run, and ran");
+    AddFailure("call " + std::to_string(call.raw()) +
+               " was refused as not run but ran");
   }
   if (answer.kind == AnswerKind::kNotRun && !answer.retry_after) {
-    AddFault("a refusal names no time to come back");
+    AddFailure("a refusal has no retry time");
   }
   CheckParts(answer, trace);
   record.end = CallEnd{answer.kind, answer.reason, answer.missing_parts,
                        trace.answered, m_clock.Now()};
 }
 
-void World::Take(const StoreChange& change) {
-  Act(m_discovery_state.OnChanges({&change, 1}, m_clock.Now()));
+void Simulation::ApplyStoreChange(const StoreChange& change) {
+  ApplyDiscoveryChange(
+      m_discovery_state.OnChanges({&change, 1}, m_clock.Now()));
 }
 
-void World::Act(const DiscoveryChange& change) {
+void Simulation::ApplyDiscoveryChange(const DiscoveryChange& change) {
   if (change.config) {
-    if (m_discovery_state.config()->version() < m_version) {
-      AddFault("the configuration went back");
+    if (m_discovery_state.config()->version() < m_config_version) {
+      AddFailure("the configuration version decreased");
     }
-    m_version = m_discovery_state.config()->version();
+    m_config_version = m_discovery_state.config()->version();
     (void)m_forwarder.SetConfig(m_discovery_state.config());
   }
   if (change.targets) {
@@ -178,19 +187,20 @@
   }
 }
 
-void World::Run(const OutgoingAttempt& attempt) {
+void Simulation::RecordRun(const OutgoingAttempt& attempt) {
   ++m_runs[attempt.target.id.raw()];
   CallRecord& record = m_calls[std::stoull(attempt.request->request_id)];
   ++record.runs;
-  if (record.once && record.runs > 1) {
-    AddFault("a request that may not be repeated ran twice");
+  if (record.at_most_once && record.runs > 1) {
+    AddFailure("a request that may not be repeated ran twice");
   }
   if (record.end && record.end->kind == AnswerKind::kNotRun) {
-    AddFault("a request ran after it was refused as not run");
+    AddFailure("a request ran after it was refused as not run");
   }
 }
 
-void World::CheckParts(const ForwardAnswer& answer, const CallTrace& trace) {
+void Simulation::CheckParts(const ForwardAnswer& answer,
+                            const CallTrace& trace) {
   if (answer.kind != AnswerKind::kMerged) {
     return;
   }
@@ -202,7 +212,9 @@
   });
   if (!known || parts.size() != answer.part_stamps.size() ||
       parts.size() + answer.missing_parts != shards.size()) {
-    AddFault("the parts of an answer are not the shards of one version");
+    AddFailure(
+        "the parts of an answer are not the shards of one "
+        "configuration version");
   }
 }
 
--- a/test/scenario/world.h
+++ b/test/scenario/world.h
@@ -1,5 +1,5 @@
-// A host's decisions with targets and a store that a script plays, on a paused
-// clock.
+// Simulates one host with a store, targets and callers that a script controls,
+// on a manual clock.
 #ifndef JACINTHDECK_TEST_SCENARIO_WORLD_H_
 #define JACINTHDECK_TEST_SCENARIO_WORLD_H_
 
@@ -19,20 +19,20 @@
 
 namespace jacinthdeck::scenario {
 
-/*! \brief How a target takes its requests. */
+/*! \brief How a target treats its requests. */
 struct Behaviour {
   Duration latency = std::chrono::milliseconds(5);
-  //! Status of its answers.
+  //! HTTP status of its answers.
   int status = 200;
-  //! It runs requests and never answers.
+  //! Runs requests but never answers.
   bool mute = false;
-  //! It refuses requests and does not run them.
+  //! Refuses requests without running them.
   bool sheds = false;
-  //! It runs requests and its connection ends.
-  bool loses = false;
+  //! Runs requests but closes the connection before it answers.
+  bool drops_connection = false;
 };
 
-/*! \brief What a caller got. */
+/*! \brief Answer that a caller received. */
 struct CallEnd {
   AnswerKind kind = AnswerKind::kNotRun;
   ForwardReason reason = ForwardReason::kNone;
@@ -42,36 +42,42 @@
 };
 
 /**
- * \brief Runs a script's events and checks the promises at each of them.
+ * \brief Runs the discovery and forwarding code of one host and checks the
+ * promises at each event.
  *
- * Every call gets one answer; a request that may not be repeated runs once at
- * most; one that was refused as not run never runs; parts of an answer belong
- * to the shards of one configuration version; that version never falls.
+ * The promises: a call gets at most one answer; a request that may not be
+ * repeated runs at most once; a request that was refused as not run never runs,
+ * and its refusal has a retry time; the parts of an answer belong to the shards
+ * of one configuration version; that version never decreases.
  */
-class World final : private ForwardPort {
+class Simulation final : private ForwardPort {
  public:
-  explicit World(std::uint64_t seed);
+  explicit Simulation(std::uint64_t seed);
 
-  //! Promises that were broken, in words.
-  [[nodiscard]] const std::vector<std::string>& faults() const noexcept {
-    return m_faults;
+  //! Descriptions of failed expectations and broken promises.
+  [[nodiscard]] const std::vector<std::string>& failures() const noexcept {
+    return m_failures;
   }
-  void AddFault(const std::string& fault) { m_faults.push_back(fault); }
+  void AddFailure(const std::string& failure) { m_failures.push_back(failure); }
 
-  // The operator and the targets, through the store.
+  // Writes of operators and targets to the store, its availability, and the
+  // behaviour of targets.
   void PutConfig(const std::string& json);
   void PutTarget(const std::string& id, const std::string& json);
   void RemoveTarget(const std::string& id);
-  void StoreAway() { m_discovery_state.OnStoreAway(); }
-  void StoreBack();
-  void Behave(const std::string& id, const Behaviour& behaviour);
+  void SetStoreUnavailable() { m_discovery_state.OnStoreAway(); }
+  void SetStoreAvailable();
+  void SetBehaviour(const std::string& id, const Behaviour& behaviour);
   [[nodiscard]] Behaviour BehaviourOf(const std::string& id) const;
 
   // Callers.
-  std::uint64_t Submit(const std::string& path, bool once, Duration patience);
-  void Leave(std::uint64_t call);
+  std::uint64_t Submit(const std::string& path,
+                       bool at_most_once,
+                       Duration timeout);
+  void Abandon(std::uint64_t call);
 
-  /*! \brief Moves time on, acting on whatever is due. */
+  /*! \brief Advances the clock, running all timers and attempt ends that become
+   * due. */
   void Advance(Duration time);
 
   [[nodiscard]] std::optional<CallEnd> EndOf(std::uint64_t call) const;
@@ -80,12 +86,12 @@
   [[nodiscard]] Duration Elapsed() const { return m_clock.Now() - m_start; }
 
  private:
-  struct Due {
+  struct ScheduledEnd {
     AttemptEnd end;
     std::string target;
   };
   struct CallRecord {
-    bool once = false;
+    bool at_most_once = false;
     std::uint32_t runs = 0;
     std::optional<CallEnd> end;
   };
@@ -97,9 +103,9 @@
                const CallTrace& trace) override;
   void ShareQuarantine(Fingerprint /*fingerprint*/) override {}
 
-  void Take(const StoreChange& change);
-  void Act(const DiscoveryChange& change);
-  void Run(const OutgoingAttempt& attempt);
+  void ApplyStoreChange(const StoreChange& change);
+  void ApplyDiscoveryChange(const DiscoveryChange& change);
+  void RecordRun(const OutgoingAttempt& attempt);
   void CheckParts(const ForwardAnswer& answer, const CallTrace& trace);
 
   ManualClock m_clock;
@@ -110,13 +116,13 @@
   Forwarder m_forwarder;
   std::uint64_t m_revision = 0;
   std::uint64_t m_next_call = 1;
-  std::uint64_t m_version = 0;
+  std::uint64_t m_config_version = 0;
   std::map<std::string, Behaviour> m_behaviours;
   std::map<std::string, std::uint32_t> m_runs;
   std::map<std::uint64_t, CallRecord> m_calls;
-  std::multimap<TimePoint, Due> m_due;
+  std::multimap<TimePoint, ScheduledEnd> m_scheduled_ends;
   std::set<std::uint64_t> m_cancelled;
-  std::vector<std::string> m_faults;
+  std::vector<std::string> m_failures;
 };
 
 }  // namespace jacinthdeck::scenario
