--- a/test/support/positions.h
+++ b/test/support/positions.h
@@ -1,4 +1,4 @@
-// Positions of the store for tests.
+// Creates and prints store positions in tests.
 #ifndef JACINTHDECK_TEST_SUPPORT_POSITIONS_H_
 #define JACINTHDECK_TEST_SUPPORT_POSITIONS_H_
 
@@ -9,7 +9,7 @@
 
 namespace jacinthdeck {
 
-//! A revision of an era; the first one unless it is named.
+//! Returns the position of a revision, in the first era by default.
 [[nodiscard]] constexpr StorePosition At(std::uint64_t revision,
                                          std::uint64_t era = 1) {
   return {StoreEra(era), revision};
--- a/test/support/printers.cc
+++ b/test/support/printers.cc
@@ -1,4 +1,4 @@
-// Names of enumerators in failed assertions.
+// Prints enumerators by their names.
 #include "support/printers.h"
 
 namespace jacinthdeck {
--- a/test/support/printers.h
+++ b/test/support/printers.h
@@ -1,4 +1,4 @@
-// Prints the project's types in failed assertions.
+// Output operators with which Boost.Test prints values of failed assertions.
 #ifndef JACINTHDECK_TEST_SUPPORT_PRINTERS_H_
 #define JACINTHDECK_TEST_SUPPORT_PRINTERS_H_
 
