--- a/src/jacinthdeck/routing/route_request.h
+++ b/src/jacinthdeck/routing/route_request.h
@@ -18,8 +18,8 @@
   //! Targets that hold the shard in the version pinned by the call.
   std::span<const TargetId> replicas;
   //! Targets that the call already tried for the shard, in order. They are
-  //! chosen again only for a retry if no other replica has room, or for a
-  //! failover.
+  //! chosen again only for a retry or a failover, and only if no other replica
+  //! has room.
   std::span<const TargetId> tried;
   AttemptKind kind = AttemptKind::kFirst;
   //! False for a request that may be executed only once. It is never used to
--- a/src/jacinthdeck/routing/router.h
+++ b/src/jacinthdeck/routing/router.h
@@ -45,8 +45,8 @@
    */
   Router(std::uint64_t seed, RouterOptions options);
 
-  /*! \brief Returns how long to wait for a first attempt before sending a
-   * hedge; kNoHedge if hedging is off. */
+  /*! \brief Returns how long to wait for a first attempt until a hedge is worth
+   * its load; kNoHedge if hedging is off. */
   [[nodiscard]] Duration HedgeDelay(const ServiceId& service) const;
 
   /*! \brief Returns the description of a target; null if it is unknown. */
@@ -60,9 +60,9 @@
     return m_counters;
   }
 
-  /*! \brief Returns true if a service sheds a large share of its requests. It
-   * then has no room for extra requests, and new work should be rejected early.
-   */
+  /*! \brief Returns true if the shed rate of a service exceeds a limit. The
+   * service then has no room for extra requests, and new work should be
+   * rejected early. */
   [[nodiscard]] bool IsSaturated(const ServiceId& service) const;
 
   /*! \brief Returns the state of all targets, for the status page. */
@@ -91,12 +91,10 @@
   void SetTargets(const std::vector<TargetInfo>& targets, TimePoint now);
 
   /**
-   * \brief Sets the number of hosts among which the targets' limits are
+   * \brief Sets the number of hosts among which the limits of the targets are
    * divided.
-   *
    * \param hosts Hosts that may hold connections now, including this one; at
    * least 1. A decrease takes effect after RouterOptions::host_count_window.
-   *
    * \param now Current time.
    */
   void SetHostCount(std::uint32_t hosts, TimePoint now);
@@ -167,7 +165,8 @@
   RouterOptions m_options;
   Random m_random;
   HostCountWindow m_host_count;
-  //! Time of the first event; RouterOptions::startup_hold starts here.
+  //! Time of the first SetTargets() or SetHostCount(), at which
+  //! RouterOptions::startup_hold begins.
   std::optional<TimePoint> m_first_event;
   std::unordered_map<ServiceId, ServiceRecord> m_services;
   //! A record is kept while requests are in flight, even if its target is gone.
--- a/src/jacinthdeck/routing/target_health.cc
+++ b/src/jacinthdeck/routing/target_health.cc
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kProbesToReinstate = 3;
 constexpr Duration kFirstEjection = std::chrono::seconds(1);
 constexpr Duration kMaxEjection = std::chrono::seconds(30);
-//! Time without an ejection after which the ejection backoff starts over.
+//! Time after a reinstatement after which the ejection backoff starts over.
 constexpr Duration kEjectionCountLifetime = std::chrono::seconds(60);
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
 
--- a/src/jacinthdeck/routing/target_health.h
+++ b/src/jacinthdeck/routing/target_health.h
@@ -80,7 +80,8 @@
    * its peers; only then can slow attempts make it an outlier.
    * \param now Current time.
    * \param random Source of the jitter of the ejection.
-   * \return True if the target was ejected.
+   * \return True if the target was newly ejected; false if a failed probe
+   * extended its ejection.
    */
   bool OnEnd(HealthSample sample,
              bool slower_than_peers,
--- a/src/jacinthdeck/routing/target_record.cc
+++ b/src/jacinthdeck/routing/target_record.cc
@@ -11,9 +11,9 @@
 //! A target is slow above this multiple of the fastest peer's latency; smaller
 //! differences are noise on a busy target.
 constexpr double kSlowLatencyRatio = 2;
-//! Number of late thresholds without a reply after which a target is
-//! unresponsive.
-constexpr int kUnresponsiveDelays = 2;
+//! A target with requests in flight is unresponsive if it has not replied for
+//! this multiple of the time after which an attempt is late.
+constexpr int kUnresponsiveLateMultiple = 2;
 //! Time for which a target's report that it is draining stays in effect. The
 //! host list is updated seconds later. A target that is still draining after
 //! this time reports it again without executing the request.
@@ -61,7 +61,7 @@
 bool TargetRecord::IsUnresponsive(TimePoint now) const noexcept {
   return m_in_flight > 0 &&
          now - m_waiting_since >
-             m_service->late_after() * internal::kUnresponsiveDelays;
+             m_service->late_after() * internal::kUnresponsiveLateMultiple;
 }
 
 TargetRank TargetRecord::Rank(TimePoint now) const noexcept {
--- a/src/jacinthdeck/routing/token_budget.h
+++ b/src/jacinthdeck/routing/token_budget.h
@@ -31,7 +31,7 @@
   void Earn() noexcept { Refund(m_ratio); }
 
   /**
-   * \brief Returns tokens for an extra attempt that saved work elsewhere.
+   * \brief Gives tokens back for an extra attempt that saved work elsewhere.
    * \param tokens Tokens to add, 0 to 1.
    */
   void Refund(double tokens) noexcept {
