--- a/test/jacinthdeck/routing/connection_plan_test.cc
+++ b/test/jacinthdeck/routing/connection_plan_test.cc
@@ -172,8 +172,8 @@
     BOOST_TEST(plan.idle_spares == 1U);
     delays.push_back(plan.first_open_delay);
   }
-  const auto [least, most] = std::ranges::minmax(delays);
-  BOOST_TEST((most - least > milliseconds(20)));
+  const auto [shortest, longest] = std::ranges::minmax(delays);
+  BOOST_TEST((longest - shortest > milliseconds(20)));
 }
 
 BOOST_AUTO_TEST_CASE(PlanConnections_LeavingTarget_OpensNothing) {
--- a/test/jacinthdeck/routing/router_pick_test.cc
+++ b/test/jacinthdeck/routing/router_pick_test.cc
@@ -100,7 +100,7 @@
 // A request is in flight at an unresponsive target, and the hedge budget is
 // spent. If the hedge were refused, the caller would wait until the deadline.
 // It replaces a lost request, so it is charged to the retry budget.
-BOOST_AUTO_TEST_CASE(Choose_FailoverFromSilentTarget_NeedsNoHedgeBudget) {
+BOOST_AUTO_TEST_CASE(Choose_FailoverFromUnresponsiveTarget_NeedsNoHedgeBudget) {
   WarmUp();
   std::optional<TargetId> first = Choose();
   BOOST_REQUIRE(first);
--- a/test/jacinthdeck/routing/router_test.cc
+++ b/test/jacinthdeck/routing/router_test.cc
@@ -39,7 +39,7 @@
 // Hedges answer first, and each request to the unresponsive target is
 // cancelled, so its number of requests in flight stays low. The cancelled late
 // attempts must count against its health.
-BOOST_AUTO_TEST_CASE(Choose_RequestsToSilentTargetCancelled_IsEjected) {
+BOOST_AUTO_TEST_CASE(Choose_RequestsToUnresponsiveTargetCancelled_IsEjected) {
   WarmUp();
   const auto picks = SendRequests(1000, [this](const TargetId& target) {
     if (target == replicas[0]) {
@@ -87,7 +87,7 @@
 
 // All replicas fail at the same time, for example in a short network outage. If
 // all were ejected, the shard would stay unreachable after the outage.
-BOOST_AUTO_TEST_CASE(Choose_AllReplicasFail_MostStayInUse) {
+BOOST_AUTO_TEST_CASE(Choose_AllReplicasFail_EveryRequestGetsATarget) {
   const auto picks = SendRequests(300, [this](const TargetId& target) {
     Finish(target, AttemptStatus::kLost);
   });
