--- a/src/jacinthdeck/query/admission_queue.cc
+++ b/src/jacinthdeck/query/admission_queue.cc
@@ -34,10 +34,10 @@
   const auto [found, added] = m_tenants.try_emplace(call.tenant);
   if (added) {
     found->second.weight = WeightOf(call.tenant);
-    const auto ahead = m_idle_virtual_times.find(call.tenant);
-    found->second.virtual_time = ahead == m_idle_virtual_times.end()
+    const auto idle = m_idle_virtual_times.find(call.tenant);
+    found->second.virtual_time = idle == m_idle_virtual_times.end()
                                      ? m_virtual_time
-                                     : std::max(m_virtual_time, ahead->second);
+                                     : std::max(m_virtual_time, idle->second);
   }
   found->second.calls.insert(key);
   m_calls.emplace(key, Waiting{std::move(call), cost});
@@ -49,16 +49,16 @@
       m_tenants, {}, [](const auto& item) { return item.second.virtual_time; });
   Tenant& tenant = next->second;
   m_virtual_time = tenant.virtual_time;
-  std::erase_if(m_idle_virtual_times, [this](const auto& ahead) {
-    return ahead.second <= m_virtual_time;
+  std::erase_if(m_idle_virtual_times, [this](const auto& item) {
+    return item.second <= m_virtual_time;
   });
   const Key key = *tenant.calls.begin();
   tenant.virtual_time += m_calls.at(key).cost / tenant.weight;
   return TakeExisting(key);
 }
 
-std::optional<Call> AdmissionQueue::TakeDueBy(TimePoint moment) {
-  if (m_calls.empty() || EarliestDeadline() > moment) {
+std::optional<Call> AdmissionQueue::TakeDueBy(TimePoint time) {
+  if (m_calls.empty() || EarliestDeadline() > time) {
     return std::nullopt;
   }
   const Key key = m_calls.begin()->first;
@@ -66,12 +66,12 @@
 }
 
 Call AdmissionQueue::TakeExcess() {
-  const auto most =
+  const auto largest =
       std::ranges::max_element(m_tenants, {}, [](const auto& item) {
         return static_cast<double>(item.second.calls.size()) /
                item.second.weight;
       });
-  const Key key = *most->second.calls.rbegin();
+  const Key key = *largest->second.calls.rbegin();
   return TakeExisting(key);
 }
 
--- a/src/jacinthdeck/query/admission_queue.h
+++ b/src/jacinthdeck/query/admission_queue.h
@@ -77,7 +77,7 @@
 
   /*! \brief Removes and returns the call with the earliest deadline if that is
    * at or before a given time. */
-  [[nodiscard]] std::optional<Call> TakeDueBy(TimePoint moment);
+  [[nodiscard]] std::optional<Call> TakeDueBy(TimePoint time);
 
   /*! \brief Removes and returns the call with the latest deadline of the tenant
    * with the most calls for its weight; the queue must not be empty. */
--- a/src/jacinthdeck/query/call_state.h
+++ b/src/jacinthdeck/query/call_state.h
@@ -49,7 +49,7 @@
   ShardReply reply;
 };
 
-/*! \brief Running call, which has no answer yet. */
+/*! \brief Running call: it does not wait in the queue and has no answer yet. */
 struct OpenCall {
   Call call;
   //! Never null.
--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -78,7 +78,7 @@
     return m_counters;
   }
 
-  /*! \brief Returns when OnTimer() is due; empty if no call is open. */
+  /*! \brief Returns when OnTimer() is due; empty if no call runs or waits. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /**
--- a/src/jacinthdeck/query/engine_quarantine.cc
+++ b/src/jacinthdeck/query/engine_quarantine.cc
@@ -21,14 +21,15 @@
     state.held = true;
     return m_probes.Hold(fingerprint, held);
   }
-  std::vector<TargetId> free;
-  std::ranges::copy_if(state.shard->replicas, std::back_inserter(free),
+  std::vector<TargetId> free_replicas;
+  std::ranges::copy_if(state.shard->replicas, std::back_inserter(free_replicas),
                        [this](const TargetId& replica) {
                          return !m_probes.targets().contains(replica);
                        });
-  const bool all_free = free.size() == state.shard->replicas.size();
+  const bool all_free = free_replicas.size() == state.shard->replicas.size();
   const auto choice = m_router.Choose(
-      RouteRequest{open.service->id, free, state.tried, kind, false}, now);
+      RouteRequest{open.service->id, free_replicas, state.tried, kind, false},
+      now);
   if (const auto* target = std::get_if<TargetId>(&choice)) {
     Launch(open, shard, kind, *target, now, effects).probe = true;
     return m_probes.Begin(fingerprint, *target);
@@ -36,7 +37,7 @@
   const auto refusal = std::get<RouteRefusal>(choice);
   if (refusal == RouteRefusal::kNoReplica && !all_free) {
     state.held = true;
-    return m_probes.HoldForTarget(held);
+    return m_probes.HoldForAnyProbe(held);
   }
   OnRouteRefusal(open, shard, kind, refusal, now);
 }
@@ -69,15 +70,15 @@
 void Engine::ResumeHeld(const HeldShards& held,
                         TimePoint now,
                         Effects& effects) {
-  for (const HeldShard& one : held) {
-    const auto call = m_calls.find(one.call);
-    if (call == m_calls.end() || call->second.epoch != one.epoch ||
-        !call->second.shards[one.shard].held) {
+  for (const HeldShard& held_shard : held) {
+    const auto call = m_calls.find(held_shard.call);
+    if (call == m_calls.end() || call->second.epoch != held_shard.epoch ||
+        !call->second.shards[held_shard.shard].held) {
       continue;
     }
     OpenCall& open = call->second;
-    open.shards[one.shard].held = false;
-    SendShard(open, one.shard, one.kind, now, effects);
+    open.shards[held_shard.shard].held = false;
+    SendShard(open, held_shard.shard, held_shard.kind, now, effects);
     FinishIfSettled(open, now, effects);
   }
 }
--- a/src/jacinthdeck/query/engine_replies.cc
+++ b/src/jacinthdeck/query/engine_replies.cc
@@ -123,8 +123,8 @@
     state.hedge_at = now + HedgeDelay(open);
     return ArmTimerAt(open, *state.hedge_at);
   }
-  const bool survived = status == AttemptStatus::kFailed;
-  if (attempt.probe && !ProvesNotRun(status) && !survived) {
+  const bool completed = status == AttemptStatus::kFailed;
+  if (attempt.probe && !ProvesNotRun(status) && !completed) {
     // A suspect is retried only once, as a probe, since each run may crash
     // another target. This attempt was the probe.
     const bool quarantined = m_quarantine.StateOf(attempt.fingerprint, now) ==
--- a/src/jacinthdeck/query/probe_gate.h
+++ b/src/jacinthdeck/query/probe_gate.h
@@ -50,7 +50,9 @@
 
   /*! \brief Holds a shard until any probe ends: some of its replicas run probes
    * and no other may get work. */
-  void HoldForTarget(const HeldShard& held) { m_for_target.push_back(held); }
+  void HoldForAnyProbe(const HeldShard& held) {
+    m_held_for_any_probe.push_back(held);
+  }
 
   /*! \brief Records that a probe was sent. */
   void Begin(Fingerprint fingerprint, const TargetId& target) {
@@ -59,14 +61,15 @@
   }
 
   /*! \brief Records the end of a probe and returns the shards held for it, and
-   * those held for any target. */
+   * those held for any probe. */
   [[nodiscard]] std::vector<HeldShard> End(Fingerprint fingerprint,
                                            const TargetId& target) {
     m_fingerprints.erase(fingerprint);
     m_targets.erase(target);
     std::vector<HeldShard> freed = Release(fingerprint);
-    freed.insert(freed.end(), m_for_target.begin(), m_for_target.end());
-    m_for_target.clear();
+    freed.insert(freed.end(), m_held_for_any_probe.begin(),
+                 m_held_for_any_probe.end());
+    m_held_for_any_probe.clear();
     return freed;
   }
 
@@ -83,10 +86,12 @@
   }
 
  private:
+  //! Fingerprints with a probe in flight.
   std::set<Fingerprint> m_fingerprints;
+  //! Targets that run a probe.
   std::set<TargetId> m_targets;
   std::map<Fingerprint, std::vector<HeldShard>> m_held;
-  std::vector<HeldShard> m_for_target;
+  std::vector<HeldShard> m_held_for_any_probe;
 };
 
 }  // namespace jacinthdeck
