--- a/test/jacinthdeck/query/admission_queue_test.cc
+++ b/test/jacinthdeck/query/admission_queue_test.cc
@@ -93,7 +93,7 @@
   BOOST_TEST((excess.id == CallId(9)));
 }
 
-BOOST_AUTO_TEST_CASE(TakeDueBy_Deadlines_OnlyThoseReached) {
+BOOST_AUTO_TEST_CASE(TakeDueBy_OneDeadlineReached_TakesOnlyThatCall) {
   Add("a", 50);
   Add("b", 20);
   const TimePoint at = TimePoint() + std::chrono::milliseconds(20);
--- a/test/jacinthdeck/query/engine_sweep_test.cc
+++ b/test/jacinthdeck/query/engine_sweep_test.cc
@@ -48,21 +48,21 @@
   }
 
   void Step() {
-    const std::uint64_t what = random.Below(100);
+    const std::uint64_t action = random.Below(100);
     const TargetId target = Target(random.Below(kShards), random.Below(3));
-    if (what < 1) {
+    if (action < 1) {
       ChangeVersions();
-    } else if (what < 2) {
+    } else if (action < 2) {
       ChangeTargets();
-    } else if (what < 4) {
+    } else if (action < 4) {
       fleet.unresponsive.insert(target);
-    } else if (what < 7) {
+    } else if (action < 7) {
       fleet.unresponsive.erase(target);
-    } else if (what < 9) {
+    } else if (action < 9) {
       fleet.fault_rate = random.Unit() * 0.3;
-    } else if (what < 10) {
+    } else if (action < 10) {
       engine.AddPeerSuspect(Fingerprint(random.Below(40)), clock.Now());
-    } else if (what < 12 && next_call > 5) {
+    } else if (action < 12 && next_call > 5) {
       const CallId call(next_call - 1 - random.Below(4));
       if (!answers.contains(call)) {
         engine.Abandon(call, clock.Now(), effects);
--- a/test/jacinthdeck/query/merge_test.cc
+++ b/test/jacinthdeck/query/merge_test.cc
@@ -47,13 +47,13 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(Count_Replies_SumWithoutHits) {
+BOOST_AUTO_TEST_CASE(Count_SeveralReplies_SumWithoutHits) {
   const Merged merged = Merge(MergeRule::kCount, replies);
   BOOST_TEST(merged.count == 14U);
   BOOST_TEST(merged.hits.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Lookup_SeveralHits_TheBestOne) {
+BOOST_AUTO_TEST_CASE(Lookup_SeveralHits_ReturnsTheBest) {
   BOOST_TEST(Ids(Merge(MergeRule::kLookup, replies)) ==
                  (std::vector<std::string>{"c"}),
              boost::test_tools::per_element());
