--- a/src/jacinthdeck/forward/cold_share.h
+++ b/src/jacinthdeck/forward/cold_share.h
@@ -61,7 +61,9 @@
   [[nodiscard]] double RateIfSelected(double bound) const noexcept;
   [[nodiscard]] bool IsSelected(const TargetId& target, double bound) const;
 
+  //! Hash of the name of this host.
   std::uint64_t m_self = 0;
+  //! Whether this host is one of those that callers are sent to.
   bool m_is_listed = false;
   //! Hashes of the names of the other hosts.
   std::vector<std::uint64_t> m_others;
--- a/src/jacinthdeck/forward/forwarder_admission.cc
+++ b/src/jacinthdeck/forward/forwarder_admission.cc
@@ -28,8 +28,9 @@
 //! time must not return at the same time.
 constexpr double kRetryAfterJitter = 1.0;
 //! Maximum expected delay of an admitted call in objectives, at priority 0. It
-//! decreases by kDelayLimitStep for each lower priority, so that urgent calls
-//! may use the part of the queue that the others must leave free.
+//! decreases by kDelayLimitStep for each lower priority, down to
+//! kMinDelayLimit, so that urgent calls may use the part of the queue that the
+//! others must leave free.
 constexpr double kDelayLimit = 1.0;
 //! The same while at most half of the shards have a queue. The delay is an
 //! estimate from the view of this host: a few overloaded shards usually answer
@@ -66,10 +67,10 @@
 [[nodiscard]] Duration DelayLimit(const Route& route, const CallTrace& trace) {
   const double base_factor =
       IsLocalOverload(trace) ? kLocalDelayLimit : kDelayLimit;
-  const double part =
+  const double factor =
       std::max(base_factor - kDelayLimitStep * route.priority, kMinDelayLimit);
   return Duration(static_cast<Duration::rep>(
-      part * static_cast<double>(ObjectiveOf(route).count())));
+      factor * static_cast<double>(ObjectiveOf(route).count())));
 }
 
 }  // namespace
@@ -87,12 +88,12 @@
     return;
   }
   const CallId id = pending.call.id;
-  PendingCall& placed = m_calls.emplace(id, std::move(pending)).first->second;
-  for (std::size_t part = 0; part < placed.parts.size(); ++part) {
-    BudgetOf(placed.parts[part].service).OnRequest(now);
-    TrySendAttempt(placed, part, AttemptReason::kFirst, now);
+  PendingCall& admitted = m_calls.emplace(id, std::move(pending)).first->second;
+  for (std::size_t part = 0; part < admitted.parts.size(); ++part) {
+    BudgetOf(admitted.parts[part].service).OnRequest(now);
+    TrySendAttempt(admitted, part, AttemptReason::kFirst, now);
   }
-  FinishIfDone(placed, now);
+  FinishIfDone(admitted, now);
 }
 
 bool Forwarder::PrepareCall(PendingCall& pending) {
@@ -138,8 +139,9 @@
     end = std::min(end, pending.call.arrived + pending.route->timeout);
   }
   if (end == TimePoint::max()) {
-    constexpr Duration kLongest = std::chrono::minutes(1);
-    end = pending.call.arrived + kLongest;
+    // Neither the caller nor the route set a limit.
+    constexpr Duration kDefaultTimeout = std::chrono::minutes(1);
+    end = pending.call.arrived + kDefaultTimeout;
   }
   pending.call.deadline = end;
   pending.final_at = std::max(end - m_options.answer_margin,
--- a/src/jacinthdeck/forward/forwarder_attempts.cc
+++ b/src/jacinthdeck/forward/forwarder_attempts.cc
@@ -94,7 +94,7 @@
                                AttemptReason reason,
                                TimePoint now) {
   CallPart& part = pending.parts[part_index];
-  const bool extra = part.attempts_reached > 0;
+  const bool extra = part.attempts_arrived > 0;
   AttemptBudget& budget = BudgetOf(part.service);
   if (extra && !budget.CanSpend(now)) {
     ++m_counters.budget_refusals;
@@ -159,7 +159,7 @@
   part.tried.push_back(target.entry().id);
   part.in_flight.push_back(id);
   ++part.runs;
-  ++part.attempts_reached;
+  ++part.attempts_arrived;
   ++part.attempts_sent;
   ++m_counters.attempts[static_cast<std::size_t>(reason)];
   if (target.entry().domain != m_options.domain) {
@@ -187,7 +187,7 @@
   const bool may_repeat =
       pending.route->repeat == RepeatRule::kIdempotent || part.runs == 0;
   const bool endangers_targets =
-      pending.lost > 0 && pending.answered == 0 &&
+      pending.lost_connections > 0 && pending.answered == 0 &&
       m_crash_guard.IsSuspect(pending.fingerprint, now);
   return may_repeat && part.runs < pending.route->max_attempts &&
          part.attempts_sent <
@@ -207,7 +207,7 @@
       part.response && part.response->status < kFirstServerError;
   if (!is_client_error && MaySendAgain(pending, part, now)) {
     TrySendAttempt(pending, part_index,
-                   part.attempts_reached == 0 ? AttemptReason::kFirst
+                   part.attempts_arrived == 0 ? AttemptReason::kFirst
                                               : AttemptReason::kRetry,
                    now);
     return;
--- a/src/jacinthdeck/forward/forwarder_finish.cc
+++ b/src/jacinthdeck/forward/forwarder_finish.cc
@@ -55,7 +55,7 @@
 }
 
 void Forwarder::RecordLostCall(const PendingCall& pending, TimePoint now) {
-  if (pending.lost > 0 && pending.answered == 0 &&
+  if (pending.lost_connections > 0 && pending.answered == 0 &&
       m_crash_guard.OnCallLost(pending.fingerprint, now)) {
     ++m_counters.quarantines;
     m_port.ShareQuarantine(pending.fingerprint);
--- a/src/jacinthdeck/forward/forwarder_replies.cc
+++ b/src/jacinthdeck/forward/forwarder_replies.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-//! One in this many shards of a call is hedged early when it is among the last
-//! to answer.
+//! The last shards of a call are hedged early once at most one in this many of
+//! its shards has not answered.
 constexpr std::size_t kLastShardsDivisor = 10;
 
 }  // namespace
@@ -65,14 +65,14 @@
 void Forwarder::TraceEnd(PendingCall& pending,
                          const AttemptEnd& end,
                          TimePoint now) {
-  const auto note =
+  const auto attempt =
       std::ranges::find(pending.trace.attempts, end.id, &AttemptTrace::id);
-  if (note == pending.trace.attempts.end()) {
+  if (attempt == pending.trace.attempts.end()) {
     return;
   }
-  note->took = now - pending.call.arrived - note->sent;
-  note->outcome = end.outcome;
-  note->status = end.response.status;
+  attempt->took = now - pending.call.arrived - attempt->sent;
+  attempt->outcome = end.outcome;
+  attempt->status = end.response.status;
 }
 
 void Forwarder::HandleAttemptEnd(PendingCall& pending,
@@ -90,7 +90,7 @@
       HandleResponse(pending, part, end, now);
       break;
     case AttemptOutcome::kNotSent:
-      --part.attempts_reached;
+      --part.attempts_arrived;
       --part.runs;
       if (attempt.paid) {
         BudgetOf(part.service).Refund(now);
@@ -104,7 +104,7 @@
       break;
     case AttemptOutcome::kBroken:
       part.reason = ForwardReason::kTargetsFailed;
-      pending.lost += end.connection_lost ? 1 : 0;
+      pending.lost_connections += end.connection_lost ? 1 : 0;
       break;
   }
   if (part.phase == internal::PartPhase::kOpen) {
@@ -139,18 +139,18 @@
 // a few attempts per call; hedges sent that early for all shards would cost
 // many.
 void Forwarder::HedgeLastShards(PendingCall& pending, TimePoint now) {
-  const std::size_t last = pending.parts.size() / kLastShardsDivisor;
-  if (pending.open_parts == 0 || pending.open_parts > last) {
+  const std::size_t max_last_shards = pending.parts.size() / kLastShardsDivisor;
+  if (pending.open_parts == 0 || pending.open_parts > max_last_shards) {
     return;
   }
-  const TimePoint from =
+  const TimePoint earliest =
       std::max(now, pending.call.arrived + pending.profile->mean());
   for (CallPart& part : pending.parts) {
     const bool is_unhedged = part.phase == internal::PartPhase::kOpen &&
-                             part.attempts_reached == 1 &&
+                             part.attempts_arrived == 1 &&
                              part.hedge_at.has_value();
     if (is_unhedged) {
-      part.hedge_at = std::min(*part.hedge_at, from);
+      part.hedge_at = std::min(*part.hedge_at, earliest);
     }
   }
 }
--- a/src/jacinthdeck/forward/latency_profile.cc
+++ b/src/jacinthdeck/forward/latency_profile.cc
@@ -83,10 +83,11 @@
 void LatencyProfile::UpdateDelays() {
   m_mean = std::max(Duration(static_cast<Duration::rep>(m_average.value())),
                     Duration(1));
-  const Duration least = Scaled(m_mean, kMinHedgeMeanFactor);
-  const Duration latest = Scaled(m_objective, kMaxHedgeObjectiveFraction);
+  const Duration min_delay = Scaled(m_mean, kMinHedgeMeanFactor);
+  const Duration max_delay = Scaled(m_objective, kMaxHedgeObjectiveFraction);
   const Duration quantile = m_histogram.Quantile(kHedgeQuantile);
-  m_hedge_delay = std::max(std::min(quantile, latest), std::min(least, latest));
+  m_hedge_delay =
+      std::max(std::min(quantile, max_delay), std::min(min_delay, max_delay));
   m_silence_timeout =
       std::max(Scaled(m_hedge_delay, kSilenceFactor), kMinSilenceTimeout);
 }
--- a/src/jacinthdeck/forward/learned_target.cc
+++ b/src/jacinthdeck/forward/learned_target.cc
@@ -63,7 +63,7 @@
     return true;
   }
   // One request at a time tests whether the target is back.
-  return m_unanswered_in_row > 0 && !m_in_flight.empty();
+  return m_consecutive_unanswered > 0 && !m_in_flight.empty();
 }
 
 Duration TrackedTarget::ExpectedDelay(const LatencyEstimate& route_latency,
@@ -72,15 +72,15 @@
   const double served_mean =
       m_served_latency.samples() > 0 ? m_served_latency.value() : mean;
   const double queued_mean = std::min(mean, served_mean);
-  const double own = route_latency.is_measured() ? mean : queued_mean;
+  const double own_mean = route_latency.is_measured() ? mean : queued_mean;
   const double slowness = m_slowness.samples() > 0 ? m_slowness.value() : 1;
   const double occupancy = Occupancy(now);
   const double slots = std::max<double>(m_entry.slots, 1);
   const double wait = std::max(occupancy - 1 + 1 / slots, 0.0);
   const double work = slowness * (1 + kBusyCost * std::min(occupancy, 1.0)) +
                       kFailurePenalty * FailureRate(now);
-  return Duration(
-      static_cast<Duration::rep>(own * work + queued_mean * slowness * wait));
+  return Duration(static_cast<Duration::rep>(own_mean * work +
+                                             queued_mean * slowness * wait));
 }
 
 double TrackedTarget::Occupancy(TimePoint now) const noexcept {
@@ -112,7 +112,7 @@
   m_slowness.Reset();
   m_served_latency.Reset();
   m_failure_rate = 0;
-  m_unanswered_in_row = 0;
+  m_consecutive_unanswered = 0;
   m_unresponsive_until = now;
   m_last_reply = now;
 }
@@ -193,7 +193,7 @@
 
 void TrackedTarget::MarkResponsive(TimePoint now) noexcept {
   m_last_reply = now;
-  m_unanswered_in_row = 0;
+  m_consecutive_unanswered = 0;
   m_unresponsive_until = now;
 }
 
@@ -203,10 +203,11 @@
 }
 
 void TrackedTarget::MarkUnresponsive(TimePoint now) {
-  const std::uint32_t doublings = std::min(m_unanswered_in_row, kMaxDoublings);
+  const std::uint32_t doublings =
+      std::min(m_consecutive_unanswered, kMaxDoublings);
   m_unresponsive_until =
       now + std::min(kInitialBackoff * (1U << doublings), kMaxBackoff);
-  ++m_unanswered_in_row;
+  ++m_consecutive_unanswered;
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/forward/learned_target.h
+++ b/src/jacinthdeck/forward/learned_target.h
@@ -151,7 +151,7 @@
   //! Failure rate at m_failed_at; it decays from then on.
   double m_failure_rate = 0;
   TimePoint m_failed_at;
-  std::uint32_t m_unanswered_in_row = 0;
+  std::uint32_t m_consecutive_unanswered = 0;
   TimePoint m_unresponsive_until;
   LoadReport m_load;
   TimePoint m_load_at;
--- a/src/jacinthdeck/forward/pending_call.h
+++ b/src/jacinthdeck/forward/pending_call.h
@@ -32,9 +32,9 @@
   std::vector<AttemptId> in_flight;
   //! Attempts that a target executed, may have executed, or may still execute.
   std::uint32_t runs = 0;
-  //! Attempts that reached a target or may still reach one; all but the first
+  //! Attempts that arrived at a target or may still do so; all but the first
   //! are extra attempts.
-  std::uint32_t attempts_reached = 0;
+  std::uint32_t attempts_arrived = 0;
   std::uint32_t attempts_sent = 0;
   //! When a hedge is due.
   std::optional<TimePoint> hedge_at;
@@ -56,9 +56,10 @@
   LatencyProfile* profile = nullptr;
   Fingerprint fingerprint;
   std::vector<CallPart> parts;
+  //! Number of parts in phase kAnswered.
   std::size_t answered = 0;
   //! Number of connections lost while a target had the request.
-  std::size_t lost = 0;
+  std::size_t lost_connections = 0;
   //! Number of parts in phase kOpen.
   std::size_t open_parts = 0;
   //! Latest time of the final answer.
--- a/src/jacinthdeck/forward/target_set.cc
+++ b/src/jacinthdeck/forward/target_set.cc
@@ -119,12 +119,12 @@
 }
 
 Duration TargetSet::MeanServedLatency(const ServiceId& service,
-                                      Duration other) const {
+                                      Duration fallback) const {
   Duration sum{};
   int measured = 0;
   const auto found = m_by_service.find(service);
   if (found == m_by_service.end()) {
-    return other;
+    return fallback;
   }
   for (const TrackedTarget* target : found->second) {
     if (target->AcceptsRequests() &&
@@ -133,13 +133,13 @@
       ++measured;
     }
   }
-  return measured == 0 ? other : sum / measured;
+  return measured == 0 ? fallback : sum / measured;
 }
 
 void TargetSet::Replace(std::span<const TargetEntry> entries, TimePoint now) {
-  std::unordered_set<TargetId> named;
+  std::unordered_set<TargetId> listed;
   for (const TargetEntry& entry : entries) {
-    named.insert(entry.id);
+    listed.insert(entry.id);
     auto& slot = m_targets[entry.id];
     if (slot == nullptr) {
       slot = std::make_unique<TrackedTarget>(entry, now);
@@ -150,10 +150,10 @@
   m_by_service.clear();
   m_available = 0;
   std::erase_if(m_targets, [&](const auto& item) {
-    return !named.contains(item.first) && item.second->in_flight() == 0;
+    return !listed.contains(item.first) && item.second->in_flight() == 0;
   });
   for (auto& [id, target] : m_targets) {
-    if (!named.contains(id)) {
+    if (!listed.contains(id)) {
       target->MarkRemoved();
       continue;
     }
--- a/src/jacinthdeck/forward/target_set.h
+++ b/src/jacinthdeck/forward/target_set.h
@@ -82,18 +82,19 @@
 
   /**
    * \brief Chooses a target.
-   * \return No target if none accepts requests, has capacity, and suits the
-   * reason: a hedge is sent only where a slot is likely free.
+   * \return No target if none accepts requests, has capacity, is within its
+   * cold limit and suits the reason and the useful time: a hedge is sent only
+   * where a slot is likely free.
    */
   [[nodiscard]] TargetChoice Pick(const TargetCriteria& criteria,
                                   TimePoint now);
 
   /**
    * \brief Mean latency of the requests that the targets of a service answer.
-   * \param other Returned if no target has a measured latency yet.
+   * \param fallback Returned if no target has a measured latency yet.
    */
   [[nodiscard]] Duration MeanServedLatency(const ServiceId& service,
-                                           Duration other) const;
+                                           Duration fallback) const;
 
   /*! \brief Sets the hosts that share the request rate of cold targets. */
   void SetHosts(const HostId& self, std::span<const HostId> hosts) {
