--- a/test/jacinthdeck/forward/cold_share_test.cc
+++ b/test/jacinthdeck/forward/cold_share_test.cc
@@ -21,8 +21,8 @@
 struct HostSimulation {
   struct Host {
     HostId name;
-    ColdTargetLimiter share;
-    TimePoint last;
+    ColdTargetLimiter limiter;
+    TimePoint last_sent;
     bool alive = true;
   };
 
@@ -58,15 +58,16 @@
         names.push_back(other.name);
       }
     }
-    host.share.SetHosts(host.name, names);
+    host.limiter.SetHosts(host.name, names);
   }
 
   void Step() {
     now += milliseconds(2);
     for (Host& host : hosts) {
       const bool has_request = host.alive && random.Unit() < 0.5;
-      if (has_request && host.share.MaySend(target, bound, host.last, now)) {
-        host.last = now;
+      if (has_request &&
+          host.limiter.MaySend(target, bound, host.last_sent, now)) {
+        host.last_sent = now;
         arrivals.push_back(now);
         ++total_sent;
       }
@@ -142,10 +143,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(ColdRate_HostIsNotListed_IsZero) {
-  ColdTargetLimiter share;
-  share.SetHosts(HostId("h1"), std::vector<HostId>{HostId("h2")});
-  BOOST_TEST(share.RateOf(TargetId("t"), 50) == 0);
-  BOOST_TEST(!share.MaySend(TargetId("t"), 50, TimePoint{}, TimePoint::max()));
+  ColdTargetLimiter limiter;
+  limiter.SetHosts(HostId("h1"), std::vector<HostId>{HostId("h2")});
+  BOOST_TEST(limiter.RateOf(TargetId("t"), 50) == 0);
+  BOOST_TEST(
+      !limiter.MaySend(TargetId("t"), 50, TimePoint{}, TimePoint::max()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/forward/crash_guard_test.cc
+++ b/test/jacinthdeck/forward/crash_guard_test.cc
@@ -37,8 +37,9 @@
 
 // Guards against a quarantine of a popular request, whose callers would all be
 // refused for a minute. Targets answer it all the time; then some of them lose
-// answers for a second, and two calls in a row get none. It was taken for a
-// request that crashes targets, and the other hosts were told so.
+// answers for a second, and two calls in a row get none. Without the record of
+// answers it would be taken for a request that crashes its targets, and the
+// other hosts would be told so.
 BOOST_AUTO_TEST_CASE(Request_AnsweredRecently_IsNotQuarantined) {
   guard.OnAnswered(request, clock.Now());
   clock.Advance(std::chrono::seconds(5));
--- a/test/jacinthdeck/forward/target_set_test.cc
+++ b/test/jacinthdeck/forward/target_set_test.cc
@@ -192,8 +192,8 @@
 
 // Guards against a shard that is left out although the budget has hedges left.
 // The targets each paused once among their recent answers, and most of their
-// answers still arrive in time, so the hedge must find one. The mean latency
-// with the pause in it excluded all of them.
+// answers still arrive in time, so the hedge must find one. By the mean latency
+// with the pause in it, all of them would be excluded.
 BOOST_AUTO_TEST_CASE(Pick_TargetsPausedOnce_HedgeIsChosen) {
   constexpr int kAnswers = 7;
   criteria.reason = AttemptReason::kHedge;
--- a/test/jacinthdeck/forward/values_test.cc
+++ b/test/jacinthdeck/forward/values_test.cc
@@ -49,7 +49,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(
-    TopRecords_TrailingBytesAndDuplicates_KeepsOnlyDuplicates) {
+    TopRecords_TrailingBytesAndDuplicates_DropsOnlyTrailingBytes) {
   const std::string low(16, '\x01');
   const std::string high(16, '\xff');
   const std::string first = low + high + "rest";
