--- a/src/jacinthdeck/forward/cold_share.cc
+++ b/src/jacinthdeck/forward/cold_share.cc
@@ -57,10 +57,10 @@
   if (!m_is_listed) {
     return false;
   }
-  const std::uint64_t own = HashOf(target.raw(), m_self);
+  const std::uint64_t own_weight = HashOf(target.raw(), m_self);
   auto remaining = static_cast<std::size_t>(SelectedHosts(bound));
   for (const std::uint64_t host : m_others) {
-    if (HashOf(target.raw(), host) > own && --remaining == 0) {
+    if (HashOf(target.raw(), host) > own_weight && --remaining == 0) {
       return false;
     }
   }
--- a/src/jacinthdeck/forward/learned_target.h
+++ b/src/jacinthdeck/forward/learned_target.h
@@ -65,7 +65,7 @@
    * of it.
    * \param route_latency Latency of the route; an assumed one counts for no
    * more than the mean latency of what the target answers.
-   * \param now Present time.
+   * \param now Current time.
    */
   [[nodiscard]] Duration ExpectedDelay(const LatencyEstimate& route_latency,
                                        TimePoint now) const;
--- a/src/jacinthdeck/query/admission_queue.cc
+++ b/src/jacinthdeck/query/admission_queue.cc
@@ -12,11 +12,11 @@
 }
 
 double AdmissionQueue::StartsAhead(const TenantId& tenant) const {
-  const auto own = static_cast<double>(CountOf(tenant));
+  const auto own_calls = static_cast<double>(CountOf(tenant));
   const double weight = WeightOf(tenant);
-  const double others =
+  const double other_weights =
       ActiveWeight() - (m_tenants.contains(tenant) ? weight : 0);
-  const double by_share = own * (weight + others) / weight;
+  const double by_share = own_calls * (weight + other_weights) / weight;
   return std::min(by_share, static_cast<double>(m_calls.size()));
 }
 
--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -1,4 +1,4 @@
-// Deterministic scatter-gather engine: takes events and the present time, and
+// Deterministic scatter-gather engine: takes events and the current time, and
 // requests actions through Effects.
 #ifndef JACINTHDECK_QUERY_ENGINE_H_
 #define JACINTHDECK_QUERY_ENGINE_H_
--- a/src/jacinthdeck/query/quarantine.h
+++ b/src/jacinthdeck/query/quarantine.h
@@ -85,7 +85,7 @@
    * \param fingerprint Fingerprint of the request.
    * \param range Key range that the attempt asked for.
    * \param probe Whether the request was already a suspect when it was sent.
-   * \param now Present time.
+   * \param now Current time.
    * \return New state if the crash changed it, otherwise kNone.
    */
   [[nodiscard]] QuarantineState RecordCrash(Fingerprint fingerprint,
