--- a/src/jacinthdeck/query/engine.h
+++ b/src/jacinthdeck/query/engine.h
@@ -1,4 +1,4 @@
-// Deterministic scatter-gather engine: takes events and the present time, and
+// Deterministic scatter-gather engine: takes events and the current time, and
 // requests actions through Effects.
 #ifndef JACINTHDECK_QUERY_ENGINE_H_
 #define JACINTHDECK_QUERY_ENGINE_H_
@@ -78,7 +78,7 @@
     return m_counters;
   }
 
-  /*! \brief Returns when OnTimer() is due; empty if no call is open. */
+  /*! \brief Returns when OnTimer() is due; empty if no call runs or waits. */
   [[nodiscard]] std::optional<TimePoint> NextTimer() const;
 
   /**
