--- a/test/scenario/script.cc
+++ b/test/scenario/script.cc
@@ -5,7 +5,7 @@
 #include <lua.hpp>
 #include <memory>
 
-#include "scenario/world.h"
+#include "scenario/simulation.h"
 
 namespace jacinthdeck::scenario {
 
--- a/test/scenario/world.cc
+++ b/test/scenario/simulation.cc
@@ -1,5 +1,5 @@
 // Applies the events of a scenario and checks the promises.
-#include "scenario/world.h"
+#include "scenario/simulation.h"
 
 #include <algorithm>
 #include <utility>
--- a/test/scenario/world.h
+++ b/test/scenario/simulation.h
@@ -1,7 +1,7 @@
 // Simulates one host with a store, targets and callers that a script controls,
 // on a manual clock.
-#ifndef JACINTHDECK_TEST_SCENARIO_WORLD_H_
-#define JACINTHDECK_TEST_SCENARIO_WORLD_H_
+#ifndef JACINTHDECK_TEST_SCENARIO_SIMULATION_H_
+#define JACINTHDECK_TEST_SCENARIO_SIMULATION_H_
 
 #include <cstdint>
 #include <map>
@@ -127,4 +127,4 @@
 
 }  // namespace jacinthdeck::scenario
 
-#endif  // JACINTHDECK_TEST_SCENARIO_WORLD_H_
+#endif  // JACINTHDECK_TEST_SCENARIO_SIMULATION_H_
