--- a/cmake/Dependencies.cmake
+++ b/cmake/Dependencies.cmake
@@ -1,4 +1,4 @@
-# Every library comes from Debian's packages; .ci/run holds the install line.
+# Every library comes from a Debian package; tools/install-packages installs them.
 find_package(Boost 1.81 REQUIRED COMPONENTS program_options)
 find_package(Threads REQUIRED)
 find_package(PkgConfig REQUIRED)
@@ -10,7 +10,7 @@
 find_path(ZSTD_INCLUDE zstd.h REQUIRED)
 find_path(TOMLPP_INCLUDE toml++/toml.h REQUIRED)
 if(NOT JACINTHDECK_ENTRY_ONLY)
-  # For tests, stand-ins and the scenario language.
+  # Libraries of the tests, the stand-ins and the scenario scripts.
   find_package(Boost 1.81 REQUIRED COMPONENTS unit_test_framework)
   pkg_check_modules(ULFIUS REQUIRED IMPORTED_TARGET libulfius)
   pkg_check_modules(CURL REQUIRED IMPORTED_TARGET libcurl)
