--- a/standins/http/http_message.h
+++ b/standins/http/http_message.h
@@ -25,12 +25,12 @@
   bool first_on_connection = false;
 
   /*! \brief Reads a query parameter as an unsigned integer; nothing if it is
-   * absent or no such number. */
+   * absent or not one. */
   [[nodiscard]] std::optional<std::uint64_t> ParameterNumber(
       const std::string& name) const;
 
   /*! \brief Reads a header, given by its name in lower case, as an unsigned
-   * integer; nothing if it is absent or no such number. */
+   * integer; nothing if it is absent or not one. */
   [[nodiscard]] std::optional<std::uint64_t> HeaderNumber(
       const std::string& name) const;
 };
--- a/standins/loadgen/sample.h
+++ b/standins/loadgen/sample.h
@@ -23,7 +23,8 @@
   kNotSent,
   //! The connection ended or the time ran out without a reply.
   kLost,
-  //! The reply is no answer.
+  //! The body of the reply is not JSON, or it has no outcome and the status is
+  //! not 4xx.
   kMalformed,
 };
 
--- a/standins/store_main.cc
+++ b/standins/store_main.cc
@@ -2,8 +2,8 @@
 #include <chrono>
 #include <cstdint>
 #include <optional>
-#include "jacinthdeck/core/boottime_clock.h"
 
+#include "jacinthdeck/core/boottime_clock.h"
 #include "process/process.h"
 #include "store/restore_drill.h"
 #include "store/store_server.h"
--- a/standins/target/target_group.h
+++ b/standins/target/target_group.h
@@ -57,16 +57,20 @@
   [[nodiscard]] const RunLog& log() const noexcept { return m_log; }
 
   /**
-   * \brief Replaces the versions and ranges that the targets serve.
+   * \brief Replaces the versions and ranges that the targets of some services
+   * serve. Targets of services that the index does not name are unchanged.
    * \param index JSON object with the partition maps of each service, in the
    * form of an `index/SERVICE` value of the store.
-   * \return Number of services in the index; kCorrupt for an invalid map.
+   * \return Number of services in the index; kCorrupt for an invalid map, which
+   * changes no target.
    */
   [[nodiscard]] Result<std::size_t> LoadIndex(const JsonReader& index);
 
  private:
   [[nodiscard]] HttpReply Handle(const HttpRequest& request);
   [[nodiscard]] HttpReply Control(const HttpRequest& request);
+  //! Applies a control message and returns the number of targets that it
+  //! selects, or of services in its index if it replaces what targets serve.
   [[nodiscard]] Result<std::size_t> Apply(const std::string& text);
   [[nodiscard]] HttpReply Runs(const std::string& method) const;
   [[nodiscard]] HttpReply Counts() const;
--- a/standins/target/target_list.cc
+++ b/standins/target/target_list.cc
@@ -21,7 +21,7 @@
 constexpr std::uint64_t kMaxSlotsOrConnections = 100000;
 constexpr std::uint64_t kMaxOpenMicroseconds = 60'000'000;
 
-[[nodiscard]] bool IsIpNumber(const std::string& address) noexcept {
+[[nodiscard]] bool IsIpAddress(const std::string& address) noexcept {
   std::array<unsigned char, sizeof(in6_addr)> binary{};
   return inet_pton(AF_INET, address.c_str(), binary.data()) == 1 ||
          inet_pton(AF_INET6, address.c_str(), binary.data()) == 1;
@@ -39,7 +39,7 @@
 
 [[nodiscard]] Result<std::string> ReadAddress(const JsonReader& host) {
   BOOST_LEAF_AUTO(address, host.String("address"));
-  if (!IsIpNumber(address)) {
+  if (!IsIpAddress(address)) {
     return Fail(ErrorCode::kCorrupt, host.path() + ".address",
                 "is '" + address + "', expected an IP address");
   }
--- a/standins/target/target_list.h
+++ b/standins/target/target_list.h
@@ -15,8 +15,9 @@
  * \param text JSON text.
  * \param subject Source of the text, named in errors.
  * \return The targets in the order of the list; kCorrupt, naming the member,
- * for a wrong type, an address that is no IP address, an unknown state, 0 slots
- * or connections, or a duplicate id.
+ * for a wrong type, an empty name, an address that is no IP address, an unknown
+ * state, a number out of bounds (port, slots and connections are at least 1),
+ * or a duplicate id.
  */
 [[nodiscard]] Result<std::vector<TargetInfo>> ReadHostList(
     std::string_view text,
--- a/standins/target/work_queue.h
+++ b/standins/target/work_queue.h
@@ -45,21 +45,27 @@
    * \param attempt Attempt that is to run.
    * \param queue_limit Maximum number of requests that wait at once; when it is
    * reached and no slot is free the result is kQueueFull.
-   *
    * \param deadline End of the wait.
-   * \return kDone once the slot is taken; ReleaseSlot() gives it back.
+   * \return kDone once the slot is taken; ReleaseSlot() gives it back. After
+   * any other result no slot is held.
    */
   [[nodiscard]] WorkOutcome AcquireSlot(const std::string& attempt,
                                         std::uint32_t queue_limit,
                                         SteadyTimePoint deadline);
 
-  /*! \brief Holds a slot until the work is done, the deadline passes, or the
-   * attempt is cancelled or crashes, whichever comes first. */
+  /**
+   * \brief Works in the slot of an attempt until the work is done, the deadline
+   * passes, the attempt is cancelled or the target crashes, whichever comes
+   * first. The slot stays taken.
+   * \param attempt Attempt that holds the slot.
+   * \param until Time at which the work is done.
+   * \param deadline Deadline of the attempt.
+   */
   [[nodiscard]] WorkOutcome Work(const std::string& attempt,
                                  SteadyTimePoint until,
                                  SteadyTimePoint deadline);
 
-  /*! \brief Returns the slot of an attempt. */
+  /*! \brief Gives back the slot that an attempt holds. */
   void ReleaseSlot(const std::string& attempt);
 
   /*! \brief Ends an attempt early, whether it works or waits for a slot; does
@@ -70,8 +76,8 @@
   void Crash();
 
  private:
-  //! Returns whether an attempt is cancelled, or a crash has come since the
-  //! count `crashes`, and sets its outcome then.
+  //! Returns whether an attempt is cancelled, or the target has crashed since
+  //! m_crashes was `crashes`; if so, sets the outcome.
   [[nodiscard]] bool IsStopped(const std::string& attempt,
                                std::uint64_t crashes,
                                WorkOutcome& outcome) const;
@@ -81,8 +87,8 @@
   std::uint32_t m_slots;
   WorkCounts m_counts;
   std::set<std::string> m_cancelled;
-  //! Attempts that wait or work. Only these can be cancelled, so that a
-  //! cancellation of an unknown attempt does not end a later one.
+  //! Attempts that wait or work. Only these can be cancelled, so that the
+  //! cancellation of an unknown attempt does not end a later one of that name.
   std::multiset<std::string> m_active;
   std::uint64_t m_crashes = 0;
 };
--- a/test/standins/kv_store_test.cc
+++ b/test/standins/kv_store_test.cc
@@ -75,9 +75,9 @@
   BOOST_TEST(first.items.size() + second.items.size() == 700U);
 }
 
-// After a restore the changes since the snapshot are gone. Guards against a
-// watch from a revision that does not exist any more waiting until it is
-// assigned again: the watch must report the lost history at once.
+// Guards against a watch that waits for a lost revision. A restore discards the
+// revisions since the snapshot and assigns them again later; a watch from one
+// of them must report at once that the history is not available.
 BOOST_AUTO_TEST_CASE(Restore_AfterChanges_ReusesRevisions) {
   (void)Put("a", "1");
   const std::uint64_t snapshot_revision = revision;
--- a/test/standins/load_run_test.cc
+++ b/test/standins/load_run_test.cc
@@ -116,7 +116,7 @@
   BOOST_TEST(!accepted());
 }
 
-BOOST_AUTO_TEST_CASE(Next_SameSeed_GivesSameTimesAtRequestedRate) {
+BOOST_AUTO_TEST_CASE(Arrivals_SameSeed_GiveSameTimesAtRequestedRate) {
   Arrivals first(100, true, 7);
   Arrivals second(100, true, 7);
   Duration last{};
