--- a/src/daemons/ctl/era_command.cc
+++ b/src/daemons/ctl/era_command.cc
@@ -14,11 +14,13 @@
 
 constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
 
+//! Era and position of the store's content that a host serves with.
 struct HostEra {
   std::uint64_t era = 0;
   std::uint64_t revision = 0;
-  std::uint64_t config = 0;
-  double for_ms = 0;
+  std::uint64_t config_version = 0;
+  //! Time since the host first applied content of the era.
+  double era_age_ms = 0;
 };
 
 [[nodiscard]] Result<HostEra> ReadHostEra(const Session& session,
@@ -29,19 +31,20 @@
   BOOST_LEAF_ASSIGN(host.era, status.Unsigned("store_era", kMaxNumber));
   BOOST_LEAF_ASSIGN(host.revision,
                     status.Unsigned("store_revision", kMaxNumber));
-  BOOST_LEAF_ASSIGN(host.config, status.Unsigned("config_version", kMaxNumber));
-  BOOST_LEAF_ASSIGN(host.for_ms, status.Number("store_era_for_ms"));
+  BOOST_LEAF_ASSIGN(host.config_version,
+                    status.Unsigned("config_version", kMaxNumber));
+  BOOST_LEAF_ASSIGN(host.era_age_ms, status.Number("store_era_for_ms"));
   return host;
 }
 
 //! Returns the era and the position of one host as JSON.
 [[nodiscard]] JsonPtr Describe(const std::string& address,
                                const HostEra& host) {
-  return JsonPtr(
-      json_pack("{s:s, s:I, s:I, s:I, s:f}", "host", address.c_str(), "era",
-                static_cast<json_int_t>(host.era), "revision",
-                static_cast<json_int_t>(host.revision), "config_version",
-                static_cast<json_int_t>(host.config), "for_ms", host.for_ms));
+  return JsonPtr(json_pack(
+      "{s:s, s:I, s:I, s:I, s:f}", "host", address.c_str(), "era",
+      static_cast<json_int_t>(host.era), "revision",
+      static_cast<json_int_t>(host.revision), "config_version",
+      static_cast<json_int_t>(host.config_version), "for_ms", host.era_age_ms));
 }
 
 }  // namespace
--- a/src/daemons/ctl/explain_command.cc
+++ b/src/daemons/ctl/explain_command.cc
@@ -67,6 +67,8 @@
     for (const auto& [name, line] : state_lines[request_line.host]) {
       report.state_lines.push_back(MakeLine(line.json.get(), file));
     }
+    // Each state line is reported once, before the first line of the request
+    // that follows it.
     state_lines.erase(request_line.host);
     report.lines.push_back(std::move(request_line));
   });
--- a/src/daemons/ctl/loss_summary.cc
+++ b/src/daemons/ctl/loss_summary.cc
@@ -95,6 +95,9 @@
   }
   const auto column = static_cast<std::size_t>(*loss);
   ++m_losses_by_window[window][column];
+  // Abandoned calls, and calls that are refused before their route is known,
+  // are logged without a route. Abandoned calls have no reason either: the
+  // caller has left.
   const std::string route(StringField(&line, "route"));
   const std::string reason(StringField(&line, "reason"));
   ++m_losses_by_route[route.empty() ? "unknown" : route]
--- a/test/daemons/ctl_test.cc
+++ b/test/daemons/ctl_test.cc
@@ -79,7 +79,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(CtlTest, CtlFixture)
 
-BOOST_AUTO_TEST_CASE(SchemaApply_WrongFile_IsRefusedAndNothingIsWritten) {
+BOOST_AUTO_TEST_CASE(SchemaApply_InvalidFile_IsRefusedAndNothingIsWritten) {
   const std::string file = MakeFile("table X {");
   BOOST_TEST((Run({"schema", "apply", file}) == ExitCode::kRefused));
   BOOST_TEST(store.counts().writes == 0U);
@@ -247,8 +247,8 @@
   BOOST_TEST(rows == expected, boost::test_tools::per_element());
 }
 
-// Guards against times of other events that count from 1970 if the logs hold no
-// loss: times count from the first line of any event.
+// Guards against event times that count from 1970 when the logs hold no loss.
+// Times must count from the first line, whatever its event is.
 BOOST_AUTO_TEST_CASE(ExplainSummary_NoLosses_EventTimesCountFromFirstLine) {
   const std::string file = MakeFile(
       R"({"unix_ms":1000000000000,"host":"a","event":"started"})"
