--- a/bench/forward.cc
+++ b/bench/forward.cc
@@ -23,7 +23,8 @@
             << 100 * static_cast<double>(result.extras) /
                    static_cast<double>(result.attempts)
             << " | " << std::setprecision(2) << result.budget_used << " | "
-            << std::setprecision(1) << 100 * result.crossing_share() << " |\n";
+            << std::setprecision(1) << 100 * result.other_domain_share()
+            << " |\n";
 }
 
 }  // namespace
--- a/bench/support/forward_case.h
+++ b/bench/support/forward_case.h
@@ -119,13 +119,13 @@
   //! Median time to the answers in time and late.
   double p50_ms = 0;
   //! By kind of call, as the case lists them.
-  std::vector<KindResult> kinds;
+  std::vector<KindResult> call_classes;
 
   //! Part of the calls that were answered in time, weighted by coverage.
   [[nodiscard]] double value() const noexcept {
     return calls == 0 ? 0 : coverage / static_cast<double>(calls);
   }
-  [[nodiscard]] double crossing_share() const noexcept {
+  [[nodiscard]] double other_domain_share() const noexcept {
     return firsts == 0 ? 0
                        : static_cast<double>(firsts_crossing) /
                              static_cast<double>(firsts);
--- a/bench/support/forward_cases.h
+++ b/bench/support/forward_cases.h
@@ -25,7 +25,7 @@
  * Figures of a users' sheet: work of 15 and 5 ms, objectives of 120 and 60 ms,
  * nine and eight of ten shards needed, three targets a shard.
  */
-[[nodiscard]] inline ForwardCase DeskSearch(double calls_per_second) {
+[[nodiscard]] inline ForwardCase VisitorDeskWorkload(double calls_per_second) {
   using std::chrono::milliseconds;
   ForwardCase load;
   load.calls = {{calls_per_second * kSearchShare, milliseconds(120),
@@ -47,8 +47,8 @@
 
 /*! \brief Three shards have one sound target each; their work takes 90%
  * of its slots' time, so that it queues. */
-[[nodiscard]] inline ForwardCase SingleSoundTargets() {
-  ForwardCase load = DeskSearch(216);
+[[nodiscard]] inline ForwardCase ShardsWithOneHealthyTarget() {
+  ForwardCase load = VisitorDeskWorkload(216);
   for (std::size_t shard = 0; shard < 3; ++shard) {
     AddTrouble(load, shard, 0, Trouble::kDown);
     AddTrouble(load, shard, 1, Trouble::kSlow, 10);
@@ -58,8 +58,8 @@
 
 /*! \brief All targets of a shard are silent, and one in each other shard is
  * slow: the answer can do without no further shard. */
-[[nodiscard]] inline ForwardCase DarkShardAndSlowTargets() {
-  ForwardCase load = DeskSearch(200);
+[[nodiscard]] inline ForwardCase UnresponsiveShardAndSlowTargets() {
+  ForwardCase load = VisitorDeskWorkload(200);
   for (std::size_t replica = 0; replica < load.replicas; ++replica) {
     AddTrouble(load, 0, replica, Trouble::kDark);
   }
@@ -72,7 +72,7 @@
 /*! \brief Two targets of half of the shards refuse three requests in five
  * although they are idle. */
 [[nodiscard]] inline ForwardCase SheddingTargets() {
-  ForwardCase load = DeskSearch(200);
+  ForwardCase load = VisitorDeskWorkload(200);
   for (std::size_t shard = 0; shard < load.shards; shard += 2) {
     AddTrouble(load, shard, 0, Trouble::kShedding, 0.6);
     AddTrouble(load, shard, 1, Trouble::kShedding, 0.6);
@@ -87,9 +87,9 @@
  * \param sweep_share Least share of the shards for the slower kind.
  * \param lookup_share The same for the quicker one.
  */
-[[nodiscard]] inline ForwardCase CounterSearch(double calls_per_second,
-                                               double sweep_share,
-                                               double lookup_share) {
+[[nodiscard]] inline ForwardCase CounterDeskWorkload(double calls_per_second,
+                                                     double sweep_share,
+                                                     double lookup_share) {
   using std::chrono::microseconds;
   using std::chrono::milliseconds;
   ForwardCase load;
@@ -108,9 +108,9 @@
  * The calls for one service are those of routes that were added a moment ago:
  * 1 ms of work, an objective of 1 s.
  */
-[[nodiscard]] inline ForwardCase LoneTargetOfAShard() {
+[[nodiscard]] inline ForwardCase ShardWithOneTarget() {
   using std::chrono::milliseconds;
-  ForwardCase load = CounterSearch(180, 0.89, 0.75);
+  ForwardCase load = CounterDeskWorkload(180, 0.89, 0.75);
   load.lone_shards = 1;
   load.calls.push_back(
       {4, milliseconds(1000), milliseconds(4000), milliseconds(1), 1, 2, 0});
@@ -125,7 +125,7 @@
  * both ways.
  */
 [[nodiscard]] inline ForwardCase ManyShards() {
-  ForwardCase load = CounterSearch(60, 0.95, 0.85);
+  ForwardCase load = CounterDeskWorkload(60, 0.95, 0.85);
   load.hosts = 15;
   load.shards = 90;
   load.slots = 7;
@@ -158,16 +158,16 @@
 
 /*! \brief More calls than the slots can work on. */
 [[nodiscard]] inline ForwardCase AboveCapacity() {
-  return DeskSearch(900);
+  return VisitorDeskWorkload(900);
 }
 
 /*! \brief All of them, the calm one first. */
 [[nodiscard]] inline std::vector<NamedForwardCase> ForwardCases() {
-  return {{"calm", DeskSearch(180)},
-          {"one sound target in three shards", SingleSoundTargets()},
-          {"dark shard, slow targets", DarkShardAndSlowTargets()},
+  return {{"calm", VisitorDeskWorkload(180)},
+          {"one sound target in three shards", ShardsWithOneHealthyTarget()},
+          {"dark shard, slow targets", UnresponsiveShardAndSlowTargets()},
           {"shedding targets", SheddingTargets()},
-          {"one target left of a shard", LoneTargetOfAShard()},
+          {"one target left of a shard", ShardWithOneTarget()},
           {"many shards", ManyShards()},
           {"searches and checks", SearchesAndChecks()},
           {"above capacity", AboveCapacity()}};
--- a/bench/support/forward_model.cc
+++ b/bench/support/forward_model.cc
@@ -116,7 +116,7 @@
       m_now(m_start),
       m_requests(load.shards),
       m_extras(load.shards) {
-  m_result.kinds.resize(load.calls.size());
+  m_result.call_classes.resize(load.calls.size());
   SetUp();
 }
 
@@ -223,7 +223,7 @@
   call.deadline = m_now + m_load.calls[mix].timeout;
   const bool counted = m_now >= m_start + m_load.warm_up;
   m_result.calls += counted ? 1 : 0;
-  m_result.kinds[mix].calls += counted ? 1 : 0;
+  m_result.call_classes[mix].calls += counted ? 1 : 0;
   m_asked[call.id] = {mix, m_now, counted};
   for (std::size_t shard = 0; shard < m_load.shards; ++shard) {
     if (m_load.calls[mix].only_shard.value_or(shard) == shard) {
@@ -380,7 +380,7 @@
     ++m_result.failed;
     return;
   }
-  ++m_result.kinds[asked.mix].served;
+  ++m_result.call_classes[asked.mix].served;
   const Duration took = m_now - asked.at;
   m_latencies.push_back(took);
   if (took > m_load.calls[asked.mix].objective) {
@@ -454,10 +454,10 @@
     sum.attempts += one.attempts;
     sum.firsts += one.firsts;
     sum.firsts_crossing += one.firsts_crossing;
-    sum.kinds.resize(one.kinds.size());
-    for (std::size_t kind = 0; kind < one.kinds.size(); ++kind) {
-      sum.kinds[kind].calls += one.kinds[kind].calls;
-      sum.kinds[kind].served += one.kinds[kind].served;
+    sum.call_classes.resize(one.call_classes.size());
+    for (std::size_t kind = 0; kind < one.call_classes.size(); ++kind) {
+      sum.call_classes[kind].calls += one.call_classes[kind].calls;
+      sum.call_classes[kind].served += one.call_classes[kind].served;
     }
     sum.budget_used = std::max(sum.budget_used, one.budget_used);
     sum.p50_ms += one.p50_ms / static_cast<double>(seeds);
--- a/test/jacinthdeck/forward/shared_targets_test.cc
+++ b/test/jacinthdeck/forward/shared_targets_test.cc
@@ -21,7 +21,8 @@
 // shards are worth 0.81 at most; hosts that send to slow targets, or hedge only
 // once, wait for the ninth shard beyond the objective. The users require 0.74.
 BOOST_AUTO_TEST_CASE(Fleet_ShardDownAndSlowTargets_AnswersStayInTime) {
-  const auto result = bench::RunSeeds(bench::DarkShardAndSlowTargets(), kSeeds);
+  const auto result =
+      bench::RunSeeds(bench::UnresponsiveShardAndSlowTargets(), kSeeds);
   BOOST_TEST(result.value() >= 0.74);
   BOOST_TEST(result.budget_used <= 1.0);
 }
@@ -39,7 +40,7 @@
 // their usual pauses. No call is refused, one answer in a hundred may be late,
 // and the extra attempts stay within the budget.
 BOOST_AUTO_TEST_CASE(Fleet_NormalLoad_NoCallIsRefused) {
-  const auto result = bench::RunSeeds(bench::DeskSearch(180), kSeeds);
+  const auto result = bench::RunSeeds(bench::VisitorDeskWorkload(180), kSeeds);
   BOOST_TEST(result.refused == 0U);
   BOOST_TEST(static_cast<double>(result.in_time) >=
              0.99 * static_cast<double>(result.calls));
@@ -66,7 +67,7 @@
 BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseOccasionally_FirstAttemptsStayInDomain) {
   constexpr double kFormerShare = 0.34;
   const auto result = bench::RunSeeds(bench::SearchesAndChecks(), kSeeds);
-  BOOST_TEST(result.crossing_share() <= kFormerShare / 2);
+  BOOST_TEST(result.other_domain_share() <= kFormerShare / 2);
   BOOST_TEST(result.refused == 0U);
   BOOST_TEST(static_cast<double>(result.in_time) >=
              0.99 * static_cast<double>(result.calls));
@@ -83,10 +84,10 @@
 BOOST_AUTO_TEST_CASE(Fleet_ShardWithOneTarget_SingleServiceCallsAreServed) {
   constexpr std::size_t kSearch = 0;
   constexpr std::size_t kSingleService = 2;
-  const auto result = bench::RunSeeds(bench::LoneTargetOfAShard(), kSeeds);
-  BOOST_TEST(result.kinds[kSingleService].calls > 100U);
-  BOOST_TEST(result.kinds[kSingleService].served_share() >=
-             0.95 * result.kinds[kSearch].served_share());
+  const auto result = bench::RunSeeds(bench::ShardWithOneTarget(), kSeeds);
+  BOOST_TEST(result.call_classes[kSingleService].calls > 100U);
+  BOOST_TEST(result.call_classes[kSingleService].served_share() >=
+             0.95 * result.call_classes[kSearch].served_share());
 }
 
 // The same with 58 hosts, each of which may hold one connection to a target. A
@@ -96,15 +97,15 @@
 BOOST_AUTO_TEST_CASE(Fleet_OneConnectionPerHost_SingleServiceCallsAreServed) {
   constexpr std::size_t kSearch = 0;
   constexpr std::size_t kSingleService = 2;
-  bench::ForwardCase load = bench::LoneTargetOfAShard();
+  bench::ForwardCase load = bench::ShardWithOneTarget();
   load.hosts = 58;
   load.shards = 36;
   load.slots = 4;
   load.connections = 61;
   const auto result = bench::RunSeeds(load, kSeeds);
-  BOOST_TEST(result.kinds[kSingleService].calls > 100U);
-  BOOST_TEST(result.kinds[kSingleService].served_share() >=
-             0.95 * result.kinds[kSearch].served_share());
+  BOOST_TEST(result.call_classes[kSingleService].calls > 100U);
+  BOOST_TEST(result.call_classes[kSingleService].served_share() >=
+             0.95 * result.call_classes[kSearch].served_share());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
