--- a/bench/forward.cc
+++ b/bench/forward.cc
@@ -20,7 +20,7 @@
             << 100 * result.value() << " | " << part(result.in_time) << " | "
             << part(result.late) << " | " << part(result.refused) << " | "
             << part(result.failed) << " | " << result.p50_ms << " | "
-            << 100 * static_cast<double>(result.extras) /
+            << 100 * static_cast<double>(result.extra_attempts) /
                    static_cast<double>(result.attempts)
             << " | " << std::setprecision(2) << result.budget_used << " | "
             << std::setprecision(1) << 100 * result.other_domain_share()
--- a/bench/support/all_knowing.h
+++ b/bench/support/all_knowing.h
@@ -46,7 +46,7 @@
       }
       if (query >= warm) {
         const double latency =
-            end - now + 2 * static_cast<double>(d.one_way.count());
+            end - now + 2 * static_cast<double>(d.one_way_delay.count());
         stats.Add(Duration(static_cast<Duration::rep>(latency)),
                   latency <= kDeadlineUs ? Outcome::kWhole : Outcome::kPartial,
                   0);
--- a/bench/support/forward_cases.h
+++ b/bench/support/forward_cases.h
@@ -1,4 +1,5 @@
-// Loads under which hosts must decide well: each is a pattern that users met.
+// Workloads and faults for the forward model; each follows a pattern that users
+// reported.
 #ifndef JACINTHDECK_BENCH_SUPPORT_FORWARD_CASES_H_
 #define JACINTHDECK_BENCH_SUPPORT_FORWARD_CASES_H_
 
@@ -10,158 +11,167 @@
 
 namespace jacinthdeck::bench {
 
-/*! \brief A load and its name in tables. */
+/*! \brief A case and its name in tables. */
 struct NamedForwardCase {
   std::string_view name;
   ForwardCase load;
 };
 
-//! Part of the calls that are of the slower kind, the searches.
+//! Share of the calls that are searches, the slower of the two classes of
+//! calls.
 inline constexpr double kSearchShare = 0.75;
 
 /**
- * \brief The search of visitor desks: two kinds of call over ten shards.
+ * \brief Searches and lookups of visitor desks over ten shards.
  *
- * Figures of a users' sheet: work of 15 and 5 ms, objectives of 120 and 60 ms,
- * nine and eight of ten shards needed, three targets a shard.
+ * Figures reported by users, for searches and lookups: service times of 15 and
+ * 5 ms, objectives of 120 and 60 ms, nine and eight of ten shards required.
+ * Each shard has three targets.
  */
 [[nodiscard]] inline ForwardCase VisitorDeskWorkload(double calls_per_second) {
   using std::chrono::milliseconds;
   ForwardCase load;
-  load.calls = {{calls_per_second * kSearchShare, milliseconds(120),
-                 milliseconds(800), milliseconds(15), 0.89, 1},
-                {calls_per_second * (1 - kSearchShare), milliseconds(60),
-                 milliseconds(300), milliseconds(5), 0.75, 2}};
+  load.call_classes = {{calls_per_second * kSearchShare, milliseconds(120),
+                        milliseconds(800), milliseconds(15), 0.89, 1},
+                       {calls_per_second * (1 - kSearchShare), milliseconds(60),
+                        milliseconds(300), milliseconds(5), 0.75, 2}};
   return load;
 }
 
-/*! \brief Adds a trouble that lasts for the whole run. */
-inline void AddTrouble(ForwardCase& load,
-                       std::size_t shard,
-                       std::size_t replica,
-                       Trouble kind,
-                       double strength = 1) {
-  load.troubles.push_back({shard, replica, kind, strength, Duration::zero(),
-                           load.warm_up + load.length});
+/*! \brief Adds a target fault that lasts for the whole run. */
+inline void AddFault(ForwardCase& load,
+                     std::size_t shard,
+                     std::size_t replica,
+                     TargetFault kind,
+                     double strength = 1) {
+  load.faults.push_back({shard, replica, kind, strength, Duration::zero(),
+                         load.warm_up + load.length});
 }
 
-/*! \brief Three shards have one sound target each; their work takes 90%
- * of its slots' time, so that it queues. */
+/*! \brief Three shards have one healthy target each, whose slots are 90% busy,
+ * so that requests queue. */
 [[nodiscard]] inline ForwardCase ShardsWithOneHealthyTarget() {
   ForwardCase load = VisitorDeskWorkload(216);
   for (std::size_t shard = 0; shard < 3; ++shard) {
-    AddTrouble(load, shard, 0, Trouble::kDown);
-    AddTrouble(load, shard, 1, Trouble::kSlow, 10);
+    AddFault(load, shard, 0, TargetFault::kDown);
+    AddFault(load, shard, 1, TargetFault::kSlow, 10);
   }
   return load;
 }
 
-/*! \brief All targets of a shard are silent, and one in each other shard is
- * slow: the answer can do without no further shard. */
+/*! \brief All targets of one shard are unresponsive, and one target of each
+ * other shard is slow: an answer needs all other shards. */
 [[nodiscard]] inline ForwardCase UnresponsiveShardAndSlowTargets() {
   ForwardCase load = VisitorDeskWorkload(200);
   for (std::size_t replica = 0; replica < load.replicas; ++replica) {
-    AddTrouble(load, 0, replica, Trouble::kDark);
+    AddFault(load, 0, replica, TargetFault::kUnresponsive);
   }
   for (std::size_t shard = 1; shard < load.shards; ++shard) {
-    AddTrouble(load, shard, shard % load.replicas, Trouble::kSlow, 9);
+    AddFault(load, shard, shard % load.replicas, TargetFault::kSlow, 9);
   }
   return load;
 }
 
-/*! \brief Two targets of half of the shards refuse three requests in five
- * although they are idle. */
+/*! \brief Two targets in half of the shards refuse 60% of their requests even
+ * while they are idle. */
 [[nodiscard]] inline ForwardCase SheddingTargets() {
   ForwardCase load = VisitorDeskWorkload(200);
   for (std::size_t shard = 0; shard < load.shards; shard += 2) {
-    AddTrouble(load, shard, 0, Trouble::kShedding, 0.6);
-    AddTrouble(load, shard, 1, Trouble::kShedding, 0.6);
+    AddFault(load, shard, 0, TargetFault::kShedding, 0.6);
+    AddFault(load, shard, 1, TargetFault::kShedding, 0.6);
   }
   return load;
 }
 
-/*! \brief The search of counters: two kinds of call over all shards.
+/**
+ * \brief Searches and lookups of counter desks over all shards.
  *
- * Figures of a users' sheet: work of 20 and 6.7 ms, objectives of 150 and
- * 60 ms, pauses of 200 ms each 4.5 s.
- * \param sweep_share Least share of the shards for the slower kind.
- * \param lookup_share The same for the quicker one.
+ * Figures reported by users, for searches and lookups: service times of 20 and
+ * 6.7 ms, objectives of 150 and 60 ms. Each target pauses for 200 ms every
+ * 4.5 s.
+ * \param search_min_share Smallest share of the shards that answers a search.
+ * \param lookup_min_share Smallest share of the shards that answers a lookup.
  */
 [[nodiscard]] inline ForwardCase CounterDeskWorkload(double calls_per_second,
-                                                     double sweep_share,
-                                                     double lookup_share) {
+                                                     double search_min_share,
+                                                     double lookup_min_share) {
   using std::chrono::microseconds;
   using std::chrono::milliseconds;
   ForwardCase load;
   load.pause = milliseconds(200);
   load.pause_period = milliseconds(4500);
-  load.calls = {{calls_per_second * kSearchShare, milliseconds(150),
-                 milliseconds(1500), milliseconds(20), sweep_share, 1},
-                {calls_per_second * (1 - kSearchShare), milliseconds(60),
-                 milliseconds(600), microseconds(6700), lookup_share, 2}};
+  load.call_classes = {
+      {calls_per_second * kSearchShare, milliseconds(150), milliseconds(1500),
+       milliseconds(20), search_min_share, 1},
+      {calls_per_second * (1 - kSearchShare), milliseconds(60),
+       milliseconds(600), microseconds(6700), lookup_min_share, 2}};
   return load;
 }
 
-/*! \brief The first shard has one target left, whose slots the searches could
- * fill alone, and a few calls a second ask that shard's service by itself.
+/**
+ * \brief The first shard has one target left, whose slots the searches alone
+ * could fill, and four calls per second go to the service of that shard only.
  *
- * The calls for one service are those of routes that were added a moment ago:
- * 1 ms of work, an objective of 1 s.
+ * The calls for one service belong to a route that was just added: a service
+ * time of 1 ms and an objective of 1 s.
  */
 [[nodiscard]] inline ForwardCase ShardWithOneTarget() {
   using std::chrono::milliseconds;
   ForwardCase load = CounterDeskWorkload(180, 0.89, 0.75);
-  load.lone_shards = 1;
-  load.calls.push_back(
+  load.single_target_shards = 1;
+  load.call_classes.push_back(
       {4, milliseconds(1000), milliseconds(4000), milliseconds(1), 1, 2, 0});
   return load;
 }
 
-/*! \brief A search over 90 shards by 15 hosts: some four targets pause at any
- * moment, so that hardly a call meets none.
+/**
+ * \brief Searches and lookups over 90 shards by 15 hosts. On average, four of
+ * the 90 first targets of a call are paused, so that almost every call meets
+ * one.
  *
- * Figures of a users' sheet: 0.95 and 0.85 of the shards needed, 7 slots and
- * 195 connections a target; half a core a host, on which an attempt takes 50 us
- * both ways.
+ * Figures reported by users: 0.95 and 0.85 of the shards required, 7 slots and
+ * 195 connections per target, and half a core per host, on which an attempt
+ * takes 50 us each to send and to receive.
  */
 [[nodiscard]] inline ForwardCase ManyShards() {
   ForwardCase load = CounterDeskWorkload(60, 0.95, 0.85);
   load.hosts = 15;
   load.shards = 90;
   load.slots = 7;
-  load.queue = 42;
+  load.queue_capacity = 42;
   load.connections = 195;
-  load.host_work = std::chrono::microseconds(50);
+  load.host_cpu_time = std::chrono::microseconds(50);
   load.budget.constant = 630;
   return load;
 }
 
-/*! \brief Searches and urgent checks over 54 shards, nearly as many of these as
- * of those, each shard with a target in each failure domain.
+/**
+ * \brief Searches and urgent checks over 54 shards, 72.4 and 41.8 per second.
+ * Each shard has a target in each failure domain.
  *
- * Figures of a users' sheet: work of 15 and 5 ms, objectives of 120 and 60 ms,
- * pauses of 150 ms each 3.6 s, four slots.
+ * Figures reported by users: service times of 15 and 5 ms, objectives of 120
+ * and 60 ms, four slots per target, and a pause of 150 ms every 3.6 s.
  */
 [[nodiscard]] inline ForwardCase SearchesAndChecks() {
   using std::chrono::milliseconds;
   ForwardCase load;
   load.shards = 54;
   load.slots = 4;
-  load.queue = 24;
+  load.queue_capacity = 24;
   load.connections = 67;
   load.budget.constant = 180;
-  load.calls = {
+  load.call_classes = {
       {72.4, milliseconds(120), milliseconds(1200), milliseconds(15), 0.95, 1},
       {41.8, milliseconds(60), milliseconds(600), milliseconds(5), 0.85, 2}};
   return load;
 }
 
-/*! \brief More calls than the slots can work on. */
+/*! \brief More calls than the slots of the targets can serve. */
 [[nodiscard]] inline ForwardCase AboveCapacity() {
   return VisitorDeskWorkload(900);
 }
 
-/*! \brief All of them, the calm one first. */
+/*! \brief Returns all cases, normal load first. */
 [[nodiscard]] inline std::vector<NamedForwardCase> ForwardCases() {
   return {{"calm", VisitorDeskWorkload(180)},
           {"one sound target in three shards", ShardsWithOneHealthyTarget()},
--- a/bench/support/forward_model.cc
+++ b/bench/support/forward_model.cc
@@ -21,8 +21,8 @@
   return "shard-" + std::to_string(shard);
 }
 
-[[nodiscard]] std::string PathOf(std::size_t mix) {
-  return "/" + std::to_string(mix) + "/";
+[[nodiscard]] std::string PathOf(std::size_t call_class) {
+  return "/" + std::to_string(call_class) + "/";
 }
 
 [[nodiscard]] FailureDomain DomainOf(std::size_t index) {
@@ -36,21 +36,21 @@
     services.push_back({ServiceId(ShardName(shard)), load.connections});
   }
   std::vector<Route> routes;
-  for (std::size_t mix = 0; mix < load.calls.size(); ++mix) {
-    const CallMix& kind = load.calls[mix];
+  for (std::size_t index = 0; index < load.call_classes.size(); ++index) {
+    const CallClass& call_class = load.call_classes[index];
     Route route;
-    route.name = PathOf(mix);
+    route.name = PathOf(index);
     route.host = "model";
-    route.prefix = PathOf(mix);
+    route.prefix = PathOf(index);
     route.repeat = RepeatRule::kIdempotent;
-    route.timeout = kind.timeout;
-    route.objective = kind.objective;
-    route.priority = kind.priority;
+    route.timeout = call_class.timeout;
+    route.objective = call_class.objective;
+    route.priority = call_class.priority;
     route.max_attempts = kMostAttempts;
-    route.min_share = kind.min_share;
+    route.min_share = call_class.min_share;
     route.top_records = 1;
-    if (kind.only_shard) {
-      route.services = {{services[*kind.only_shard].id, 1}};
+    if (call_class.only_shard) {
+      route.services = {{services[*call_class.only_shard].id, 1}};
     } else {
       for (const ServiceConfig& service : services) {
         route.shards.push_back(service.id);
@@ -98,13 +98,13 @@
   std::size_t target = 0;
   AttemptId id;
   std::string request;
-  Duration work{};
+  Duration service_time{};
   AttemptEnd end;
 };
 
 /*! \brief A call that waits for its answer. */
 struct ForwardModel::Asked {
-  std::size_t mix = 0;
+  std::size_t call_class = 0;
   TimePoint at;
   bool counted = false;
 };
@@ -116,7 +116,7 @@
       m_now(m_start),
       m_requests(load.shards),
       m_extras(load.shards) {
-  m_result.call_classes.resize(load.calls.size());
+  m_result.call_classes.resize(load.call_classes.size());
   SetUp();
 }
 
@@ -125,15 +125,15 @@
 void ForwardModel::SetUp() {
   for (std::size_t shard = 0; shard < m_load.shards; ++shard) {
     for (std::size_t replica = 0; replica < m_load.replicas; ++replica) {
-      std::vector<TroubleSpan> troubles;
-      std::ranges::copy_if(m_load.troubles, std::back_inserter(troubles),
-                           [&](const TroubleSpan& span) {
-                             return span.shard == shard &&
-                                    span.replica == replica;
+      std::vector<TargetFaultPeriod> faults;
+      std::ranges::copy_if(m_load.faults, std::back_inserter(faults),
+                           [&](const TargetFaultPeriod& period) {
+                             return period.shard == shard &&
+                                    period.replica == replica;
                            });
-      m_targets.emplace_back(m_load, std::move(troubles), m_start,
+      m_targets.emplace_back(m_load, std::move(faults), m_start,
                              m_random.DrawSeed());
-      if (shard < m_load.lone_shards && replica > 0) {
+      if (shard < m_load.single_target_shards && replica > 0) {
         continue;
       }
       TargetEntry entry;
@@ -159,8 +159,9 @@
 }
 
 ForwardResult ForwardModel::Run() {
-  for (std::size_t mix = 0; mix < m_load.calls.size(); ++mix) {
-    ArmCall(mix);
+  for (std::size_t call_class = 0; call_class < m_load.call_classes.size();
+       ++call_class) {
+    ArmCall(call_class);
   }
   while (!m_events.empty()) {
     const Event event = m_events.Pop();
@@ -200,33 +201,34 @@
   return Result();
 }
 
-void ForwardModel::ArmCall(std::size_t mix) {
+void ForwardModel::ArmCall(std::size_t call_class) {
   constexpr double kMicroseconds = 1e6;
   const double gap = -std::log(1 - m_random.Unit()) /
-                     m_load.calls[mix].per_second * kMicroseconds;
+                     m_load.call_classes[call_class].calls_per_second *
+                     kMicroseconds;
   const TimePoint at = m_now + Duration(static_cast<Duration::rep>(gap));
   if (at < m_start + m_load.warm_up + m_load.length) {
-    m_events.Push(at, EventKind::kCall, mix);
+    m_events.Push(at, EventKind::kCall, call_class);
   }
 }
 
-void ForwardModel::OnCall(std::size_t mix) {
-  ArmCall(mix);
+void ForwardModel::OnCall(std::size_t call_class) {
+  ArmCall(call_class);
   const std::size_t host = m_random.Below(m_load.hosts);
   auto request = std::make_shared<OpaqueRequest>();
   request->host = "model";
-  request->target = PathOf(mix) + std::to_string(m_next_id);
+  request->target = PathOf(call_class) + std::to_string(m_next_id);
   ForwardCall call;
   call.id = CallId(m_next_id++);
   call.request = request;
   call.arrived = m_now;
-  call.deadline = m_now + m_load.calls[mix].timeout;
+  call.deadline = m_now + m_load.call_classes[call_class].timeout;
   const bool counted = m_now >= m_start + m_load.warm_up;
   m_result.calls += counted ? 1 : 0;
-  m_result.call_classes[mix].calls += counted ? 1 : 0;
-  m_asked[call.id] = {mix, m_now, counted};
+  m_result.call_classes[call_class].calls += counted ? 1 : 0;
+  m_asked[call.id] = {call_class, m_now, counted};
   for (std::size_t shard = 0; shard < m_load.shards; ++shard) {
-    if (m_load.calls[mix].only_shard.value_or(shard) == shard) {
+    if (m_load.call_classes[call_class].only_shard.value_or(shard) == shard) {
       m_requests[shard].push_back(m_now);
     }
   }
@@ -235,7 +237,7 @@
 }
 
 void ForwardModel::Send(std::size_t host, const OutgoingAttempt& attempt) {
-  const auto mix =
+  const auto call_class =
       static_cast<std::size_t>(std::stoul(attempt.request->target.substr(1)));
   const std::uint64_t key = m_next_id++;
   Flight flight;
@@ -243,9 +245,9 @@
   flight.target = static_cast<std::size_t>(std::stoul(attempt.target.id.raw()));
   flight.id = attempt.id;
   flight.request = attempt.request->target;
-  flight.work = m_load.calls[mix].work;
+  flight.service_time = m_load.call_classes[call_class].service_time;
   m_flights[key] = flight;
-  m_events.Push(HostDone(host) + m_load.one_way, EventKind::kArrive, key);
+  m_events.Push(HostDone(host) + m_load.one_way_delay, EventKind::kArrive, key);
 }
 
 void ForwardModel::Cancel(std::size_t host, AttemptId attempt) {
@@ -258,7 +260,7 @@
   const std::size_t target = found->second.target;
   m_targets[target].Drop(found->first);
   m_flights.erase(found);
-  m_events.Push(m_now + m_load.one_way, EventKind::kCancel, target);
+  m_events.Push(m_now + m_load.one_way_delay, EventKind::kCancel, target);
 }
 
 void ForwardModel::OnArrive(std::uint64_t attempt) {
@@ -268,7 +270,7 @@
   }
   const std::size_t target = found->second.target;
   const Arrival arrival =
-      m_targets[target].Take(attempt, found->second.work, m_now);
+      m_targets[target].Take(attempt, found->second.service_time, m_now);
   if (arrival != Arrival::kNotConnected) {
     CountArrival(found->second);
   }
@@ -324,12 +326,12 @@
   constexpr int kOk = 200;
   flight.end.response.status = kOk;
   flight.end.response.stamp = "stamp";
-  m_events.Push(m_now + m_load.one_way, EventKind::kAtHost, attempt);
+  m_events.Push(m_now + m_load.one_way_delay, EventKind::kAtHost, attempt);
 }
 
 TimePoint ForwardModel::HostDone(std::size_t host) {
   TimePoint& free_at = m_hosts[host]->free_at;
-  free_at = std::max(free_at, m_now) + m_load.host_work;
+  free_at = std::max(free_at, m_now) + m_load.host_cpu_time;
   return free_at;
 }
 
@@ -380,10 +382,10 @@
     ++m_result.failed;
     return;
   }
-  ++m_result.call_classes[asked.mix].served;
+  ++m_result.call_classes[asked.call_class].served;
   const Duration took = m_now - asked.at;
   m_latencies.push_back(took);
-  if (took > m_load.calls[asked.mix].objective) {
+  if (took > m_load.call_classes[asked.call_class].objective) {
     ++m_result.late;
     return;
   }
@@ -399,7 +401,7 @@
   if (m_arrived.insert(flight.request + "#" + std::to_string(shard)).second) {
     return;
   }
-  ++m_result.extras;
+  ++m_result.extra_attempts;
   m_extras[shard].push_back(m_now);
 }
 
@@ -430,8 +432,9 @@
   constexpr auto kFirst = static_cast<std::size_t>(AttemptReason::kFirst);
   for (const auto& host : m_hosts) {
     const ForwardCounters& counters = host->forwarder.counters();
-    m_result.firsts += counters.attempts[kFirst];
-    m_result.firsts_crossing += counters.attempts_other_domains[kFirst];
+    m_result.first_attempts += counters.attempts[kFirst];
+    m_result.first_attempts_other_domains +=
+        counters.attempts_other_domains[kFirst];
   }
   std::ranges::sort(m_latencies);
   if (!m_latencies.empty()) {
@@ -450,14 +453,16 @@
     sum.refused += one.refused;
     sum.failed += one.failed;
     sum.coverage += one.coverage;
-    sum.extras += one.extras;
+    sum.extra_attempts += one.extra_attempts;
     sum.attempts += one.attempts;
-    sum.firsts += one.firsts;
-    sum.firsts_crossing += one.firsts_crossing;
+    sum.first_attempts += one.first_attempts;
+    sum.first_attempts_other_domains += one.first_attempts_other_domains;
     sum.call_classes.resize(one.call_classes.size());
-    for (std::size_t kind = 0; kind < one.call_classes.size(); ++kind) {
-      sum.call_classes[kind].calls += one.call_classes[kind].calls;
-      sum.call_classes[kind].served += one.call_classes[kind].served;
+    for (std::size_t call_class = 0; call_class < one.call_classes.size();
+         ++call_class) {
+      sum.call_classes[call_class].calls += one.call_classes[call_class].calls;
+      sum.call_classes[call_class].served +=
+          one.call_classes[call_class].served;
     }
     sum.budget_used = std::max(sum.budget_used, one.budget_used);
     sum.p50_ms += one.p50_ms / static_cast<double>(seeds);
--- a/bench/support/forward_model.h
+++ b/bench/support/forward_model.h
@@ -41,8 +41,8 @@
   struct Asked;
 
   void SetUp();
-  void ArmCall(std::size_t mix);
-  void OnCall(std::size_t mix);
+  void ArmCall(std::size_t call_class);
+  void OnCall(std::size_t call_class);
   void OnArrive(std::uint64_t attempt);
   void OnDone(std::uint64_t attempt);
   void OnAtHost(std::uint64_t attempt);
--- a/bench/support/model_target.cc
+++ b/bench/support/model_target.cc
@@ -23,40 +23,42 @@
 }  // namespace
 
 ModelTarget::ModelTarget(const ForwardCase& load,
-                         std::vector<TroubleSpan> troubles,
+                         std::vector<TargetFaultPeriod> faults,
                          TimePoint start,
                          std::uint64_t seed)
     : m_load(load),
-      m_troubles(std::move(troubles)),
+      m_faults(std::move(faults)),
       m_start(start),
       m_random(seed),
       m_pause_phase(static_cast<Duration::rep>(m_random.Below(
           static_cast<std::uint64_t>(load.pause_period.count())))) {}
 
-Arrival ModelTarget::Take(std::uint64_t attempt, Duration work, TimePoint now) {
-  const TroubleSpan* trouble = TroubleAt(now);
+Arrival ModelTarget::Take(std::uint64_t attempt,
+                          Duration service_time,
+                          TimePoint now) {
+  const TargetFaultPeriod* fault = FaultAt(now);
   double factor = kLeastWork + kWorkSpread * m_random.Unit();
   factor *= m_random.Unit() < kTailShare ? kTailFactor : 1;
-  if (trouble != nullptr) {
-    switch (trouble->kind) {
-      case Trouble::kSlow:
-        factor *= trouble->strength;
+  if (fault != nullptr) {
+    switch (fault->kind) {
+      case TargetFault::kSlow:
+        factor *= fault->strength;
         break;
-      case Trouble::kDown:
+      case TargetFault::kDown:
         return Arrival::kNotConnected;
-      case Trouble::kDark:
+      case TargetFault::kUnresponsive:
         return Arrival::kIgnored;
-      case Trouble::kShedding:
-        if (m_random.Unit() < trouble->strength) {
+      case TargetFault::kShedding:
+        if (m_random.Unit() < fault->strength) {
           return Arrival::kRefused;
         }
         break;
     }
   }
-  if (m_waiting.size() >= m_load.queue) {
+  if (m_waiting.size() >= m_load.queue_capacity) {
     return Arrival::kRefused;
   }
-  m_waiting.push_back({attempt, Scaled(work, factor)});
+  m_waiting.push_back({attempt, Scaled(service_time, factor)});
   return Arrival::kTaken;
 }
 
@@ -76,7 +78,7 @@
     const Waiting next = m_waiting.front();
     m_waiting.pop_front();
     m_running.push_back(next.attempt);
-    started.push_back({next.attempt, now + next.work});
+    started.push_back({next.attempt, now + next.service_time});
   }
   return started;
 }
@@ -98,17 +100,17 @@
 }
 
 bool ModelTarget::IsAlive(TimePoint now) const {
-  const TroubleSpan* trouble = TroubleAt(now);
-  return trouble == nullptr ||
-         (trouble->kind != Trouble::kDown && trouble->kind != Trouble::kDark);
+  const TargetFaultPeriod* fault = FaultAt(now);
+  return fault == nullptr || (fault->kind != TargetFault::kDown &&
+                              fault->kind != TargetFault::kUnresponsive);
 }
 
-const TroubleSpan* ModelTarget::TroubleAt(TimePoint now) const {
+const TargetFaultPeriod* ModelTarget::FaultAt(TimePoint now) const {
   const auto found =
-      std::ranges::find_if(m_troubles, [&](const TroubleSpan& span) {
-        return now >= m_start + span.from && now < m_start + span.until;
+      std::ranges::find_if(m_faults, [&](const TargetFaultPeriod& period) {
+        return now >= m_start + period.from && now < m_start + period.until;
       });
-  return found == m_troubles.end() ? nullptr : &*found;
+  return found == m_faults.end() ? nullptr : &*found;
 }
 
 }  // namespace jacinthdeck::bench
--- a/bench/support/model_target.h
+++ b/bench/support/model_target.h
@@ -1,4 +1,4 @@
-// A target in model time: slots, a queue, pauses and troubles.
+// A target in model time: slots, a queue, pauses and faults.
 #ifndef JACINTHDECK_BENCH_SUPPORT_MODEL_TARGET_H_
 #define JACINTHDECK_BENCH_SUPPORT_MODEL_TARGET_H_
 
@@ -25,13 +25,13 @@
   };
 
   ModelTarget(const ForwardCase& load,
-              std::vector<TroubleSpan> troubles,
+              std::vector<TargetFaultPeriod> faults,
               TimePoint start,
               std::uint64_t seed);
 
   /*! \brief Takes a request of so much work, or does not. */
   [[nodiscard]] Arrival Take(std::uint64_t attempt,
-                             Duration work,
+                             Duration service_time,
                              TimePoint now);
 
   /*! \brief Drops a request that is waiting or running. */
@@ -52,13 +52,13 @@
  private:
   struct Waiting {
     std::uint64_t attempt = 0;
-    Duration work{};
+    Duration service_time{};
   };
 
-  [[nodiscard]] const TroubleSpan* TroubleAt(TimePoint now) const;
+  [[nodiscard]] const TargetFaultPeriod* FaultAt(TimePoint now) const;
 
   const ForwardCase& m_load;
-  std::vector<TroubleSpan> m_troubles;
+  std::vector<TargetFaultPeriod> m_faults;
   TimePoint m_start;
   Random m_random;
   Duration m_pause_phase;
--- a/bench/support/tail_case.h
+++ b/bench/support/tail_case.h
@@ -52,7 +52,7 @@
   std::uint32_t slots = 3;
   std::uint32_t connections = 30;
   Duration connection_open_time = std::chrono::milliseconds(6);
-  Duration one_way = Duration(500);
+  Duration one_way_delay = Duration(500);
 };
 
 /*! \brief What goes wrong from the start of the measured time. */
--- a/bench/support/tail_model.h
+++ b/bench/support/tail_model.h
@@ -187,7 +187,7 @@
     Entry& entry = *m_entries[index];
     const std::uint32_t target = m_fleet.index.at(send.target);
     m_attempts[send.attempt.raw()] = Attempt{index, target, send.range};
-    Duration delay = m_case.deployment.one_way;
+    Duration delay = m_case.deployment.one_way_delay;
     if (entry.busy[target] == entry.open[target]) {
       ++entry.open[target];
       delay += m_case.deployment.connection_open_time;
@@ -201,7 +201,7 @@
   void Cancel(std::uint64_t key) {
     const bool silent = IsLost(m_attempts.at(key).target);
     // A silent target never learns of it; the connection is closed at once.
-    m_events.Push(silent ? m_now : m_now + m_case.deployment.one_way,
+    m_events.Push(silent ? m_now : m_now + m_case.deployment.one_way_delay,
                   EventKind::kCancel, key);
   }
 
@@ -303,7 +303,8 @@
     Attempt& attempt = m_attempts.at(key);
     attempt.status = status;
     attempt.ended = true;
-    m_events.Push(m_now + m_case.deployment.one_way, EventKind::kReply, key);
+    m_events.Push(m_now + m_case.deployment.one_way_delay, EventKind::kReply,
+                  key);
   }
 
   void OnReply(std::uint64_t key) {
--- a/bench/tail.cc
+++ b/bench/tail.cc
@@ -30,7 +30,7 @@
   galeria.shards = 15;
   galeria.slots = 2;
   galeria.connections = 25;
-  galeria.one_way = Duration(1500);
+  galeria.one_way_delay = Duration(1500);
   return {counter, galeria};
 }
 
@@ -166,7 +166,7 @@
   std::vector<Row> rows;
   std::uint64_t seed = 1000;
   for (Deployment deployment : Deployments()) {
-    deployment.one_way += hop;
+    deployment.one_way_delay += hop;
     for (const Shape shape :
          {Shape::kExponential, Shape::kLognormal, Shape::kConstant}) {
       for (const Fault& fault : Faults()) {
