--- a/bench/support/forward_model.cc
+++ b/bench/support/forward_model.cc
@@ -1,5 +1,5 @@
-// Events in the order of model time; forwarders see them as their transport
-// would tell them.
+// Processes events in the order of simulated time and calls the forwarders as
+// their transport would.
 #include "support/forward_model.h"
 
 #include <algorithm>
@@ -12,16 +12,17 @@
 
 namespace {
 
-//! Failure domains, over which hosts and replicas are spread in turn.
+//! Number of failure domains; hosts and replicas are assigned round-robin.
 constexpr std::size_t kDomains = 3;
-//! Most targets of one shard that a request may run on, as users configure it.
-constexpr std::uint32_t kMostAttempts = 2;
+//! Limit on the targets of one shard that a request may run on, as configured
+//! by users.
+constexpr std::uint32_t kMaxAttempts = 2;
 
 [[nodiscard]] std::string ShardName(std::size_t shard) {
   return "shard-" + std::to_string(shard);
 }
 
-[[nodiscard]] std::string PathOf(std::size_t call_class) {
+[[nodiscard]] std::string RoutePrefix(std::size_t call_class) {
   return "/" + std::to_string(call_class) + "/";
 }
 
@@ -29,7 +30,7 @@
   return FailureDomain("fd-" + std::to_string(index % kDomains));
 }
 
-[[nodiscard]] std::shared_ptr<const RoutingConfig> ConfigOf(
+[[nodiscard]] std::shared_ptr<const RoutingConfig> MakeConfig(
     const ForwardCase& load) {
   std::vector<ServiceConfig> services;
   for (std::size_t shard = 0; shard < load.shards; ++shard) {
@@ -39,14 +40,14 @@
   for (std::size_t index = 0; index < load.call_classes.size(); ++index) {
     const CallClass& call_class = load.call_classes[index];
     Route route;
-    route.name = PathOf(index);
+    route.name = RoutePrefix(index);
     route.host = "model";
-    route.prefix = PathOf(index);
+    route.prefix = RoutePrefix(index);
     route.repeat = RepeatRule::kIdempotent;
     route.timeout = call_class.timeout;
     route.objective = call_class.objective;
     route.priority = call_class.priority;
-    route.max_attempts = kMostAttempts;
+    route.max_attempts = kMaxAttempts;
     route.min_share = call_class.min_share;
     route.top_records = 1;
     if (call_class.only_shard) {
@@ -64,7 +65,8 @@
 
 }  // namespace
 
-/*! \brief A host: its forwarder, and the port that leads to the model. */
+/*! \brief A host: its forwarder, and the port that passes the effects to the
+ * model. */
 struct ForwardModel::Host final : ForwardPort {
   Host(ForwardModel& model,
        std::size_t index,
@@ -86,14 +88,14 @@
   ForwardModel& m_model;
   std::size_t m_index;
   Forwarder forwarder;
-  //! When its processor is free.
+  //! When the processor becomes idle.
   TimePoint free_at;
-  //! Earliest timer event that is queued for it.
-  std::optional<TimePoint> armed;
+  //! Time of the earliest queued timer event of this host.
+  std::optional<TimePoint> armed_at;
 };
 
-/*! \brief An attempt on its way, at a target, or on its way back. */
-struct ForwardModel::Flight {
+/*! \brief An attempt that was sent and whose reply is not processed yet. */
+struct ForwardModel::InFlightAttempt {
   std::size_t host = 0;
   std::size_t target = 0;
   AttemptId id;
@@ -102,11 +104,12 @@
   AttemptEnd end;
 };
 
-/*! \brief A call that waits for its answer. */
-struct ForwardModel::Asked {
+/*! \brief A call that has no answer yet. */
+struct ForwardModel::OpenCall {
   std::size_t call_class = 0;
-  TimePoint at;
-  bool counted = false;
+  TimePoint submitted;
+  //! Whether the call arrived after the warm-up.
+  bool measured = false;
 };
 
 ForwardModel::ForwardModel(const ForwardCase& load, std::uint64_t seed)
@@ -114,8 +117,8 @@
       m_random(seed),
       m_start(std::chrono::hours(1)),
       m_now(m_start),
-      m_requests(load.shards),
-      m_extras(load.shards) {
+      m_request_times(load.shards),
+      m_extra_arrivals(load.shards) {
   m_result.call_classes.resize(load.call_classes.size());
   SetUp();
 }
@@ -144,7 +147,7 @@
       m_entries.push_back(entry);
     }
   }
-  const auto config = ConfigOf(m_load);
+  const auto config = MakeConfig(m_load);
   for (std::size_t index = 0; index < m_load.hosts; ++index) {
     ForwardOptions options;
     options.domain = DomainOf(index);
@@ -161,7 +164,7 @@
 ForwardResult ForwardModel::Run() {
   for (std::size_t call_class = 0; call_class < m_load.call_classes.size();
        ++call_class) {
-    ArmCall(call_class);
+    ScheduleCall(call_class);
   }
   while (!m_events.empty()) {
     const Event event = m_events.Pop();
@@ -172,13 +175,14 @@
         break;
       case EventKind::kTimer: {
         Host& host = *m_hosts[event.subject];
-        // An earlier timer was set since; each left over would set another.
-        if (host.armed != event.at) {
+        // Superseded by an earlier timer event. If superseded events were
+        // handled, each would schedule another one.
+        if (host.armed_at != event.at) {
           break;
         }
-        host.armed.reset();
+        host.armed_at.reset();
         host.forwarder.OnTimer(m_now);
-        Rearm(event.subject);
+        ArmTimer(event.subject);
         break;
       }
       case EventKind::kArrive:
@@ -187,8 +191,8 @@
       case EventKind::kDone:
         OnDone(event.subject);
         break;
-      case EventKind::kAtHost:
-        OnAtHost(event.subject);
+      case EventKind::kReplyArrive:
+        OnReplyArrive(event.subject);
         break;
       case EventKind::kReply:
         OnReply(event.subject);
@@ -201,7 +205,7 @@
   return Result();
 }
 
-void ForwardModel::ArmCall(std::size_t call_class) {
+void ForwardModel::ScheduleCall(std::size_t call_class) {
   constexpr double kMicroseconds = 1e6;
   const double gap = -std::log(1 - m_random.Unit()) /
                      m_load.call_classes[call_class].calls_per_second *
@@ -213,78 +217,80 @@
 }
 
 void ForwardModel::OnCall(std::size_t call_class) {
-  ArmCall(call_class);
+  ScheduleCall(call_class);
   const std::size_t host = m_random.Below(m_load.hosts);
   auto request = std::make_shared<OpaqueRequest>();
   request->host = "model";
-  request->target = PathOf(call_class) + std::to_string(m_next_id);
+  request->target = RoutePrefix(call_class) + std::to_string(m_next_id);
   ForwardCall call;
   call.id = CallId(m_next_id++);
   call.request = request;
   call.arrived = m_now;
   call.deadline = m_now + m_load.call_classes[call_class].timeout;
-  const bool counted = m_now >= m_start + m_load.warm_up;
-  m_result.calls += counted ? 1 : 0;
-  m_result.call_classes[call_class].calls += counted ? 1 : 0;
-  m_asked[call.id] = {call_class, m_now, counted};
+  const bool measured = m_now >= m_start + m_load.warm_up;
+  m_result.calls += measured ? 1 : 0;
+  m_result.call_classes[call_class].calls += measured ? 1 : 0;
+  m_open_calls[call.id] = {call_class, m_now, measured};
   for (std::size_t shard = 0; shard < m_load.shards; ++shard) {
     if (m_load.call_classes[call_class].only_shard.value_or(shard) == shard) {
-      m_requests[shard].push_back(m_now);
+      m_request_times[shard].push_back(m_now);
     }
   }
   m_hosts[host]->forwarder.Submit(std::move(call), m_now);
-  Rearm(host);
+  ArmTimer(host);
 }
 
 void ForwardModel::Send(std::size_t host, const OutgoingAttempt& attempt) {
   const auto call_class =
       static_cast<std::size_t>(std::stoul(attempt.request->target.substr(1)));
   const std::uint64_t key = m_next_id++;
-  Flight flight;
-  flight.host = host;
-  flight.target = static_cast<std::size_t>(std::stoul(attempt.target.id.raw()));
-  flight.id = attempt.id;
-  flight.request = attempt.request->target;
-  flight.service_time = m_load.call_classes[call_class].service_time;
-  m_flights[key] = flight;
-  m_events.Push(HostDone(host) + m_load.one_way_delay, EventKind::kArrive, key);
+  InFlightAttempt in_flight;
+  in_flight.host = host;
+  in_flight.target =
+      static_cast<std::size_t>(std::stoul(attempt.target.id.raw()));
+  in_flight.id = attempt.id;
+  in_flight.request = attempt.request->target;
+  in_flight.service_time = m_load.call_classes[call_class].service_time;
+  m_in_flight[key] = in_flight;
+  m_events.Push(UseHostProcessor(host) + m_load.one_way_delay,
+                EventKind::kArrive, key);
 }
 
 void ForwardModel::Cancel(std::size_t host, AttemptId attempt) {
-  const auto found = std::ranges::find_if(m_flights, [&](const auto& item) {
+  const auto found = std::ranges::find_if(m_in_flight, [&](const auto& item) {
     return item.second.host == host && item.second.id == attempt;
   });
-  if (found == m_flights.end()) {
+  if (found == m_in_flight.end()) {
     return;
   }
   const std::size_t target = found->second.target;
   m_targets[target].Drop(found->first);
-  m_flights.erase(found);
+  m_in_flight.erase(found);
   m_events.Push(m_now + m_load.one_way_delay, EventKind::kCancel, target);
 }
 
 void ForwardModel::OnArrive(std::uint64_t attempt) {
-  const auto found = m_flights.find(attempt);
-  if (found == m_flights.end()) {
+  const auto found = m_in_flight.find(attempt);
+  if (found == m_in_flight.end()) {
     return;
   }
   const std::size_t target = found->second.target;
-  const Arrival arrival =
-      m_targets[target].Take(attempt, found->second.service_time, m_now);
-  if (arrival != Arrival::kNotConnected) {
+  const ArrivalOutcome outcome =
+      m_targets[target].Arrive(attempt, found->second.service_time, m_now);
+  if (outcome != ArrivalOutcome::kNotConnected) {
     CountArrival(found->second);
   }
-  switch (arrival) {
-    case Arrival::kTaken:
+  switch (outcome) {
+    case ArrivalOutcome::kAccepted:
       StartWork(target);
       break;
-    case Arrival::kRefused:
+    case ArrivalOutcome::kRefused:
       Reply(attempt, AttemptOutcome::kNotExecuted);
       break;
-    case Arrival::kNotConnected:
+    case ArrivalOutcome::kNotConnected:
       Reply(attempt, AttemptOutcome::kNotSent);
       break;
-    case Arrival::kIgnored:
+    case ArrivalOutcome::kIgnored:
       break;
   }
 }
@@ -300,8 +306,8 @@
 }
 
 void ForwardModel::OnDone(std::uint64_t attempt) {
-  const auto found = m_flights.find(attempt);
-  if (found == m_flights.end()) {
+  const auto found = m_in_flight.find(attempt);
+  if (found == m_in_flight.end()) {
     return;
   }
   const std::size_t target = found->second.target;
@@ -317,60 +323,61 @@
 }
 
 void ForwardModel::Reply(std::uint64_t attempt, AttemptOutcome outcome) {
-  Flight& flight = m_flights.at(attempt);
-  flight.end.id = flight.id;
-  flight.end.outcome = outcome;
+  InFlightAttempt& in_flight = m_in_flight.at(attempt);
+  in_flight.end.id = in_flight.id;
+  in_flight.end.outcome = outcome;
   if (outcome != AttemptOutcome::kNotSent) {
-    flight.end.load = m_targets[flight.target].Load();
+    in_flight.end.load = m_targets[in_flight.target].Load();
   }
   constexpr int kOk = 200;
-  flight.end.response.status = kOk;
-  flight.end.response.stamp = "stamp";
-  m_events.Push(m_now + m_load.one_way_delay, EventKind::kAtHost, attempt);
+  in_flight.end.response.status = kOk;
+  in_flight.end.response.stamp = "stamp";
+  m_events.Push(m_now + m_load.one_way_delay, EventKind::kReplyArrive, attempt);
 }
 
-TimePoint ForwardModel::HostDone(std::size_t host) {
+TimePoint ForwardModel::UseHostProcessor(std::size_t host) {
   TimePoint& free_at = m_hosts[host]->free_at;
   free_at = std::max(free_at, m_now) + m_load.host_cpu_time;
   return free_at;
 }
 
-void ForwardModel::OnAtHost(std::uint64_t attempt) {
-  const auto found = m_flights.find(attempt);
-  if (found != m_flights.end()) {
-    m_events.Push(HostDone(found->second.host), EventKind::kReply, attempt);
+void ForwardModel::OnReplyArrive(std::uint64_t attempt) {
+  const auto found = m_in_flight.find(attempt);
+  if (found != m_in_flight.end()) {
+    m_events.Push(UseHostProcessor(found->second.host), EventKind::kReply,
+                  attempt);
   }
 }
 
 void ForwardModel::OnReply(std::uint64_t attempt) {
-  const auto found = m_flights.find(attempt);
-  if (found == m_flights.end()) {
+  const auto found = m_in_flight.find(attempt);
+  if (found == m_in_flight.end()) {
     return;
   }
-  Flight flight = std::move(found->second);
-  m_flights.erase(found);
-  m_hosts[flight.host]->forwarder.OnAttemptEnd(flight.end, m_now);
-  Rearm(flight.host);
+  InFlightAttempt in_flight = std::move(found->second);
+  m_in_flight.erase(found);
+  m_hosts[in_flight.host]->forwarder.OnAttemptEnd(in_flight.end, m_now);
+  ArmTimer(in_flight.host);
 }
 
-void ForwardModel::Rearm(std::size_t host) {
-  Host& subject = *m_hosts[host];
-  const auto next = subject.forwarder.NextTimer();
-  if (!next || (subject.armed && *subject.armed <= *next)) {
+void ForwardModel::ArmTimer(std::size_t host) {
+  Host& host_state = *m_hosts[host];
+  const auto next = host_state.forwarder.NextTimer();
+  if (!next || (host_state.armed_at && *host_state.armed_at <= *next)) {
     return;
   }
-  subject.armed = std::max(*next, m_now);
-  m_events.Push(*subject.armed, EventKind::kTimer, host);
+  host_state.armed_at = std::max(*next, m_now);
+  m_events.Push(*host_state.armed_at, EventKind::kTimer, host);
 }
 
 void ForwardModel::Deliver(CallId call, const ForwardAnswer& answer) {
-  const auto found = m_asked.find(call);
-  if (found == m_asked.end()) {
+  const auto found = m_open_calls.find(call);
+  if (found == m_open_calls.end()) {
     return;
   }
-  const Asked asked = found->second;
-  m_asked.erase(found);
-  if (!asked.counted) {
+  const OpenCall open_call = found->second;
+  m_open_calls.erase(found);
+  if (!open_call.measured) {
     return;
   }
   if (answer.kind == AnswerKind::kNotRun) {
@@ -382,10 +389,10 @@
     ++m_result.failed;
     return;
   }
-  ++m_result.call_classes[asked.call_class].served;
-  const Duration took = m_now - asked.at;
-  m_latencies.push_back(took);
-  if (took > m_load.call_classes[asked.call_class].objective) {
+  ++m_result.call_classes[open_call.call_class].served;
+  const Duration latency = m_now - open_call.submitted;
+  m_latencies.push_back(latency);
+  if (latency > m_load.call_classes[open_call.call_class].objective) {
     ++m_result.late;
     return;
   }
@@ -395,37 +402,41 @@
   m_result.coverage += share * share;
 }
 
-void ForwardModel::CountArrival(const Flight& flight) {
-  const std::size_t shard = flight.target / m_load.replicas;
+void ForwardModel::CountArrival(const InFlightAttempt& in_flight) {
+  const std::size_t shard = in_flight.target / m_load.replicas;
   ++m_result.attempts;
-  if (m_arrived.insert(flight.request + "#" + std::to_string(shard)).second) {
+  if (m_first_arrivals.insert(in_flight.request + "#" + std::to_string(shard))
+          .second) {
     return;
   }
   ++m_result.extra_attempts;
-  m_extras[shard].push_back(m_now);
+  m_extra_arrivals[shard].push_back(m_now);
 }
 
 double ForwardModel::BudgetUsed(std::size_t shard) const {
-  const auto within = [](const std::vector<TimePoint>& times, TimePoint from,
-                         TimePoint to) {
+  const auto count_within = [](const std::vector<TimePoint>& times,
+                               TimePoint from, TimePoint to) {
     return static_cast<double>(std::ranges::upper_bound(times, to) -
                                std::ranges::upper_bound(times, from));
   };
   const Duration window = m_load.budget.window;
-  double most = 0;
-  for (const TimePoint end : m_extras[shard]) {
+  double max_used = 0;
+  for (const TimePoint end : m_extra_arrivals[shard]) {
     const double bound =
-        m_load.budget.ratio * within(m_requests[shard], end - window, end) +
+        m_load.budget.ratio *
+            count_within(m_request_times[shard], end - window, end) +
         m_load.budget.constant;
-    most = std::max(most, within(m_extras[shard], end - window, end) / bound);
+    max_used = std::max(
+        max_used,
+        count_within(m_extra_arrivals[shard], end - window, end) / bound);
   }
-  return most;
+  return max_used;
 }
 
 ForwardResult ForwardModel::Result() {
-  // Calls that nobody has answered by now never get an answer.
+  // No event is left, so the remaining calls will never be answered.
   m_result.failed += static_cast<std::uint64_t>(std::ranges::count_if(
-      m_asked, [](const auto& item) { return item.second.counted; }));
+      m_open_calls, [](const auto& item) { return item.second.measured; }));
   for (std::size_t shard = 0; shard < m_load.shards; ++shard) {
     m_result.budget_used = std::max(m_result.budget_used, BudgetUsed(shard));
   }
@@ -446,26 +457,26 @@
 ForwardResult RunSeeds(const ForwardCase& load, std::uint64_t seeds) {
   ForwardResult sum;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const ForwardResult one = ForwardModel(load, seed).Run();
-    sum.calls += one.calls;
-    sum.in_time += one.in_time;
-    sum.late += one.late;
-    sum.refused += one.refused;
-    sum.failed += one.failed;
-    sum.coverage += one.coverage;
-    sum.extra_attempts += one.extra_attempts;
-    sum.attempts += one.attempts;
-    sum.first_attempts += one.first_attempts;
-    sum.first_attempts_other_domains += one.first_attempts_other_domains;
-    sum.call_classes.resize(one.call_classes.size());
-    for (std::size_t call_class = 0; call_class < one.call_classes.size();
+    const ForwardResult run = ForwardModel(load, seed).Run();
+    sum.calls += run.calls;
+    sum.in_time += run.in_time;
+    sum.late += run.late;
+    sum.refused += run.refused;
+    sum.failed += run.failed;
+    sum.coverage += run.coverage;
+    sum.extra_attempts += run.extra_attempts;
+    sum.attempts += run.attempts;
+    sum.first_attempts += run.first_attempts;
+    sum.first_attempts_other_domains += run.first_attempts_other_domains;
+    sum.call_classes.resize(run.call_classes.size());
+    for (std::size_t call_class = 0; call_class < run.call_classes.size();
          ++call_class) {
-      sum.call_classes[call_class].calls += one.call_classes[call_class].calls;
+      sum.call_classes[call_class].calls += run.call_classes[call_class].calls;
       sum.call_classes[call_class].served +=
-          one.call_classes[call_class].served;
+          run.call_classes[call_class].served;
     }
-    sum.budget_used = std::max(sum.budget_used, one.budget_used);
-    sum.p50_ms += one.p50_ms / static_cast<double>(seeds);
+    sum.budget_used = std::max(sum.budget_used, run.budget_used);
+    sum.p50_ms += run.p50_ms / static_cast<double>(seeds);
   }
   return sum;
 }
--- a/bench/support/forward_model.h
+++ b/bench/support/forward_model.h
@@ -1,5 +1,5 @@
-// Several forwarders over shared targets in model time: what a policy is tried
-// on in seconds, before real processes.
+// Discrete-event simulation of several forwarders over shared targets, to
+// evaluate a policy within seconds before tests with real processes.
 #ifndef JACINTHDECK_BENCH_SUPPORT_FORWARD_MODEL_H_
 #define JACINTHDECK_BENCH_SUPPORT_FORWARD_MODEL_H_
 
@@ -19,11 +19,13 @@
 namespace jacinthdeck::bench {
 
 /**
- * \brief Plays one case with one seed.
+ * \brief Simulates one case with one seed.
  *
- * Each host has a forwarder of its own and no word from the others, as in
- * service. Callers ask once: what a refused caller does next is not played.
- * Processor time, handshakes and callers' links are left out.
+ * Each host has its own forwarder, which decides without messages from the
+ * other hosts, as in production. Callers send each call once; retries of
+ * refused calls are not simulated. Neither are connection handshakes, the
+ * connections of callers, and processor time other than
+ * ForwardCase::host_cpu_time.
  */
 class ForwardModel {
  public:
@@ -32,30 +34,33 @@
   ForwardModel(const ForwardModel&) = delete;
   ForwardModel& operator=(const ForwardModel&) = delete;
 
-  /*! \brief Runs to the end; call it once. */
+  /*! \brief Runs until no event is left; may be called only once. */
   [[nodiscard]] ForwardResult Run();
 
  private:
   struct Host;
-  struct Flight;
-  struct Asked;
+  struct InFlightAttempt;
+  struct OpenCall;
 
   void SetUp();
-  void ArmCall(std::size_t call_class);
+  void ScheduleCall(std::size_t call_class);
   void OnCall(std::size_t call_class);
   void OnArrive(std::uint64_t attempt);
   void OnDone(std::uint64_t attempt);
-  void OnAtHost(std::uint64_t attempt);
+  void OnReplyArrive(std::uint64_t attempt);
   void OnReply(std::uint64_t attempt);
-  //! Has the host's processor work on a message; gives the end of that.
-  TimePoint HostDone(std::size_t host);
+  //! Queues a message for the host's processor; returns when it is processed.
+  TimePoint UseHostProcessor(std::size_t host);
+  //! Starts queued requests of a target, or schedules that for the end of its
+  //! pause.
   void StartWork(std::size_t target);
   void Reply(std::uint64_t attempt, AttemptOutcome outcome);
-  void Rearm(std::size_t host);
+  void ArmTimer(std::size_t host);
   void Send(std::size_t host, const OutgoingAttempt& attempt);
   void Cancel(std::size_t host, AttemptId attempt);
   void Deliver(CallId call, const ForwardAnswer& answer);
-  void CountArrival(const Flight& flight);
+  void CountArrival(const InFlightAttempt& in_flight);
+  //! Returns ForwardResult::budget_used for one shard.
   [[nodiscard]] double BudgetUsed(std::size_t shard) const;
   [[nodiscard]] ForwardResult Result();
 
@@ -65,23 +70,26 @@
   TimePoint m_now;
   EventQueue m_events;
   std::vector<std::unique_ptr<Host>> m_hosts;
-  //! Shard after shard, each with its replicas.
+  //! Replica r of shard s has the index s * replicas + r.
   std::vector<ModelTarget> m_targets;
   std::vector<TargetEntry> m_entries;
-  std::unordered_map<std::uint64_t, Flight> m_flights;
-  std::unordered_map<CallId, Asked> m_asked;
+  std::unordered_map<std::uint64_t, InFlightAttempt> m_in_flight;
+  std::unordered_map<CallId, OpenCall> m_open_calls;
   std::uint64_t m_next_id = 1;
-  //! By shard: calls that ask it.
-  std::vector<std::vector<TimePoint>> m_requests;
-  //! By shard: arrivals beyond the first of a call.
-  std::vector<std::vector<TimePoint>> m_extras;
-  //! Call and shard of each first arrival.
-  std::unordered_set<std::string> m_arrived;
+  //! For each shard, when the calls that query it arrived.
+  std::vector<std::vector<TimePoint>> m_request_times;
+  //! For each shard, when attempts arrived after the first one of their call.
+  std::vector<std::vector<TimePoint>> m_extra_arrivals;
+  //! Call and shard of the attempts that arrived first.
+  std::unordered_set<std::string> m_first_arrivals;
   std::vector<Duration> m_latencies;
   ForwardResult m_result;
 };
 
-/*! \brief Plays a case with seeds 1 to a count; figures are summed. */
+/**
+ * \brief Simulates a case once for each seed from 1 to `seeds`.
+ * \return Sums over the runs; for budget_used the maximum, for p50_ms the mean.
+ */
 [[nodiscard]] ForwardResult RunSeeds(const ForwardCase& load,
                                      std::uint64_t seeds);
 
--- a/bench/support/model_target.cc
+++ b/bench/support/model_target.cc
@@ -1,4 +1,5 @@
-// First come, first served; work in hand goes on after a pause.
+// Serves requests in FIFO order. A request that would finish during a pause
+// finishes at the end of the pause.
 #include "support/model_target.h"
 
 #include <algorithm>
@@ -8,12 +9,13 @@
 
 namespace {
 
-//! Bounds of a request's work, over the average: the spread that users report.
-constexpr double kLeastWork = 0.65;
-constexpr double kWorkSpread = 0.66;
-//! One request in a hundred takes so many times as long.
-constexpr double kTailShare = 0.01;
-constexpr double kTailFactor = 5;
+//! Minimum and range of a request's service time as factors of the mean: the
+//! spread that users report.
+constexpr double kMinServiceFactor = 0.65;
+constexpr double kServiceFactorSpread = 0.66;
+//! One request in a hundred takes five times as long.
+constexpr double kSlowRequestShare = 0.01;
+constexpr double kSlowRequestFactor = 5;
 
 [[nodiscard]] Duration Scaled(Duration duration, double factor) {
   return Duration(static_cast<Duration::rep>(
@@ -33,50 +35,50 @@
       m_pause_phase(static_cast<Duration::rep>(m_random.Below(
           static_cast<std::uint64_t>(load.pause_period.count())))) {}
 
-Arrival ModelTarget::Take(std::uint64_t attempt,
-                          Duration service_time,
-                          TimePoint now) {
+ArrivalOutcome ModelTarget::Arrive(std::uint64_t attempt,
+                                   Duration service_time,
+                                   TimePoint now) {
   const TargetFaultPeriod* fault = FaultAt(now);
-  double factor = kLeastWork + kWorkSpread * m_random.Unit();
-  factor *= m_random.Unit() < kTailShare ? kTailFactor : 1;
+  double factor = kMinServiceFactor + kServiceFactorSpread * m_random.Unit();
+  factor *= m_random.Unit() < kSlowRequestShare ? kSlowRequestFactor : 1;
   if (fault != nullptr) {
     switch (fault->kind) {
       case TargetFault::kSlow:
         factor *= fault->strength;
         break;
       case TargetFault::kDown:
-        return Arrival::kNotConnected;
+        return ArrivalOutcome::kNotConnected;
       case TargetFault::kUnresponsive:
-        return Arrival::kIgnored;
+        return ArrivalOutcome::kIgnored;
       case TargetFault::kShedding:
         if (m_random.Unit() < fault->strength) {
-          return Arrival::kRefused;
+          return ArrivalOutcome::kRefused;
         }
         break;
     }
   }
-  if (m_waiting.size() >= m_load.queue_capacity) {
-    return Arrival::kRefused;
+  if (m_queue.size() >= m_load.queue_capacity) {
+    return ArrivalOutcome::kRefused;
   }
-  m_waiting.push_back({attempt, Scaled(service_time, factor)});
-  return Arrival::kTaken;
+  m_queue.push_back({attempt, Scaled(service_time, factor)});
+  return ArrivalOutcome::kAccepted;
 }
 
 void ModelTarget::Drop(std::uint64_t attempt) {
   std::erase(m_running, attempt);
-  std::erase_if(m_waiting, [&](const Waiting& waiting) {
-    return waiting.attempt == attempt;
+  std::erase_if(m_queue, [&](const QueuedRequest& queued) {
+    return queued.attempt == attempt;
   });
 }
 
-std::vector<ModelTarget::Started> ModelTarget::StartWork(TimePoint now) {
-  std::vector<Started> started;
+std::vector<ModelTarget::StartedRequest> ModelTarget::StartWork(TimePoint now) {
+  std::vector<StartedRequest> started;
   if (PausedUntil(now)) {
     return started;
   }
-  while (m_running.size() < m_load.slots && !m_waiting.empty()) {
-    const Waiting next = m_waiting.front();
-    m_waiting.pop_front();
+  while (m_running.size() < m_load.slots && !m_queue.empty()) {
+    const QueuedRequest next = m_queue.front();
+    m_queue.pop_front();
     m_running.push_back(next.attempt);
     started.push_back({next.attempt, now + next.service_time});
   }
@@ -94,7 +96,7 @@
 LoadReport ModelTarget::Load() const {
   LoadReport report;
   report.running = static_cast<std::uint32_t>(m_running.size());
-  report.waiting = static_cast<std::uint32_t>(m_waiting.size());
+  report.waiting = static_cast<std::uint32_t>(m_queue.size());
   report.slots = m_load.slots;
   return report;
 }
--- a/bench/support/model_target.h
+++ b/bench/support/model_target.h
@@ -1,4 +1,4 @@
-// A target in model time: slots, a queue, pauses and faults.
+// A target of the forward model: slots, a FIFO queue, pauses and faults.
 #ifndef JACINTHDECK_BENCH_SUPPORT_MODEL_TARGET_H_
 #define JACINTHDECK_BENCH_SUPPORT_MODEL_TARGET_H_
 
@@ -14,12 +14,12 @@
 namespace jacinthdeck::bench {
 
 /*! \brief What a target does with a request on arrival. */
-enum class Arrival { kTaken, kRefused, kNotConnected, kIgnored };
+enum class ArrivalOutcome { kAccepted, kRefused, kNotConnected, kIgnored };
 
-/*! \brief One target. Times are those of the run; it holds no clock. */
+/*! \brief A simulated target. It has no clock; the time is passed in. */
 class ModelTarget {
  public:
-  struct Started {
+  struct StartedRequest {
     std::uint64_t attempt = 0;
     TimePoint done;
   };
@@ -29,28 +29,34 @@
               TimePoint start,
               std::uint64_t seed);
 
-  /*! \brief Takes a request of so much work, or does not. */
-  [[nodiscard]] Arrival Take(std::uint64_t attempt,
-                             Duration service_time,
-                             TimePoint now);
+  /**
+   * \brief Queues an arriving request, unless it is refused or ignored.
+   * \param service_time Mean service time of such requests.
+   */
+  [[nodiscard]] ArrivalOutcome Arrive(std::uint64_t attempt,
+                                      Duration service_time,
+                                      TimePoint now);
 
-  /*! \brief Drops a request that is waiting or running. */
+  /*! \brief Removes a queued or running request. */
   void Drop(std::uint64_t attempt);
 
-  /*! \brief Starts work while slots are free; says when each is done. */
-  [[nodiscard]] std::vector<Started> StartWork(TimePoint now);
+  /*! \brief Starts queued requests while slots are free; returns them with the
+   * times at which they finish. */
+  [[nodiscard]] std::vector<StartedRequest> StartWork(TimePoint now);
 
-  /*! \brief Moment at which it goes on, if it stands still now. */
+  /*! \brief Returns when the current pause ends; empty if the target is not
+   * paused. */
   [[nodiscard]] std::optional<TimePoint> PausedUntil(TimePoint now) const;
 
-  /*! \brief What it tells of its load in a response. */
+  /*! \brief Returns the load that the target reports in its responses. */
   [[nodiscard]] LoadReport Load() const;
 
-  /*! \brief Tells whether it answers at all. */
+  /*! \brief Returns whether the target answers, that is, is neither down nor
+   * unresponsive. */
   [[nodiscard]] bool IsAlive(TimePoint now) const;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     std::uint64_t attempt = 0;
     Duration service_time{};
   };
@@ -62,9 +68,9 @@
   TimePoint m_start;
   Random m_random;
   Duration m_pause_phase;
-  //! At most as many as there are slots.
+  //! At most one attempt per slot.
   std::vector<std::uint64_t> m_running;
-  std::deque<Waiting> m_waiting;
+  std::deque<QueuedRequest> m_queue;
 };
 
 }  // namespace jacinthdeck::bench
--- a/bench/support/tail_model.h
+++ b/bench/support/tail_model.h
@@ -119,7 +119,7 @@
         return OnDone(event.subject);
       case EventKind::kCancel:
         return OnCancel(event.subject);
-      case EventKind::kAtHost:
+      case EventKind::kReplyArrive:
       case EventKind::kReply:
         return OnReply(event.subject);
     }
