--- a/bench/support/all_knowing.h
+++ b/bench/support/all_knowing.h
@@ -1,4 +1,4 @@
-// The bound: one chooser that sees every queue and every straggler at once.
+// Oracle bound of the tail bench: a scheduler with global knowledge.
 #ifndef JACINTHDECK_BENCH_SUPPORT_ALL_KNOWING_H_
 #define JACINTHDECK_BENCH_SUPPORT_ALL_KNOWING_H_
 
@@ -11,80 +11,91 @@
 namespace jacinthdeck::bench {
 
 /**
- * \brief Places each request where it is expected to end first.
+ * \brief Oracle that sends each request to the replica with the earliest
+ * expected completion.
  *
- * It knows when each slot becomes free, which requests would straggle where,
- * and faults at once; it does not know the service time drawn. It sends nothing
- * twice and pays no connection opening.
+ * It knows when each slot becomes free, which requests would be stragglers at
+ * which replica, and every fault immediately; it does not know the service time
+ * that will be drawn. It sends no hedges or retries, and connections open
+ * without delay.
  */
-class AllKnowing {
+class OracleScheduler {
  public:
-  explicit AllKnowing(const TailCase& what)
-      : m_case(what), m_random(what.seed) {
-    const Deployment& d = what.deployment;
-    m_free.assign(static_cast<std::size_t>(d.shards) * d.replicas,
-                  std::vector<double>(d.slots, 0.0));
+  explicit OracleScheduler(const TailCase& tail_case)
+      : m_case(tail_case), m_random(tail_case.seed) {
+    const Deployment& deployment = tail_case.deployment;
+    m_slot_free_at.assign(
+        static_cast<std::size_t>(deployment.shards) * deployment.replicas,
+        std::vector<double>(deployment.slots, 0.0));
   }
 
   [[nodiscard]] TailResult Run() {
-    const Deployment& d = m_case.deployment;
-    const double gap = static_cast<double>(kMeanService.count()) /
-                       (d.replicas * d.slots * m_case.fault.load);
-    const std::uint32_t warm = m_case.queries / 5;
+    const Deployment& deployment = m_case.deployment;
+    const double mean_interarrival =
+        static_cast<double>(kMeanServiceTime.count()) /
+        (deployment.replicas * deployment.slots * m_case.fault.offered_load);
+    const std::uint32_t warmup_calls = m_case.queries / 5;
     TailStats stats;
     double now = 0;
-    double from = 0;
-    for (std::uint32_t query = 0; query < warm + m_case.queries; ++query) {
-      now -= gap * std::log(1 - m_random.Unit());
-      m_faulty = query >= warm;
+    double measured_from = 0;
+    for (std::uint32_t query = 0; query < warmup_calls + m_case.queries;
+         ++query) {
+      now -= mean_interarrival * std::log(1 - m_random.Unit());
+      m_measuring = query >= warmup_calls;
       double end = now;
-      for (std::uint32_t shard = 0; shard < d.shards; ++shard) {
+      for (std::uint32_t shard = 0; shard < deployment.shards; ++shard) {
         end = std::max(end, Place(shard, now));
       }
-      if (query == warm) {
-        from = now;
+      if (query == warmup_calls) {
+        measured_from = now;
       }
-      if (query >= warm) {
+      if (query >= warmup_calls) {
         const double latency =
-            end - now + 2 * static_cast<double>(d.one_way_delay.count());
+            end - now +
+            2 * static_cast<double>(deployment.one_way_delay.count());
         stats.Add(Duration(static_cast<Duration::rep>(latency)),
                   latency <= kDeadlineUs ? Outcome::kWhole : Outcome::kPartial,
                   0);
       }
     }
-    return stats.Result(Duration(static_cast<Duration::rep>(now - from)));
+    return stats.ComputeResult(
+        Duration(static_cast<Duration::rep>(now - measured_from)));
   }
 
  private:
   static constexpr double kDeadlineUs = 250000;
 
   [[nodiscard]] bool IsLost(std::uint32_t shard, std::uint32_t replica) const {
-    return m_faulty && ((m_case.fault.lost_replica &&
-                         replica == shard % m_case.deployment.replicas) ||
-                        (m_case.fault.lost_domain && replica == 0));
+    return m_measuring && ((m_case.fault.lost_replica &&
+                            replica == shard % m_case.deployment.replicas) ||
+                           (m_case.fault.lost_domain && replica == 0));
   }
 
+  //! Assigns a request to a slot; returns when it completes, or the deadline if
+  //! all replicas of the shard are lost.
   [[nodiscard]] double Place(std::uint32_t shard, double now) {
-    const Deployment& d = m_case.deployment;
+    const Deployment& deployment = m_case.deployment;
     double* slot = nullptr;
-    double least = 0;
+    double earliest_end = 0;
     double chosen_factor = 1;
-    for (std::uint32_t replica = 0; replica < d.replicas; ++replica) {
+    for (std::uint32_t replica = 0; replica < deployment.replicas; ++replica) {
       double factor =
-          m_random.Unit() < m_case.fault.stragglers ? kStragglerFactor : 1;
-      if (m_faulty && m_case.fault.slow_server && shard == 0 && replica == 0) {
+          m_random.Unit() < m_case.fault.straggler_share ? kStragglerFactor : 1;
+      if (m_measuring && m_case.fault.slow_server && shard == 0 &&
+          replica == 0) {
         factor *= kStragglerFactor;
       }
       if (IsLost(shard, replica)) {
         continue;
       }
-      auto& free = m_free[shard * d.replicas + replica];
-      const auto first = std::ranges::min_element(free);
-      const double end = std::max(*first, now) +
-                         factor * static_cast<double>(kMeanService.count());
-      if (slot == nullptr || end < least) {
-        slot = &*first;
-        least = end;
+      auto& slot_free_at =
+          m_slot_free_at[shard * deployment.replicas + replica];
+      const auto earliest_slot = std::ranges::min_element(slot_free_at);
+      const double end = std::max(*earliest_slot, now) +
+                         factor * static_cast<double>(kMeanServiceTime.count());
+      if (slot == nullptr || end < earliest_end) {
+        slot = &*earliest_slot;
+        earliest_end = end;
         chosen_factor = factor;
       }
     }
@@ -92,15 +103,17 @@
       return now + kDeadlineUs;
     }
     *slot = std::max(*slot, now) +
-            chosen_factor * DrawService(m_case.shape, m_random);
+            chosen_factor * DrawServiceTime(m_case.distribution, m_random);
     return *slot;
   }
 
   TailCase m_case;
   Random m_random;
-  bool m_faulty = false;
-  //! For each target, when its slots become free.
-  std::vector<std::vector<double>> m_free;
+  //! Whether the measured time has begun; servers are slow or lost from then
+  //! on.
+  bool m_measuring = false;
+  //! For each target, when each of its slots becomes free, in microseconds.
+  std::vector<std::vector<double>> m_slot_free_at;
 };
 
 }  // namespace jacinthdeck::bench
--- a/bench/support/fleet.h
+++ b/bench/support/fleet.h
@@ -13,15 +13,17 @@
 
 namespace jacinthdeck::bench {
 
-/*! \brief All servers of one service; replica r of shard s has the number
+/*! \brief All targets of one service; replica r of shard s has the index
  * s * replicas + r. */
 struct Fleet {
   PartitionMap map;
-  std::vector<TargetInfo> infos;
-  std::unordered_map<TargetId, std::uint32_t> index;
+  std::vector<TargetInfo> targets;
+  //! Index of each target in `targets`.
+  std::unordered_map<TargetId, std::uint32_t> target_index;
 };
 
-/*! \brief Lays out a deployment; replica r of every shard is in domain r. */
+/*! \brief Creates the targets of a deployment; replica r of every shard is in
+ * failure domain r. */
 [[nodiscard]] inline Fleet MakeFleet(const Deployment& deployment,
                                      const ServiceId& service) {
   Fleet fleet;
@@ -41,8 +43,9 @@
       info.connections = deployment.connections;
       info.connection_open_time = deployment.connection_open_time;
       part.replicas.push_back(info.id);
-      fleet.index[info.id] = static_cast<std::uint32_t>(fleet.infos.size());
-      fleet.infos.push_back(info);
+      fleet.target_index[info.id] =
+          static_cast<std::uint32_t>(fleet.targets.size());
+      fleet.targets.push_back(info);
     }
   }
   return fleet;
--- a/bench/support/tail_case.h
+++ b/bench/support/tail_case.h
@@ -1,5 +1,5 @@
-// What one run of the tail bench measures: deployment, service shape, fault and
-// strategy.
+// Parameters of one run of the tail bench (deployment, service times, fault and
+// strategy) and its result.
 #ifndef JACINTHDECK_BENCH_SUPPORT_TAIL_CASE_H_
 #define JACINTHDECK_BENCH_SUPPORT_TAIL_CASE_H_
 
@@ -15,36 +15,39 @@
 
 namespace jacinthdeck::bench {
 
-/*! \brief Distribution of the time a slot works on a request. */
-enum class Shape { kExponential, kLognormal, kConstant };
+/*! \brief Distribution of the service time, for which a request occupies a
+ * slot. */
+enum class ServiceDistribution { kExponential, kLognormal, kConstant };
 
-inline constexpr NameTable<Shape, 3> kShapeNames{
+inline constexpr NameTable<ServiceDistribution, 3> kServiceDistributionNames{
     {"exponential", "lognormal 0.5", "nearly constant"}};
 
-/*! \brief Mean time a slot works on a request, for every shape. */
-inline constexpr Duration kMeanService = std::chrono::milliseconds(5);
+/*! \brief Mean service time, the same for every distribution. */
+inline constexpr Duration kMeanServiceTime = std::chrono::milliseconds(5);
+//! Slowdown of stragglers and of a slow server.
 inline constexpr double kStragglerFactor = 10;
 
 /*! \brief Draws a service time in microseconds. */
-[[nodiscard]] inline double DrawService(Shape shape, Random& random) {
+[[nodiscard]] inline double DrawServiceTime(ServiceDistribution distribution,
+                                            Random& random) {
   constexpr double kPi = 3.14159265358979323846;
   constexpr double kSigma = 0.5;
-  const auto mean = static_cast<double>(kMeanService.count());
-  switch (shape) {
-    case Shape::kExponential:
+  const auto mean = static_cast<double>(kMeanServiceTime.count());
+  switch (distribution) {
+    case ServiceDistribution::kExponential:
       return -mean * std::log(1 - random.Unit());
-    case Shape::kLognormal: {
+    case ServiceDistribution::kLognormal: {
       const double normal = std::sqrt(-2 * std::log(1 - random.Unit())) *
                             std::cos(2 * kPi * random.Unit());
       return mean * std::exp(kSigma * normal - kSigma * kSigma / 2);
     }
-    case Shape::kConstant:
+    case ServiceDistribution::kConstant:
       return mean * (0.95 + 0.1 * random.Unit());
   }
   return mean;
 }
 
-/*! \brief Servers of one query service. */
+/*! \brief Targets of one query service. */
 struct Deployment {
   std::string name;
   std::uint32_t shards = 10;
@@ -52,36 +55,39 @@
   std::uint32_t slots = 3;
   std::uint32_t connections = 30;
   Duration connection_open_time = std::chrono::milliseconds(6);
+  //! Network delay between an entry and a target, in one direction.
   Duration one_way_delay = Duration(500);
 };
 
-/*! \brief What goes wrong from the start of the measured time. */
+/*! \brief A fault scenario. Servers become slow or lost when the measured time
+ * starts; stragglers and the offered load apply to the whole run. */
 struct Fault {
   std::string name;
   //! Share of requests that take kStragglerFactor times as long.
-  double stragglers = 0;
+  double straggler_share = 0;
   //! One server is kStragglerFactor times slower.
   bool slow_server = false;
-  //! One replica of every shard falls silent, spread over the domains.
+  //! One replica of every shard stops responding; the lost replicas are spread
+  //! over the failure domains.
   bool lost_replica = false;
-  //! All servers of one failure domain fall silent.
+  //! All servers of one failure domain stop responding.
   bool lost_domain = false;
-  //! Offered load over the capacity of all slots.
-  double load = 0.6;
+  //! Offered load relative to the capacity of all slots.
+  double offered_load = 0.6;
 };
 
 /*! \brief A strategy under test. */
 struct Strategy {
   std::string name;
   RouterOptions options;
-  //! Replaces the engines by the chooser that knows every queue.
-  bool all_knowing = false;
+  //! Runs the OracleScheduler in place of the engines.
+  bool oracle = false;
 };
 
-/*! \brief One run. */
+/*! \brief Parameters of one run. */
 struct TailCase {
   Deployment deployment;
-  Shape shape = Shape::kExponential;
+  ServiceDistribution distribution = ServiceDistribution::kExponential;
   Fault fault;
   Strategy strategy;
   std::uint32_t entries = 8;
@@ -89,7 +95,7 @@
   std::uint64_t seed = 1;
 };
 
-/*! \brief What a run gave. */
+/*! \brief Result of one run. */
 struct TailResult {
   double p50_ms = 0;
   double p99_ms = 0;
@@ -98,12 +104,12 @@
   double whole = 0;
   //! Share of the calls answered partially.
   double partial = 0;
-  //! Requests to targets beyond the fan-out, for each call.
-  double extra = 0;
-  //! Whole answers a second of model time.
+  //! Attempts per call beyond the fan-out.
+  double extra_attempts = 0;
+  //! Whole answers per second of simulated time.
   double goodput = 0;
   std::uint64_t sheds = 0;
-  //! Most connections that one target held.
+  //! Largest number of connections to one target.
   std::uint32_t most_connections = 0;
   //! Calls with no or several answers, and answers whose covered and missing
   //! ranges are not the whole key space.
--- a/bench/support/tail_stats.h
+++ b/bench/support/tail_stats.h
@@ -1,4 +1,4 @@
-// Collects the answers of a run and works out its figures.
+// Statistics of the answers of a run of the tail bench.
 #ifndef JACINTHDECK_BENCH_SUPPORT_TAIL_STATS_H_
 #define JACINTHDECK_BENCH_SUPPORT_TAIL_STATS_H_
 
@@ -11,22 +11,27 @@
 
 namespace jacinthdeck::bench {
 
-/*! \brief Figures in the making. */
+/*! \brief Accumulates answers and computes the result of a run. */
 class TailStats {
  public:
-  /*! \brief Counts an answer. */
-  void Add(Duration latency, Outcome outcome, double extra) {
+  /**
+   * \brief Counts an answer.
+   * \param extra_attempts Attempts beyond the fan-out.
+   */
+  void Add(Duration latency, Outcome outcome, double extra_attempts) {
     ++m_calls;
-    // A refusal is fast; counted, it would make an overloaded tier look good.
+    // Refusals are fast: counting them would improve the latencies of an
+    // overloaded tier.
     if (outcome != Outcome::kNotRun) {
       m_latencies.push_back(ToMilliseconds(latency));
     }
     m_whole += outcome == Outcome::kWhole ? 1 : 0;
     m_partial += outcome == Outcome::kPartial ? 1 : 0;
-    m_extra += extra;
+    m_extra_attempts += extra_attempts;
   }
 
-  /*! \brief Checks that an answer accounts for the whole key space. */
+  /*! \brief Counts an answer as wrong if its covered and missing ranges do not
+   * add up to the key space, or if it is whole but misses a range. */
   void CheckCoverage(const Answer& answer) {
     std::uint64_t sum = 0;
     for (const KeyRange& range : answer.covered) {
@@ -43,26 +48,26 @@
     }
   }
 
-  /*! \brief Counts calls that got no answer, or more than one. */
+  /*! \brief Counts calls that got no answer or more than one as wrong. */
   void CountWrongAnswers(std::uint64_t count) { m_wrong_answers += count; }
 
-  /*! \brief Works out the figures; the span is the measured model time. */
-  [[nodiscard]] TailResult Result(Duration span) {
+  /*! \brief Computes the result; the measured time is simulated time. */
+  [[nodiscard]] TailResult ComputeResult(Duration measured_time) {
     std::ranges::sort(m_latencies);
     TailResult result;
-    result.p50_ms = At(0.5);
-    result.p99_ms = At(0.99);
-    result.p999_ms = At(0.999);
+    result.p50_ms = Quantile(0.5);
+    result.p99_ms = Quantile(0.99);
+    result.p999_ms = Quantile(0.999);
     result.whole = m_whole / m_calls;
     result.partial = m_partial / m_calls;
-    result.extra = m_extra / m_calls;
-    result.goodput = m_whole / (ToMilliseconds(span) / 1000);
+    result.extra_attempts = m_extra_attempts / m_calls;
+    result.goodput = m_whole / (ToMilliseconds(measured_time) / 1000);
     result.wrong_answers = m_wrong_answers;
     return result;
   }
 
  private:
-  [[nodiscard]] double At(double quantile) const {
+  [[nodiscard]] double Quantile(double quantile) const {
     if (m_latencies.empty()) {
       return 0;
     }
@@ -74,7 +79,7 @@
   double m_calls = 0;
   double m_whole = 0;
   double m_partial = 0;
-  double m_extra = 0;
+  double m_extra_attempts = 0;
   std::uint64_t m_wrong_answers = 0;
 };
 
--- a/bench/support/target_model.h
+++ b/bench/support/target_model.h
@@ -1,4 +1,4 @@
-// A target in model time: slots, a small FIFO queue, shedding and silence.
+// A target of the tail model: slots and a bounded FIFO queue.
 #ifndef JACINTHDECK_BENCH_SUPPORT_TARGET_MODEL_H_
 #define JACINTHDECK_BENCH_SUPPORT_TARGET_MODEL_H_
 
@@ -13,7 +13,7 @@
 
 namespace jacinthdeck::bench {
 
-/*! \brief Names an attempt among all entries. */
+/*! \brief Identifies an attempt across all entries. */
 using AttemptKey = std::uint64_t;
 
 /*! \brief What a target does with an arriving request. */
@@ -22,12 +22,12 @@
 /*! \brief Slots and queue of one target. */
 class TargetModel {
  public:
-  //! Requests that wait for a slot before the next is shed.
-  static constexpr std::size_t kQueue = 8;
+  //! Requests that can wait for a slot; the next one is shed.
+  static constexpr std::size_t kQueueCapacity = 8;
 
   explicit TargetModel(std::uint32_t slots) : m_slots(slots) {}
 
-  /*! \brief Load as it reports it, 0 to 1. */
+  /*! \brief Returns the load that the target reports, from 0 to 1. */
   [[nodiscard]] double load() const noexcept {
     const auto work = static_cast<double>(m_running.size() + m_queue.size());
     return std::min(1.0, work / (2.0 * m_slots));
@@ -38,19 +38,20 @@
       m_running.insert(key);
       return Arrival::kStarted;
     }
-    if (m_queue.size() >= kQueue) {
+    if (m_queue.size() >= kQueueCapacity) {
       return Arrival::kShed;
     }
     m_queue.push_back(key);
     return Arrival::kQueued;
   }
 
-  /*! \brief Tells whether a slot works on it. */
+  /*! \brief Returns whether the request occupies a slot. */
   [[nodiscard]] bool IsRunning(AttemptKey key) const {
     return m_running.contains(key);
   }
 
-  /*! \brief Takes a request out; gives the one that starts in its place. */
+  /*! \brief Removes a request; returns the one that starts in its slot, if any.
+   */
   [[nodiscard]] std::optional<AttemptKey> Remove(AttemptKey key) {
     if (m_running.erase(key) == 0) {
       std::erase(m_queue, key);
@@ -67,7 +68,7 @@
 
  private:
   std::uint32_t m_slots;
-  //! Never more than m_slots.
+  //! At most m_slots attempts.
   std::unordered_set<AttemptKey> m_running;
   std::deque<AttemptKey> m_queue;
 };
