--- a/bench/engine.cc
+++ b/bench/engine.cc
@@ -1,5 +1,6 @@
-// Processor time of engine and router for each request to a target, on one
-// core, with many calls in flight. Prints a markdown row for each fan-out.
+// Measures the processor time of engine and router per request to a target, on
+// one core with many calls in flight. Prints a Markdown table with a row for
+// each fan-out.
 #include <chrono>
 #include <cstdio>
 #include <deque>
@@ -17,7 +18,8 @@
 constexpr std::size_t kCallsInFlight = 64;
 constexpr std::size_t kRequests = 1'000'000;
 
-/*! \brief One service whose targets answer at once, in the order of asking. */
+/*! \brief Load on one service whose targets answer immediately, in the order of
+ * the requests. */
 class EngineLoad {
  public:
   explicit EngineLoad(std::size_t shards) : m_router(1), m_engine(m_router, 1) {
@@ -45,13 +47,14 @@
     m_engine.SetVersions(method->service, {map});
   }
 
-  //! Runs calls until enough requests were sent; gives their number.
+  //! Runs calls until at least kRequests requests are sent; returns their
+  //! number.
   std::size_t Run() {
     std::size_t sent = 0;
     while (sent < kRequests) {
       while (m_engine.open_calls() < kCallsInFlight) {
         SubmitOne();
-        sent += Collect();
+        sent += CollectSends();
       }
       const SendAttempt send = std::move(m_sends.front());
       m_sends.pop_front();
@@ -65,7 +68,7 @@
       if (m_engine.NextTimer() && *m_engine.NextTimer() <= m_now) {
         m_engine.OnTimer(m_now, m_effects);
       }
-      sent += Collect();
+      sent += CollectSends();
     }
     return sent;
   }
@@ -86,7 +89,8 @@
     m_engine.Submit(std::move(call), m_now, m_effects);
   }
 
-  std::size_t Collect() {
+  //! Queues the requests that the engine sent; returns their number.
+  std::size_t CollectSends() {
     const std::size_t count = m_effects.sends.size();
     for (SendAttempt& send : m_effects.sends) {
       m_sends.push_back(std::move(send));
@@ -112,12 +116,12 @@
   EngineLoad load(shards);
   const auto start = std::chrono::steady_clock::now();
   const std::size_t requests = load.Run();
-  const std::chrono::duration<double> took =
+  const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
   const auto count = static_cast<double>(requests);
   std::printf(
       "| %zu | %zu | %.2f | %.0f | %llu |\n", shards, requests,
-      1e6 * took.count() / count, count / took.count(),
+      1e6 * elapsed.count() / count, count / elapsed.count(),
       static_cast<unsigned long long>(load.counters().Of(Outcome::kWhole)));
 }
 
--- a/bench/forward.cc
+++ b/bench/forward.cc
@@ -1,4 +1,5 @@
-// Plays the model's loads on the forwarders and prints a table.
+// Simulates forwarders under each case of the forward model and prints a
+// Markdown table.
 #include <boost/program_options.hpp>
 #include <cstdint>
 #include <iomanip>
@@ -13,13 +14,13 @@
 using jacinthdeck::bench::ForwardResult;
 
 void PrintRow(std::string_view name, const ForwardResult& result) {
-  const auto part = [&](std::uint64_t count) {
+  const auto percent = [&](std::uint64_t count) {
     return 100 * static_cast<double>(count) / static_cast<double>(result.calls);
   };
   std::cout << std::fixed << std::setprecision(1) << "| " << name << " | "
-            << 100 * result.value() << " | " << part(result.in_time) << " | "
-            << part(result.late) << " | " << part(result.refused) << " | "
-            << part(result.failed) << " | " << result.p50_ms << " | "
+            << 100 * result.value() << " | " << percent(result.in_time) << " | "
+            << percent(result.late) << " | " << percent(result.refused) << " | "
+            << percent(result.failed) << " | " << result.p50_ms << " | "
             << 100 * static_cast<double>(result.extra_attempts) /
                    static_cast<double>(result.attempts)
             << " | " << std::setprecision(2) << result.budget_used << " | "
@@ -35,10 +36,10 @@
   options.add_options()("help", "print this")(
       "seeds", po::value(&seeds)->default_value(seeds),
       "runs of each load, with seeds from 1 on");
-  po::variables_map given;
-  po::store(po::parse_command_line(argc, argv, options), given);
-  po::notify(given);
-  if (given.contains("help")) {
+  po::variables_map values;
+  po::store(po::parse_command_line(argc, argv, options), values);
+  po::notify(values);
+  if (values.contains("help")) {
     std::cout << options;
     return 0;
   }
--- a/bench/tail_router.cc
+++ b/bench/tail_router.cc
@@ -1,4 +1,5 @@
-// Processor time of Choose() and Finish() for queries to many targets.
+// Measures the processor time of Router::Choose() and Router::Finish() for
+// queries that fan out to many targets. Prints a Markdown table.
 #include <chrono>
 #include <cstdint>
 #include <cstdio>
@@ -40,11 +41,12 @@
   return shards;
 }
 
-//! One query: a choice for each shard, then all ends. Returns the choices.
-[[nodiscard]] std::uint64_t Query(Router& router,
-                                  const ServiceId& service,
-                                  const Shards& shards,
-                                  TimePoint now) {
+//! Chooses a target for each shard, then finishes all attempts. Returns the
+//! number of targets that were chosen.
+[[nodiscard]] std::uint64_t RunQuery(Router& router,
+                                     const ServiceId& service,
+                                     const Shards& shards,
+                                     TimePoint now) {
   std::vector<TargetId> chosen;
   chosen.reserve(kShards);
   for (const auto& replicas : shards.replicas) {
@@ -74,16 +76,16 @@
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kQueries; ++i) {
     now += std::chrono::milliseconds(8);
-    choices += Query(router, service, shards, now);
+    choices += RunQuery(router, service, shards, now);
   }
-  const std::chrono::duration<double> took =
+  const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
   std::printf(
       "| targets | fan-out | replicas | Choose+Finish/s | ns each |\n"
       "|---|---|---|---|---|\n| %zu | %zu | %zu | %.0f | %.0f |\n",
       kShards * kReplicas, kShards, kReplicas,
-      static_cast<double>(choices) / took.count(),
-      took.count() * 1e9 / static_cast<double>(choices));
+      static_cast<double>(choices) / elapsed.count(),
+      elapsed.count() * 1e9 / static_cast<double>(choices));
 }
 
 }  // namespace
