--- a/model/knowledge.pml
+++ b/model/knowledge.pml
@@ -1,45 +1,49 @@
-/* How the store's content spreads among hosts, and when a host believes it.
+/* Checks how the store's content spreads among hosts, and when a host applies
+ * it.
  *
- * One store, two feeders that read it, one host that learns from both and from
- * the store itself. Messages of the feeders arrive late and in any order
- * between the two. Checked of the host:
- *   - its configuration version never falls;
- *   - a target that was removed does not come back by a late message;
- *   - a target whose lease ran out while the store was away, and which lives,
- *     is not dropped before it had its time to return;
+ * There is one store, two feeders that read it, and one host that follows both
+ * feeders and reads the store itself. Messages of the feeders arrive late and
+ * in any order between the two. Checked for the host:
+ *   - its configuration version never decreases;
+ *   - a late message does not bring back a target that was removed;
+ *   - a live target whose lease expired while the store was unavailable is not
+ *     dropped before it had time to register again;
  *   - it serves nothing before it knows a configuration.
- * Each NO_... leaves one rule out; model/check says which are found.
+ * Each NO_... macro leaves one rule out; model/check says which of them must
+ * make an assertion fail.
  */
 
-#define CHANGES 2      /* writes of the configuration */
-#define MESSAGES 1     /* messages under way from one feeder */
+#define CHANGES 2      /* number of writes of the configuration */
+#define MESSAGES 1     /* messages in transit from one feeder */
 
 typedef Content {
   byte config;         /* version; 0: none */
   byte config_rev;
-  bool target;         /* the entry is there */
+  bool has_target;     /* the entry of the target exists */
   byte target_rev;
 }
 
 byte revision = 0;
 Content store;
-bool away = false;         /* the store answers nobody */
-bool was_away = false;     /* an outage has been, whose lapses may still show */
-bool target_lives = true;
-bool target_left = false;  /* it was removed while the store was well */
-bool had_time = true;      /* since the outage the target had time to return */
+bool store_unavailable = false;
+bool had_outage = false;    /* an outage ended, or a lease expired in one */
+bool target_alive = true;
+bool target_left = false;   /* it was removed while the store was available */
+/* False from the expiry of the target's lease in an outage until the target has
+ * registered again. */
+bool reregistration_over = true;
 
 Content host;
-bool holding = false;      /* a removal that is not believed yet */
+bool removal_held = false;  /* a removal has not taken effect yet */
 bool uses_target = false;
-bool used_target = false;   /* it did at some time */
+bool used_target = false;   /* the host has used the target at least once */
 byte highest_config = 0;
-byte removal_rev = 0;      /* highest removal that the host has believed */
+byte removal_rev = 0;       /* newest removal that took effect at the host */
 
 chan feed_a = [MESSAGES] of { byte, byte, bool, byte };
 chan feed_b = [MESSAGES] of { byte, byte, bool, byte };
 
-inline take_config(version, rev) {
+inline apply_config(version, rev) {
   if
 #ifdef NO_VERSION_RULE
   :: rev > 0 -> host.config = version; host.config_rev = rev
@@ -53,7 +57,7 @@
   highest_config = host.config
 }
 
-inline take_target(there, rev) {
+inline apply_target(present, rev) {
   if
 #ifdef NO_REVISION_RULE
   :: rev > 0 ->
@@ -61,83 +65,92 @@
   :: rev > host.target_rev ->
 #endif
        host.target_rev = rev;
-       host.target = there;
+       host.has_target = present;
        if
-       :: there -> holding = false; uses_target = true;
+       :: present -> removal_held = false; uses_target = true;
             used_target = true;
             assert(rev > removal_rev)
-       :: !there ->
+       :: !present ->
             if
 #ifndef NO_HOLD
-            :: was_away && !had_time -> holding = true
+            :: had_outage && !reregistration_over -> removal_held = true
 #endif
-            :: else -> uses_target = false; holding = false; removal_rev = rev
+            :: else ->
+                 uses_target = false; removal_held = false; removal_rev = rev
             fi
        fi
   :: else
   fi
 }
 
-/* The operator, the target, and the store's outages. */
-active proctype Platform() {
-  byte left = CHANGES;
-  revision = 1; store.target = true; store.target_rev = 1;
+/* The operator, the target, and the outages of the store. */
+active proctype Environment() {
+  byte changes_left = CHANGES;
+  revision = 1; store.has_target = true; store.target_rev = 1;
   do
-  :: atomic { left > 0 && !away ->
-       left--; revision++; store.config++; store.config_rev = revision }
-  :: atomic { !away && !was_away -> away = true }
-  :: atomic { away && store.target -> /* its lease runs out */
-       revision++; store.target = false; store.target_rev = revision;
-       was_away = true; had_time = false }
-  :: atomic { away -> away = false; was_away = true }
-  :: atomic { !away && was_away && !store.target && target_lives && !target_left ->
-       revision++; store.target = true; store.target_rev = revision;
-       had_time = true }
-  :: atomic { !away && store.target && !target_left && had_time ->
-       target_lives = false; target_left = true;
-       revision++; store.target = false; store.target_rev = revision }
-  :: atomic { left == 0 && !away && had_time -> break }
+  :: atomic { changes_left > 0 && !store_unavailable ->
+       changes_left--; revision++; store.config++; store.config_rev = revision }
+  :: atomic { !store_unavailable && !had_outage -> store_unavailable = true }
+  :: atomic { store_unavailable && store.has_target -> /* its lease expires */
+       revision++; store.has_target = false; store.target_rev = revision;
+       had_outage = true; reregistration_over = false }
+  :: atomic { store_unavailable -> store_unavailable = false; had_outage = true }
+  :: atomic { !store_unavailable && had_outage && !store.has_target &&
+              target_alive && !target_left ->
+       revision++; store.has_target = true; store.target_rev = revision;
+       reregistration_over = true }
+  :: atomic { !store_unavailable && store.has_target && !target_left &&
+              reregistration_over ->
+       target_alive = false; target_left = true;
+       revision++; store.has_target = false; store.target_rev = revision }
+  :: atomic { changes_left == 0 && !store_unavailable && reregistration_over ->
+       break }
   od
 }
 
-/* Watchers: they hand on what they read, which may be old on arrival. */
+/* Feeders read the store and send its content, which may be outdated when it
+ * arrives. */
 active proctype FeederA() {
   do
-  :: atomic { !away && nfull(feed_a) ->
-       feed_a!store.config, store.config_rev, store.target, store.target_rev }
+  :: atomic { !store_unavailable && nfull(feed_a) ->
+       feed_a!store.config, store.config_rev, store.has_target,
+              store.target_rev }
   :: break
   od
 }
 
 active proctype FeederB() {
   do
-  :: atomic { !away && nfull(feed_b) ->
-       feed_b!store.config, store.config_rev, store.target, store.target_rev }
+  :: atomic { !store_unavailable && nfull(feed_b) ->
+       feed_b!store.config, store.config_rev, store.has_target,
+              store.target_rev }
   :: break
   od
 }
 
 active proctype Host() {
   byte config, config_rev, target_rev;
-  bool target;
+  bool has_target;
   byte steps = 4;
   do
-  :: atomic { steps > 0 && feed_a?[config, config_rev, target, target_rev] ->
-       feed_a?config, config_rev, target, target_rev;
-       take_config(config, config_rev); take_target(target, target_rev); steps-- }
-  :: atomic { steps > 0 && feed_b?[config, config_rev, target, target_rev] ->
-       feed_b?config, config_rev, target, target_rev;
-       take_config(config, config_rev); take_target(target, target_rev); steps-- }
-  :: atomic { steps > 0 && !away ->  /* its own reading */
-       take_config(store.config, store.config_rev);
-       take_target(store.target, store.target_rev); steps-- }
-  :: atomic { holding && had_time ->  /* the hold is over */
-       holding = false;
+  :: atomic { steps > 0 && feed_a?[config, config_rev, has_target, target_rev] ->
+       feed_a?config, config_rev, has_target, target_rev;
+       apply_config(config, config_rev);
+       apply_target(has_target, target_rev); steps-- }
+  :: atomic { steps > 0 && feed_b?[config, config_rev, has_target, target_rev] ->
+       feed_b?config, config_rev, has_target, target_rev;
+       apply_config(config, config_rev);
+       apply_target(has_target, target_rev); steps-- }
+  :: atomic { steps > 0 && !store_unavailable ->  /* it reads the store */
+       apply_config(store.config, store.config_rev);
+       apply_target(store.has_target, store.target_rev); steps-- }
+  :: atomic { removal_held && reregistration_over ->  /* the hold ends */
+       removal_held = false;
        if
-       :: !host.target -> uses_target = false; removal_rev = host.target_rev
+       :: !host.has_target -> uses_target = false; removal_rev = host.target_rev
        :: else
        fi }
-  :: atomic { steps > 0 ->  /* a call comes */
+  :: atomic { steps > 0 ->  /* a call arrives */
        steps--;
 #ifdef NO_CONFIG_RULE
        if
@@ -147,11 +160,12 @@
 #else
        if
        :: host.config > 0 && uses_target -> assert(host.config > 0)
-       :: else /* refused: not run */
+       :: else /* refused: the call is not run */
        fi;
 #endif
-       /* A live target that only lapsed is still in use once it was. */
-       assert(!(was_away && !had_time && used_target && !uses_target)) }
+       /* A live target whose lease expired in the outage stays in use. */
+       assert(!(had_outage && !reregistration_over && used_target &&
+                !uses_target)) }
   :: steps == 0 -> break
   od
 }
