--- a/tools/lib/deployment.sh
+++ b/tools/lib/deployment.sh
@@ -7,8 +7,8 @@
 
 fail() { echo "FAIL: $*" >&2; exit 1; }
 
-# until_true SECONDS COMMAND...: polls; fails once the time is over.
-until_true() {
+# wait_until SECONDS COMMAND...: polls; fails once the time is over.
+wait_until() {
   local end=$((SECONDS + $1)); shift
   while ! "$@" >/dev/null 2>&1; do
     [ $SECONDS -lt "$end" ] || return 1
@@ -28,17 +28,17 @@
   "$@" >"$work/$name.out" 2>"$work/$name.err" &
   pid_of[$name]=$!
   started+=("$name")
-  until_true 30 listens_or_ended "$name" || fail "$name is not ready after 30 s"
+  wait_until 30 listens_or_ended "$name" || fail "$name is not ready after 30 s"
   is_listening "$name" || { cat "$work/$name.err" >&2; fail "$name ended"; }
 }
 
 signal() { kill "-$2" "${pid_of[$1]}"; }
 
-# wait_end NAME SECONDS: waits for a process and leaves its code in end_code.
-wait_end() {
-  until_true "$2" has_ended "$1" || return 1
-  end_code=0
-  wait "${pid_of[$1]}" || end_code=$?
+# wait_exit NAME SECONDS: waits for a process and leaves its code in exit_code.
+wait_exit() {
+  wait_until "$2" has_ended "$1" || return 1
+  exit_code=0
+  wait "${pid_of[$1]}" || exit_code=$?
 }
 
 stop_all() {
@@ -47,17 +47,17 @@
     is_running "$name" && kill -TERM "${pid_of[$name]}" 2>/dev/null
   done
   for name in "${started[@]}"; do
-    until_true 40 has_ended "$name" || kill -KILL "${pid_of[$name]}" 2>/dev/null
+    wait_until 40 has_ended "$name" || kill -KILL "${pid_of[$name]}" 2>/dev/null
   done
   rm -rf "$work"
 }
 
 address_of() { sed -n 's/^listening \(127[0-9.:]*\)$/\1/p' "$work/$1.out"; }
-# port_of NAME WHICH: a port that a daemon told in its first line.
-port_of() { sed -n "s/.*\"event\":\"started\".*\"$2\":\([0-9]*\).*/\1/p" "$work/$1.out"; }
-queries_of() { echo "127.0.0.1:$(port_of "$1" queries_port)"; }
-host_of() { echo "127.0.0.1:$(port_of "$1" metrics_port)"; }
-callers_of() { echo "127.0.0.1:$(port_of "$1" callers_port)"; }
+# logged_port NAME WHICH: a port that a daemon told in its first line.
+logged_port() { sed -n "s/.*\"event\":\"started\".*\"$2\":\([0-9]*\).*/\1/p" "$work/$1.out"; }
+queries_address() { echo "127.0.0.1:$(logged_port "$1" queries_port)"; }
+metrics_address() { echo "127.0.0.1:$(logged_port "$1" metrics_port)"; }
+callers_address() { echo "127.0.0.1:$(logged_port "$1" callers_port)"; }
 store_control() { curl -s -m 10 -o /dev/null -d "$1" "http://$(address_of store)/control"; }
 
 # start_platform DEPLOYMENT [TARGET OPTIONS...]: store and targets.
@@ -104,8 +104,8 @@
 # ctl NAME ARGUMENTS...: the command line against one host and the store.
 ctl() {
   local name=$1; shift
-  "$build/platform/jacinthdeckctl" --store "$(address_of store)" --host "$(host_of "$name")" \
-    --queries "$(queries_of "$name")" "$@"
+  "$build/platform/jacinthdeckctl" --store "$(address_of store)" --host "$(metrics_address "$name")" \
+    --queries "$(queries_address "$name")" "$@"
 }
 
 # answers NAME CALL REQUEST: whether a host gives a whole answer.
