--- a/examples/embedding/main.cc
+++ b/examples/embedding/main.cc
@@ -1,5 +1,5 @@
 // Drives the query engine without sockets or threads: one call over two shards,
-// one of which is slow.
+// of which one gets no reply, so that the answer at the deadline is partial.
 #include <iostream>
 #include <memory>
 #include <string>
@@ -23,7 +23,7 @@
   return target;
 }
 
-[[nodiscard]] jacinthdeck::PartitionMap MakeMap() {
+[[nodiscard]] jacinthdeck::PartitionMap MakePartitionMap() {
   using jacinthdeck::KeyRange;
   using jacinthdeck::Shard;
   using jacinthdeck::ShardId;
@@ -57,7 +57,7 @@
   jacinthdeck::Router router(1);
   router.SetTargets({MakeTarget("fast"), MakeTarget("slow")}, clock.Now());
   jacinthdeck::Engine engine(router, 1);
-  engine.SetVersions(jacinthdeck::ServiceId("Desk"), {MakeMap()});
+  engine.SetVersions(jacinthdeck::ServiceId("Desk"), {MakePartitionMap()});
 
   jacinthdeck::Effects effects;
   engine.Submit(MakeCall(clock.Now()), clock.Now(), effects);
@@ -75,12 +75,12 @@
     engine.OnReply(reply, clock.Now(), ignored);
   }
 
-  jacinthdeck::Effects ended;
-  while (ended.answers.empty()) {
+  jacinthdeck::Effects final_effects;
+  while (final_effects.answers.empty()) {
     clock.Advance(1ms);
-    engine.OnTimer(clock.Now(), ended);
+    engine.OnTimer(clock.Now(), final_effects);
   }
-  const jacinthdeck::Answer& answer = ended.answers.front().answer;
+  const jacinthdeck::Answer& answer = final_effects.answers.front().answer;
   std::cout << "outcome " << jacinthdeck::kOutcomeNames.Name(answer.outcome)
             << ", " << answer.hits.size() << " hit, " << answer.missing.size()
             << " key range missing\n";
