--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -174,7 +174,7 @@
     case KeyKind::kHost:
       ApplyHost(change, now, changed);
       break;
-    case KeyKind::kConviction: {
+    case KeyKind::kQuarantine: {
       std::uint64_t raw = 0;
       constexpr int kHex = 16;
       const char* end = name.id.data() + name.id.size();
--- a/src/jacinthdeck/discovery/platform_codec.h
+++ b/src/jacinthdeck/discovery/platform_codec.h
@@ -26,13 +26,14 @@
   kEvacuation,
   kTarget,
   kHost,
-  kConviction,
+  //! Fingerprint of a request that crashes its targets.
+  kQuarantine,
   kSchema,
   kIndex,
   kOther,
 };
 
-//! Names of the kinds, for logs.
+//! Names of the kinds, for logs; kQuarantine is written as "conviction".
 inline constexpr NameTable<KeyKind, 8> kKeyKindNames{
     {"config", "evacuation", "target", "host", "conviction", "schema", "index",
      "other"}};
@@ -64,7 +65,7 @@
 
   [[nodiscard]] virtual ParsedKey ReadKey(std::string_view key) const = 0;
   [[nodiscard]] virtual std::string HostKey(const HostId& host) const = 0;
-  [[nodiscard]] virtual std::string ConvictionKey(
+  [[nodiscard]] virtual std::string QuarantineKey(
       Fingerprint fingerprint) const = 0;
   [[nodiscard]] virtual std::string SchemaKey() const = 0;
   [[nodiscard]] virtual std::string IndexKey(
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -184,7 +184,7 @@
   void EndLease();
   void RemoveRecord();
   void WriteMembers();
-  void WriteConviction();
+  void WriteQuarantine();
   void OnWriteFailed(StoreStatus status);
   void CheckOwnRecord();
   void CompareMembers();
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -19,9 +19,9 @@
 constexpr Duration kMemberWriteInterval = milliseconds(300);
 //! Lease of the key that reports a crashing request. The other hosts learn of
 //! the request long before it expires.
-constexpr Duration kConvictionLeaseDuration = seconds(60);
+constexpr Duration kQuarantineLeaseDuration = seconds(60);
 //! Limit of crashing requests that wait to be written.
-constexpr std::size_t kMaxPendingConvictions = 16;
+constexpr std::size_t kMaxPendingQuarantines = 16;
 
 }  // namespace
 
@@ -60,7 +60,7 @@
 }
 
 void StoreSession::ShareQuarantine(Fingerprint fingerprint) {
-  if (m_quarantines.size() < kMaxPendingConvictions) {
+  if (m_quarantines.size() < kMaxPendingQuarantines) {
     m_quarantines.push_back(fingerprint);
   }
   if (!m_writes.busy()) {
@@ -86,14 +86,14 @@
     }
   } else if (!m_record) {
     if (!m_quarantines.empty()) {
-      WriteConviction();
+      WriteQuarantine();
     }
   } else if (m_lease == 0) {
     GrantLease();
   } else if (!m_record_written) {
     PutRecord();
   } else if (!m_quarantines.empty()) {
-    WriteConviction();
+    WriteQuarantine();
   } else if (m_clock.Now() >= m_renew_at) {
     RenewLease();
   } else {
@@ -213,9 +213,9 @@
        });
 }
 
-void StoreSession::WriteConviction() {
+void StoreSession::WriteQuarantine() {
   ++m_counters.writes;
-  Send(m_codec.GrantCall(kConvictionLeaseDuration), {},
+  Send(m_codec.GrantCall(kQuarantineLeaseDuration), {},
        [this](const StoreAck& lease) {
          if (m_quarantines.empty()) {
            OnWriteFailed(lease.status);
@@ -224,7 +224,7 @@
          ++m_counters.writes;
          StoreWrite write;
          write.puts.push_back(
-             {m_codec.ConvictionKey(m_quarantines.back()), "1", lease.lease});
+             {m_codec.QuarantineKey(m_quarantines.back()), "1", lease.lease});
          Send(m_codec.WriteCall(write), {}, [this](const StoreAck&) {
            if (!m_quarantines.empty()) {
              m_quarantines.pop_back();
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -210,7 +210,7 @@
 }
 
 void EntryNode::ShareQuarantine(Fingerprint fingerprint) {
-  LogLine line = m_log.Begin(LogEvent::kConvicted);
+  LogLine line = m_log.Begin(LogEvent::kQuarantined);
   line.Hash("fingerprint", fingerprint.raw());
   m_log.Add(std::move(line));
   m_store.ShareQuarantine(fingerprint);
--- a/src/jacinthdeck/entry/log_event.h
+++ b/src/jacinthdeck/entry/log_event.h
@@ -30,7 +30,7 @@
   kFrontsChanged,
   kSchemaApplied,
   kEntryUnreadable,
-  kConvicted,
+  kQuarantined,
   kCallRefused,
   kCallFailed,
   kCallPartial,
@@ -42,7 +42,8 @@
   kTraffic,
 };
 
-//! Names of the events as written to the log, in the order of LogEvent.
+//! Names of the events as written to the log, in the order of LogEvent;
+//! kQuarantined is written as "convicted".
 inline constexpr NameTable<LogEvent, 31> kLogEventNames{{"started",
                                                          "stopping",
                                                          "stopped",
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -167,10 +167,10 @@
   BOOST_TEST((discovery_state.FindHost(HostId("h1")) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(Conviction_OfAnotherHost_IsReported) {
+BOOST_AUTO_TEST_CASE(Quarantine_OfAnotherHost_IsReported) {
   const Fingerprint fingerprint(0xabcdef0123456789U);
   const DiscoveryChange change =
-      Change(codec.ConvictionKey(fingerprint), std::string("1"));
+      Change(codec.QuarantineKey(fingerprint), std::string("1"));
   BOOST_REQUIRE_EQUAL(change.quarantines.size(), 1U);
   BOOST_TEST(change.quarantines.front() == fingerprint);
 }
