--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -63,7 +63,7 @@
 
  private:
   // Callbacks from the components, defined in entry_node.cc and
-  // entry_node_knowledge.cc.
+  // entry_node_discovery.cc.
   void OnCall(ForwardCall call) override;
   void OnCallerLeft(CallId call,
                     const std::string& request_id,
@@ -115,7 +115,7 @@
   void OnSignal(int signal);
   void BeginStop();
   void Stop();
-  // Defined in entry_node_knowledge.cc.
+  // Defined in entry_node_discovery.cc.
   [[nodiscard]] HostRecord OwnRecord() const;
   //! Returns the part of this host's record that comes from the settings. Only
   //! this part may be requested before the ports and their servers exist.
