--- a/test/jacinthdeck/discovery/directory_choice_test.cc
+++ b/test/jacinthdeck/discovery/directory_choice_test.cc
@@ -23,7 +23,7 @@
                                 MakeHost(3, "a"), MakeHost(4, "b"),
                                 MakeHost(5, "c"), MakeHost(6, "c")};
 
-  [[nodiscard]] std::vector<std::string> Ask(
+  [[nodiscard]] std::vector<std::string> AddressesFor(
       const std::string& domain,
       bool self_accepts_callers = true) const {
     DirectoryRequest request;
@@ -39,26 +39,26 @@
 BOOST_FIXTURE_TEST_SUITE(DirectoryChoiceTest, DirectoryFixture)
 
 BOOST_AUTO_TEST_CASE(Domain_HasThreeHosts_OnlyTheyAreReturned) {
-  BOOST_TEST(Ask("a").size() == 3U);
-  BOOST_TEST(Ask("a").front() == "10.0.0.1:80");
+  BOOST_TEST(AddressesFor("a").size() == 3U);
+  BOOST_TEST(AddressesFor("a").front() == "10.0.0.1:80");
 }
 
 // Both hosts of a domain may fail at once and stay listed until their leases
 // expire. A third host, of another domain, remains for the callers.
 BOOST_AUTO_TEST_CASE(Domain_HasTwoHosts_OneOfAnotherDomainIsAdded) {
-  const auto addresses = Ask("c");
+  const auto addresses = AddressesFor("c");
   BOOST_TEST(addresses.size() == 3U);
   BOOST_TEST(addresses[0] == "10.0.0.5:80");
   BOOST_TEST(addresses[1] == "10.0.0.6:80");
 }
 
 BOOST_AUTO_TEST_CASE(Domain_HasOneHostOrNone_AllAreReturned) {
-  BOOST_TEST(Ask("b").size() == 6U);
-  BOOST_TEST(Ask("elsewhere").size() == 6U);
+  BOOST_TEST(AddressesFor("b").size() == 6U);
+  BOOST_TEST(AddressesFor("elsewhere").size() == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(Self_IsStopping_IsNotReturned) {
-  const auto addresses = Ask("b", false);
+  const auto addresses = AddressesFor("b", false);
   BOOST_TEST(addresses.size() == 5U);
   BOOST_TEST((std::ranges::find(addresses, "10.0.0.4:80") == addresses.end()));
 }
--- a/test/jacinthdeck/discovery/knowledge_test.cc
+++ b/test/jacinthdeck/discovery/knowledge_test.cc
@@ -23,14 +23,14 @@
   TimePoint now{seconds(100)};
   std::uint64_t revision = 10;
 
-  [[nodiscard]] static std::string Server(const std::string& state,
-                                          const std::string& extra = "") {
+  [[nodiscard]] static std::string TargetValue(const std::string& state,
+                                               const std::string& extra = "") {
     return R"({"service":"desk","address":"10.0.0.1:80","zone":"z","slots":3,)"
            R"("state":")" +
            state + "\"" + extra + "}";
   }
 
-  [[nodiscard]] static std::string Config(int version) {
+  [[nodiscard]] static std::string ConfigValue(int version) {
     return R"({"version":)" + std::to_string(version) +
            R"(,"routes":[],"services":[]})";
   }
@@ -49,7 +49,7 @@
   //! Applies a full read without evacuations, which is what a backup would
   //! hold, and then an evacuation.
   void EvacuateAfterBackup() {
-    (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
+    (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
     (void)Change("op/evacuate/z", "{}");
   }
 
@@ -70,7 +70,7 @@
 BOOST_FIXTURE_TEST_SUITE(DiscoveryStateTest, DiscoveryStateFixture)
 
 BOOST_AUTO_TEST_CASE(Target_IsRemovedWhileStoreIsAvailable_IsRemovedAtOnce) {
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   BOOST_TEST(targets() == 1U);
   BOOST_TEST(Change("servers/a", std::nullopt).targets);
   BOOST_TEST(targets() == 0U);
@@ -81,15 +81,15 @@
 // once it is back, although the targets are alive and about to register again.
 BOOST_AUTO_TEST_CASE(
     Target_LeaseExpiredDuringOutage_StaysUntilReregistrationTimeEnds) {
-  (void)Change("servers/a", Server("ready"));
-  (void)Change("servers/b", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
+  (void)Change("servers/b", TargetValue("ready"));
   discovery_state.OnStoreAway();
   now += seconds(5);
   (void)Change("servers/a", std::nullopt);
   (void)Change("servers/b", std::nullopt);
   BOOST_TEST(targets() == 2U);
   now += milliseconds(1500);
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   now += milliseconds(1500);
   BOOST_TEST(discovery_state.OnTimer(now).targets);
   BOOST_TEST(targets() == 1U);
@@ -98,7 +98,7 @@
 // Guards against requests to a target that announced its leaving, with
 // draining, and whose removal is delayed like that of an expired lease.
 BOOST_AUTO_TEST_CASE(Target_WasDrainingWhenLeaseExpired_IsRemovedAtOnce) {
-  (void)Change("servers/a", Server("draining"));
+  (void)Change("servers/a", TargetValue("draining"));
   discovery_state.OnStoreAway();
   now += seconds(5);
   (void)Change("servers/a", std::nullopt);
@@ -108,26 +108,27 @@
 // Guards against a foreign entry that cannot be decoded, or lacks a field, and
 // affects other targets.
 BOOST_AUTO_TEST_CASE(Target_EntryIsUnreadable_OtherTargetsStay) {
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   for (const std::string& value :
        {std::string("\xff\x00", 2), std::string("{}"), std::string("[]"),
-        Server("resting"), std::string(R"({"service":1})")}) {
+        TargetValue("resting"), std::string(R"({"service":1})")}) {
     BOOST_TEST(Change("servers/odd", value).unreadable.size() == 1U);
     BOOST_TEST(targets() == 1U);
   }
 }
 
 BOOST_AUTO_TEST_CASE(Target_EntryHasBornField_StartTimeIsRead) {
-  (void)Change("servers/a", Server("ready", R"(,"born":1700000000000)"));
+  (void)Change("servers/a", TargetValue("ready", R"(,"born":1700000000000)"));
   BOOST_TEST(discovery_state.Targets().front().started_ms == 1700000000000U);
 }
 
 // Guards against targets that stay although they were removed while the history
 // was compacted: the full read that follows does not list them.
 BOOST_AUTO_TEST_CASE(FullRead_LacksATarget_TargetIsRemoved) {
-  (void)Change("servers/a", Server("ready"));
-  (void)Change("servers/b", Server("ready"));
-  const std::vector<StoreChange> items{{"servers/b", At(12), Server("ready")}};
+  (void)Change("servers/a", TargetValue("ready"));
+  (void)Change("servers/b", TargetValue("ready"));
+  const std::vector<StoreChange> items{
+      {"servers/b", At(12), TargetValue("ready")}};
   BOOST_TEST(discovery_state.OnFullRead(items, At(40), now).targets);
   BOOST_REQUIRE_EQUAL(targets(), 1U);
   BOOST_TEST(discovery_state.Targets().front().id == TargetId("b"));
@@ -137,19 +138,19 @@
 // it.
 BOOST_AUTO_TEST_CASE(FullRead_IsOlderThanAKnownChange_ChangeStays) {
   revision = 50;
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   (void)discovery_state.OnFullRead({}, At(40), now);
   BOOST_TEST(targets() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(Config_OlderVersionArrives_IsNotTaken) {
-  BOOST_TEST(Change("op/config", Config(7)).config);
-  BOOST_TEST(!Change("op/config", Config(5)).config);
+  BOOST_TEST(Change("op/config", ConfigValue(7)).config);
+  BOOST_TEST(!Change("op/config", ConfigValue(5)).config);
   BOOST_TEST(discovery_state.config()->version() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(Config_IsUnreadable_FormerOneStays) {
-  (void)Change("op/config", Config(7));
+  (void)Change("op/config", ConfigValue(7));
   BOOST_TEST(Change("op/config", "{").unreadable.size() == 1U);
   BOOST_TEST(discovery_state.config()->version() == 7U);
 }
@@ -177,7 +178,7 @@
 
 // Guards against requests to the targets of an evacuated domain.
 BOOST_AUTO_TEST_CASE(Evacuation_IsWritten_TargetsOfThatDomainAreMarked) {
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   BOOST_TEST(Change("op/evacuate/elsewhere", "{}").unreadable.empty());
   BOOST_TEST(UsableTargets() == 1U);
   const DiscoveryChange change = Change("op/evacuate/z", "{}");
@@ -185,7 +186,7 @@
   BOOST_TEST(change.targets);
   BOOST_TEST(UsableTargets() == 0U);
   BOOST_TEST(targets() == 1U);
-  (void)Change("servers/b", Server("ready"));
+  (void)Change("servers/b", TargetValue("ready"));
   BOOST_TEST(UsableTargets() == 0U);
   BOOST_TEST(Change("op/evacuate/z", std::nullopt).targets);
   BOOST_TEST(UsableTargets() == 2U);
@@ -195,7 +196,7 @@
 // Guards against an evacuation that is delayed like the removal of an expired
 // lease.
 BOOST_AUTO_TEST_CASE(Evacuation_StoreIsAway_StartAndEndApplyAtOnce) {
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   discovery_state.OnStoreAway();
   (void)Change("op/evacuate/z", "{}");
   BOOST_TEST(UsableTargets() == 0U);
@@ -207,11 +208,12 @@
 // Guards against an evacuation that is ended by a full read older than it.
 BOOST_AUTO_TEST_CASE(Evacuation_OlderFullReadLacksIt_Stays) {
   revision = 50;
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   (void)Change("op/evacuate/z", "{}");
   (void)discovery_state.OnFullRead({}, At(40), now);
   BOOST_TEST(UsableTargets() == 0U);
-  const std::vector<StoreChange> items{{"servers/a", At(51), Server("ready")}};
+  const std::vector<StoreChange> items{
+      {"servers/a", At(51), TargetValue("ready")}};
   BOOST_TEST(discovery_state.OnFullRead(items, At(60), now).evacuations);
   BOOST_TEST(UsableTargets() == 1U);
 }
@@ -220,7 +222,7 @@
 // one without a valid domain that affects others.
 BOOST_AUTO_TEST_CASE(
     Evacuation_ValueOrKeyIsInvalid_ValueIsIgnoredAndKeyIsReported) {
-  (void)Change("servers/a", Server("ready"));
+  (void)Change("servers/a", TargetValue("ready"));
   BOOST_TEST(Change("op/evacuate/z", std::string("\xff\x00", 2)).evacuations);
   for (const std::string& key :
        {std::string("op/evacuate/"), "op/evacuate/" + std::string(180, 'z')}) {
@@ -239,7 +241,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Target_ReportsColdTime_IsColdForThatLong) {
-  (void)Change("servers/a", Server("ready", R"(,"coldRemainingMs":1500)"));
+  (void)Change("servers/a", TargetValue("ready", R"(,"coldRemainingMs":1500)"));
   const TargetEntry entry = discovery_state.Targets().front();
   BOOST_TEST(entry.IsCold(now + milliseconds(1499)));
   BOOST_TEST(!entry.IsCold(now + milliseconds(1500)));
@@ -247,7 +249,7 @@
 
 // Guards against a cold time that restarts with each full read.
 BOOST_AUTO_TEST_CASE(Target_IsReadAgainWhileCold_ColdTimeDoesNotRestart) {
-  const std::string cold = Server("ready", R"(,"coldRemainingMs":1500)");
+  const std::string cold = TargetValue("ready", R"(,"coldRemainingMs":1500)");
   (void)Change("servers/a", cold);
   const std::vector<StoreChange> items{{"servers/a", At(revision), cold}};
   const TimePoint warm = now + milliseconds(1500);
@@ -258,7 +260,7 @@
 
 // Guards against a crash on an entry with revision 0, which no write has.
 BOOST_AUTO_TEST_CASE(Target_RevisionIsZero_IsApplied) {
-  const StoreChange change{"servers/a", At(0), Server("ready")};
+  const StoreChange change{"servers/a", At(0), TargetValue("ready")};
   (void)discovery_state.OnChanges({&change, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
@@ -267,8 +269,8 @@
 // invalid cold time.
 BOOST_AUTO_TEST_CASE(Target_ColdTimeIsInvalid_IsReportedAndTargetIsWarm) {
   for (const std::string value : {"-5", "\"soon\"", "86400000", "1e400"}) {
-    const DiscoveryChange change =
-        Change("servers/a", Server("ready", ",\"coldRemainingMs\":" + value));
+    const DiscoveryChange change = Change(
+        "servers/a", TargetValue("ready", ",\"coldRemainingMs\":" + value));
     BOOST_TEST(change.unreadable.size() == 1U);
     if (value != "1e400") {
       BOOST_REQUIRE_EQUAL(targets(), 1U);
@@ -280,20 +282,21 @@
 // Guards against a confirmed configuration that is reverted by an older backup
 // of the store, here and on hosts that start now.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasAnOlderConfiguration_NewestStaysInForce) {
-  (void)ReadAll({{"op/config", At(5), Config(4)}}, At(10));
-  (void)Change("op/config", Config(7));
-  BOOST_TEST(!ReadAll({{"op/config", At(5, 2), Config(4)}}, At(8, 2)).config);
+  (void)ReadAll({{"op/config", At(5), ConfigValue(4)}}, At(10));
+  (void)Change("op/config", ConfigValue(7));
+  BOOST_TEST(
+      !ReadAll({{"op/config", At(5, 2), ConfigValue(4)}}, At(8, 2)).config);
   BOOST_TEST(discovery_state.config()->version() == 7U);
   const auto carried = discovery_state.CarriedOverConfig();
   BOOST_REQUIRE(carried.has_value());
   DiscoveryState starting(codec);
   (void)starting.OnFullRead(
-      std::vector<StoreChange>{{"op/config", At(5, 2), Config(4)}}, At(8, 2),
-      now);
+      std::vector<StoreChange>{{"op/config", At(5, 2), ConfigValue(4)}},
+      At(8, 2), now);
   BOOST_TEST(starting.OnCarriedOver({&*carried, 1}).config);
   BOOST_TEST(starting.config()->version() == 7U);
   BOOST_TEST(starting.CarriedOverConfig().has_value());
-  const StoreChange again{"op/config", At(9, 2), Config(7)};
+  const StoreChange again{"op/config", At(9, 2), ConfigValue(7)};
   (void)discovery_state.OnChanges({&again, 1}, now);
   BOOST_TEST(!discovery_state.CarriedOverConfig().has_value());
 }
@@ -302,9 +305,9 @@
 // registered after the backup was taken.
 BOOST_AUTO_TEST_CASE(
     Restore_BackupLacksATarget_TargetStaysUntilReregistrationTimeEnds) {
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
-  (void)Change("servers/b", Server("ready"));
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
+  (void)Change("servers/b", TargetValue("ready"));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 2U);
   now += RemovalHold::kReregistrationTime;
   (void)discovery_state.OnTimer(now);
@@ -314,14 +317,14 @@
 // Guards against requests to an address that has a new owner: its target left
 // after the backup was taken.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasARemovedTarget_IsNotUsed) {
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
   BOOST_TEST(targets() == 0U);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   BOOST_TEST(targets() == 0U);
   now += seconds(2);
-  const StoreChange gone{"servers/a", At(9, 2), std::nullopt};
-  (void)discovery_state.OnChanges({&gone, 1}, now);
+  const StoreChange removal{"servers/a", At(9, 2), std::nullopt};
+  (void)discovery_state.OnChanges({&removal, 1}, now);
   now += seconds(60);
   (void)discovery_state.OnTimer(now);
   BOOST_TEST(targets() == 0U);
@@ -331,9 +334,9 @@
 // entry was held back.
 BOOST_AUTO_TEST_CASE(
     Restore_RemovedTargetStaysInTheStore_IsUsedAfterTheHoldTime) {
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   now += seconds(5);
   BOOST_TEST((discovery_state.NextTimer() <= now));
   BOOST_TEST(discovery_state.OnTimer(now).targets);
@@ -341,21 +344,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(Restore_RemovedTargetIsWrittenAgain_IsUsedAtOnce) {
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
-  const StoreChange back{"servers/a", At(9, 2), Server("ready")};
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
+  const StoreChange back{"servers/a", At(9, 2), TargetValue("ready")};
   (void)discovery_state.OnChanges({&back, 1}, now);
   BOOST_TEST(targets() == 1U);
 }
 
 // Guards against requests to a draining target that is ready in the backup.
 BOOST_AUTO_TEST_CASE(Restore_TargetWasDraining_StaysDraining) {
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
-  (void)Change("servers/a", Server("draining"));
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
+  (void)Change("servers/a", TargetValue("draining"));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   BOOST_TEST(UsableTargets() == 0U);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(9, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(9, 2));
   BOOST_TEST(UsableTargets() == 0U);
 }
 
@@ -364,7 +367,7 @@
 BOOST_AUTO_TEST_CASE(Restore_BackupLacksAnEvacuation_StaysForTheRewriteTime) {
   EvacuateAfterBackup();
   BOOST_TEST(UsableTargets() == 0U);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   BOOST_TEST(UsableTargets() == 0U);
   now += seconds(5);
   (void)discovery_state.OnTimer(now);
@@ -376,7 +379,7 @@
 
 BOOST_AUTO_TEST_CASE(Restore_EvacuationIsWrittenAgain_Stays) {
   EvacuateAfterBackup();
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   const StoreChange again{"op/evacuate/z", At(9, 2), "{}"};
   (void)discovery_state.OnChanges({&again, 1}, now);
   now += seconds(20);
@@ -386,11 +389,11 @@
 
 // Guards against a domain that gets no requests after its evacuation ended.
 BOOST_AUTO_TEST_CASE(Restore_BackupHasAnEndedEvacuation_IsHeldBack) {
-  const StoreChange target{"servers/a", At(5), Server("ready")};
+  const StoreChange target{"servers/a", At(5), TargetValue("ready")};
   (void)ReadAll({target, {"op/evacuate/z", At(6), "{}"}}, At(10));
   (void)Change("op/evacuate/z", std::nullopt);
   BOOST_TEST(UsableTargets() == 1U);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")},
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")},
                  {"op/evacuate/z", At(6, 2), "{}"}},
                 At(8, 2));
   BOOST_TEST(UsableTargets() == 1U);
@@ -410,12 +413,12 @@
 // Guards against a restore that goes unnoticed because the store names its era
 // only from its first restore on.
 BOOST_AUTO_TEST_CASE(Restore_EarlierEraWasUnnamed_IsTreatedAsARestore) {
-  (void)ReadAll({{"servers/a", At(5, 0), Server("ready")}}, At(10, 0));
-  const StoreChange gone{"servers/a", At(11, 0), std::nullopt};
-  (void)discovery_state.OnChanges({&gone, 1}, now);
-  const StoreChange order{"op/evacuate/z", At(12, 0), "{}"};
-  (void)discovery_state.OnChanges({&order, 1}, now);
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(8));
+  (void)ReadAll({{"servers/a", At(5, 0), TargetValue("ready")}}, At(10, 0));
+  const StoreChange removal{"servers/a", At(11, 0), std::nullopt};
+  (void)discovery_state.OnChanges({&removal, 1}, now);
+  const StoreChange evacuation{"op/evacuate/z", At(12, 0), "{}"};
+  (void)discovery_state.OnChanges({&evacuation, 1}, now);
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(8));
   BOOST_TEST(targets() == 0U);
   BOOST_TEST(discovery_state.Evacuations().size() == 1U);
 }
@@ -423,11 +426,11 @@
 // Guards against entries that were held back after a first restore and are used
 // after a second one.
 BOOST_AUTO_TEST_CASE(Restore_TwiceWithinSeconds_RemovedTargetIsNotUsed) {
-  (void)ReadAll({{"servers/a", At(5), Server("ready")}}, At(10));
+  (void)ReadAll({{"servers/a", At(5), TargetValue("ready")}}, At(10));
   (void)Change("servers/a", std::nullopt);
-  (void)ReadAll({{"servers/a", At(5, 2), Server("ready")}}, At(8, 2));
+  (void)ReadAll({{"servers/a", At(5, 2), TargetValue("ready")}}, At(8, 2));
   now += seconds(1);
-  (void)ReadAll({{"servers/a", At(5, 3), Server("ready")}}, At(6, 3));
+  (void)ReadAll({{"servers/a", At(5, 3), TargetValue("ready")}}, At(6, 3));
   BOOST_TEST(targets() == 0U);
 }
 
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -76,7 +76,7 @@
   void OnStoreRegained() override { ++regained; }
   void OnRegistration(StoreStatus /*status*/) override {}
 
-  void Until(const std::function<bool()>& done) {
+  void RunUntil(const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + seconds(30);
     while (!done()) {
       BOOST_REQUIRE(std::chrono::steady_clock::now() < end);
@@ -110,7 +110,7 @@
     return config == nullptr ? 0 : config->version();
   }
 
-  [[nodiscard]] bool PublishedConfig(int version) const {
+  [[nodiscard]] bool IsConfigPublished(int version) const {
     const std::string text = "\"version\":" + std::to_string(version) + ",";
     return std::ranges::any_of(
         content_events, [&](const ContentEvent& content) {
@@ -157,16 +157,16 @@
 BOOST_AUTO_TEST_CASE(Watch_StopsDuringAFullRead_PeerChangesAreApplied) {
   PutTarget("a");
   session.SetWatching(true);
-  Until([&] { return targets() == 1; });
+  RunUntil([&] { return targets() == 1; });
   SetOutage(standins::Outage::kDrop);
-  Until([&] { return lost == 1; });
+  RunUntil([&] { return lost == 1; });
   PutTarget("b");
   standins::StoreControl control;
   control.compact = true;
   store.Apply(control);
   const std::uint64_t reads = session.counters().reads;
   SetOutage(standins::Outage::kNone);
-  Until([&] { return session.counters().reads > reads; });
+  RunUntil([&] { return session.counters().reads > reads; });
   session.SetWatching(false);
   const std::size_t before = targets();
   session.ApplyPeerContent({Target("z", 1000)}, At(1000), false);
@@ -186,9 +186,9 @@
 BOOST_AUTO_TEST_CASE(Start_StoreHasEntries_AreReadAndWatched) {
   PutTarget("a");
   session.SetWatching(true);
-  Until([&] { return targets() == 1; });
+  RunUntil([&] { return targets() == 1; });
   PutTarget("b");
-  Until([&] { return targets() == 2; });
+  RunUntil([&] { return targets() == 2; });
 }
 
 // The store accepts calls and answers none, on connections that stay open. Only
@@ -196,12 +196,12 @@
 // last position.
 BOOST_AUTO_TEST_CASE(Watch_StoreStopsAnswering_IsDetectedAndCatchesUp) {
   session.SetWatching(true);
-  Until([&] { return session.last_contact().has_value(); });
+  RunUntil([&] { return session.last_contact().has_value(); });
   SetOutage(standins::Outage::kSilent);
-  Until([&] { return lost == 1; });
+  RunUntil([&] { return lost == 1; });
   PutTarget("a");
   SetOutage(standins::Outage::kNone);
-  Until([&] { return regained == 1 && targets() == 1; });
+  RunUntil([&] { return regained == 1 && targets() == 1; });
 }
 
 // Guards against requests to a target that has left: the store refuses only
@@ -210,9 +210,9 @@
 BOOST_AUTO_TEST_CASE(Watch_StoreRefusesOnlyThisHost_RemovalsApplyAtOnce) {
   PutTarget("a");
   session.SetWatching(true);
-  Until([&] { return targets() == 1; });
+  RunUntil([&] { return targets() == 1; });
   SetOutage(standins::Outage::kBusy);
-  Until([&] {
+  RunUntil([&] {
     session.ApplyPeerAge(Duration::zero(), false);
     return lost == 1;
   });
@@ -228,13 +228,13 @@
 BOOST_AUTO_TEST_CASE(Watch_HistoryIsCompacted_ReadsAllAgain) {
   PutTarget("a");
   session.SetWatching(true);
-  Until([&] { return targets() == 1; });
+  RunUntil([&] { return targets() == 1; });
   const std::uint64_t reads = session.counters().reads;
   PutTarget("b");
   standins::StoreControl control;
   control.compact = true;
   store.Apply(control);
-  Until([&] { return targets() == 2; });
+  RunUntil([&] { return targets() == 2; });
   BOOST_TEST(session.counters().reads >= reads);
 }
 
@@ -244,20 +244,20 @@
     Watch_StoreIsRestoredFromABackup_ConfigurationIsPublished) {
   PutConfig(1);
   session.SetWatching(true);
-  Until([&] { return ConfigVersion() == 1; });
+  RunUntil([&] { return ConfigVersion() == 1; });
   store.content().TakeSnapshot();
   for (const char* id : {"a", "b", "c"}) {
     PutTarget(id);
   }
   PutConfig(2);
-  Until([&] { return ConfigVersion() == 2; });
+  RunUntil([&] { return ConfigVersion() == 2; });
   SetOutage(standins::Outage::kDrop);
-  Until([&] { return lost == 1; });
+  RunUntil([&] { return lost == 1; });
   BOOST_TEST(store.content().Restore());
   SetOutage(standins::Outage::kNone);
   PutConfig(3);
-  Until([&] { return ConfigVersion() == 3; });
-  BOOST_TEST(PublishedConfig(3));
+  RunUntil([&] { return ConfigVersion() == 3; });
+  BOOST_TEST(IsConfigPublished(3));
 }
 
 // Guards against changes that are missed because the restored store has already
@@ -265,18 +265,18 @@
 BOOST_AUTO_TEST_CASE(Watch_RestoredStorePassedTheKnownRevision_MissesNothing) {
   PutTarget("a");
   session.SetWatching(true);
-  Until([&] { return targets() == 1; });
+  RunUntil([&] { return targets() == 1; });
   store.content().TakeSnapshot();
   PutTarget("b");
-  Until([&] { return targets() == 2; });
+  RunUntil([&] { return targets() == 2; });
   SetOutage(standins::Outage::kDrop);
-  Until([&] { return lost == 1; });
+  RunUntil([&] { return lost == 1; });
   BOOST_TEST(store.content().Restore());
   for (const char* id : {"c", "d", "e", "f"}) {
     PutTarget(id);
   }
   SetOutage(standins::Outage::kNone);
-  Until([&] { return targets() == 6; });
+  RunUntil([&] { return targets() == 6; });
   BOOST_TEST(restored == 1);
   BOOST_TEST((session.position().era == StoreEra(2)));
 }
@@ -305,7 +305,7 @@
   session.ApplyPeerContent({newer}, At(7, 2), false);
   BOOST_TEST(targets() == 1U);
   BOOST_TEST(!session.IsNewEraOverdue());
-  Until([&] { return session.IsNewEraOverdue(); });
+  RunUntil([&] { return session.IsNewEraOverdue(); });
 }
 
 // Guards against a host that starts now and serves an older configuration than
@@ -313,22 +313,22 @@
 BOOST_AUTO_TEST_CASE(Content_BackupLacksTheConfiguration_IsPublished) {
   PutConfig(1);
   session.SetWatching(true);
-  Until([&] { return ConfigVersion() == 1; });
+  RunUntil([&] { return ConfigVersion() == 1; });
   store.content().TakeSnapshot();
   PutConfig(2);
-  Until([&] { return ConfigVersion() == 2; });
+  RunUntil([&] { return ConfigVersion() == 2; });
   BOOST_TEST(store.content().Restore());
-  Until([&] { return session.position().era == StoreEra(2); });
+  RunUntil([&] { return session.position().era == StoreEra(2); });
   BOOST_TEST(ConfigVersion() == 2U);
   content_events.push_back({session.UpdateSince({}).changes, {}, true});
-  BOOST_TEST(PublishedConfig(2));
+  BOOST_TEST(IsConfigPublished(2));
   // It is also sent to a host that has read the restored store itself.
   const ContentUpdate rest = session.UpdateSince(session.position());
   BOOST_TEST(!rest.whole);
   BOOST_REQUIRE_EQUAL(rest.changes.size(), 1U);
   BOOST_TEST(rest.changes[0].key == "op/config");
   PutConfig(3);
-  Until([&] { return ConfigVersion() == 3; });
+  RunUntil([&] { return ConfigVersion() == 3; });
 }
 
 // Guards against a host that read the restored store itself and ignores a newer
@@ -342,7 +342,7 @@
   session.ApplyPeerContent({config(4, At(5, 2))}, At(8, 2), true);
   session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
   BOOST_TEST(ConfigVersion() == 7U);
-  BOOST_TEST(PublishedConfig(7));
+  BOOST_TEST(IsConfigPublished(7));
   const std::size_t before = content_events.size();
   session.ApplyPeerContent({config(7, At(83))}, At(8, 2), false);
   BOOST_TEST(content_events.size() == before);
@@ -362,19 +362,19 @@
   BOOST_TEST(store.content().Restore());
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  Until([&] { return session.loaded(); });
+  RunUntil([&] { return session.loaded(); });
   BOOST_TEST((session.position().era == StoreEra(2)));
   BOOST_TEST(ConfigVersion() == 1U);
   BOOST_TEST(restored == 0);
   PutConfig(2);
   store.Apply(leaves);
   PutTarget("new");
-  Until([&] { return ConfigVersion() == 2; });
-  Until([&] {
+  RunUntil([&] { return ConfigVersion() == 2; });
+  RunUntil([&] {
     const std::vector<TargetEntry> known = session.discovery_state().Targets();
     return known.size() == 1 && known[0].id == TargetId("new");
   });
-  Until([&] {
+  RunUntil([&] {
     return store.content().Get(codec.HostKey(HostId("h"))).has_value();
   });
 }
@@ -386,14 +386,14 @@
   store.content().TakeSnapshot();
   session.Register(MakeRecord("h"));
   const std::string key = codec.HostKey(HostId("h"));
-  Until([&] { return store.content().Get(key).has_value(); });
+  RunUntil([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
   BOOST_TEST(store.content().Restore());
   std::uint64_t other = 0;
   while (other < first) {
     other = store.content().Grant(seconds(600));
   }
-  Until([&] { return store.content().Get(key).has_value(); });
+  RunUntil([&] { return store.content().Get(key).has_value(); });
   BOOST_TEST(store.content().Get(key)->lease > first);
 }
 
@@ -404,16 +404,16 @@
   const auto is_known = [&] {
     return session.discovery_state().FindHost(host.name) != nullptr;
   };
-  Until(is_known);
+  RunUntil(is_known);
   const std::uint64_t first =
       store.content().Get(codec.HostKey(host.name))->lease;
   BOOST_TEST(store.content().Revoke(first));
-  Until([&] {
+  RunUntil([&] {
     const auto item = store.content().Get(codec.HostKey(host.name));
     return item && item->lease != first;
   });
   session.Unregister();
-  Until([&] { return !store.content().Get(codec.HostKey(host.name)); });
+  RunUntil([&] { return !store.content().Get(codec.HostKey(host.name)); });
 }
 
 // A feeder writes the records of three members in one call, with its own lease.
@@ -425,15 +425,15 @@
   const auto has = [&](const std::string& name) {
     return store.content().Get(codec.HostKey(HostId(name))).has_value();
   };
-  Until([&] { return has("h"); });
+  RunUntil([&] { return has("h"); });
   for (const char* name : {"a", "b", "c"}) {
     session.AddMember(codec.WriteHost(MakeRecord(name)));
   }
   const std::uint64_t writes = session.counters().writes;
-  Until([&] { return has("a") && has("b") && has("c"); });
+  RunUntil([&] { return has("a") && has("b") && has("c"); });
   BOOST_TEST(session.counters().writes == writes + 1);
   session.RemoveMember(HostId("b"));
-  Until([&] { return !has("b"); });
+  RunUntil([&] { return !has("b"); });
   BOOST_TEST(has("a"));
 }
 
@@ -444,13 +444,13 @@
   session.Register(MakeRecord("h"));
   session.AddMember(codec.WriteHost(MakeRecord("a")));
   const std::string key = codec.HostKey(HostId("a"));
-  Until([&] { return store.content().Get(key).has_value(); });
+  RunUntil([&] { return store.content().Get(key).has_value(); });
   const std::uint64_t first = store.content().Get(key)->lease;
-  Until([&] {
+  RunUntil([&] {
     return session.discovery_state().FindHost(HostId("a")) != nullptr;
   });
   BOOST_TEST(store.content().Revoke(first));
-  Until([&] {
+  RunUntil([&] {
     const auto item = store.content().Get(key);
     return item && item->lease != first;
   });
@@ -464,10 +464,10 @@
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
   session.AddMember(codec.WriteHost(MakeRecord("a")));
-  Until([&] { return store.content().Get(key).has_value(); });
+  RunUntil([&] { return store.content().Get(key).has_value(); });
   BOOST_TEST(store.content().Restore());
   BOOST_TEST(!store.content().Get(key).has_value());
-  Until([&] { return store.content().Get(key).has_value(); });
+  RunUntil([&] { return store.content().Get(key).has_value(); });
   const std::string own = codec.HostKey(HostId("h"));
   BOOST_TEST(store.content().Get(key)->lease ==
              store.content().Get(own)->lease);
@@ -488,11 +488,11 @@
   store.content().TakeSnapshot();
   session.SetWatching(true);
   session.Register(MakeRecord("h"));
-  Until([&] {
+  RunUntil([&] {
     return session.discovery_state().FindHost(HostId("h")) != nullptr;
   });
   put("h");
-  Until([&] {
+  RunUntil([&] {
     return session.discovery_state().FindHost(HostId("a")) != nullptr;
   });
   session.SetWatching(false);
@@ -503,9 +503,9 @@
   }
   put("g");
   BOOST_REQUIRE_EQUAL(store.content().Get(key)->revision, revision);
-  Until([&] { return restored == 1; });
+  RunUntil([&] { return restored == 1; });
   const TimePoint long_after = clock.Now() + seconds(4);
-  Until([&] { return clock.Now() >= long_after; });
+  RunUntil([&] { return clock.Now() >= long_after; });
   BOOST_TEST(store.content().Get(key).has_value());
 }
 
@@ -515,14 +515,14 @@
 BOOST_AUTO_TEST_CASE(Register_FormerFeederWritesLate_IsWrittenAgain) {
   const std::string key = codec.HostKey(HostId("h"));
   session.Register(MakeRecord("h"));
-  Until([&] { return store.content().Get(key).has_value(); });
+  RunUntil([&] { return store.content().Get(key).has_value(); });
   HostRecord late = MakeRecord("h");
   late.writer = HostId("feeder");
   standins::StoreControl control;
   control.puts.push_back({key, codec.WriteHost(late), {}});
   store.Apply(control);
   session.SetWatching(true);
-  Until([&] {
+  RunUntil([&] {
     const HostRecord* stored = session.discovery_state().FindHost(HostId("h"));
     return stored != nullptr && stored->writer == HostId("h");
   });
@@ -537,7 +537,7 @@
   store.Apply(control);
   session.DelegateRecord();
   session.Unregister();
-  Until([&] { return !store.content().Get(key).has_value(); });
+  RunUntil([&] { return !store.content().Get(key).has_value(); });
 }
 
 // Every write takes effect but its reply is lost. The host keeps retrying, and
@@ -549,10 +549,10 @@
   const HostRecord host = MakeRecord("h");
   session.SetWatching(true);
   session.Register(host);
-  Until([&] { return store.counts().replies_lost >= 2; });
+  RunUntil([&] { return store.counts().replies_lost >= 2; });
   control.faults.lose_reply_share = 0;
   store.Apply(control);
-  Until([&] {
+  RunUntil([&] {
     return store.content().Get(codec.HostKey(host.name)).has_value();
   });
 }
