--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -127,7 +127,7 @@
   void RemoveMember(const HostId& name);
 
   /*! \brief Encodes a record as the store holds it. */
-  [[nodiscard]] std::string ValueOf(const HostRecord& record) const {
+  [[nodiscard]] std::string EncodeRecord(const HostRecord& record) const {
     return m_codec.WriteHost(record);
   }
 
--- a/src/jacinthdeck/entry/entry_node_discovery.cc
+++ b/src/jacinthdeck/entry/entry_node_discovery.cc
@@ -182,7 +182,7 @@
       break;
     case RecordWriter::kFeeder:
       m_store.DelegateRecord();
-      m_feed_hub.SetRecord(m_store.ValueOf(record));
+      m_feed_hub.SetRecord(m_store.EncodeRecord(record));
       break;
   }
 }
