--- a/src/jacinthdeck/discovery/directory_choice.cc
+++ b/src/jacinthdeck/discovery/directory_choice.cc
@@ -13,7 +13,8 @@
 //! may know no live host while the directory still lists hosts that just
 //! failed.
 constexpr std::size_t kMinAddresses = 3;
-//! Hosts of the caller's failure domain from which on others are left out.
+//! Number of hosts in the caller's failure domain that suffices to leave out
+//! hosts of other domains.
 constexpr std::ptrdiff_t kMinOwnDomainHosts = 2;
 
 //! Drops hosts of other domains, except those needed to reach kMinAddresses.
--- a/src/jacinthdeck/discovery/fleet.cc
+++ b/src/jacinthdeck/discovery/fleet.cc
@@ -15,7 +15,7 @@
 //! Connections to a target that one front needs to use the target's slots.
 constexpr std::uint32_t kConnectionsPerFront = 3;
 //! A host becomes a front if it has this share of the highest capacity.
-constexpr double kMinStrengthShare = 0.5;
+constexpr double kMinCapacityShare = 0.5;
 //! Hosts are added while more than this share of the fronts is busy. Each step
 //! doubles the fronts; once only the former half is busy, no more are added.
 constexpr double kMaxBusyShare = 0.5;
@@ -34,21 +34,21 @@
   for (const HostRecord& host : hosts) {
     ranked[host.domain].push_back(&host);
   }
-  for (auto& [domain, of_domain] : ranked) {
-    std::ranges::sort(of_domain, Stronger);
+  for (auto& [domain, domain_hosts] : ranked) {
+    std::ranges::sort(domain_hosts, Stronger);
   }
   return ranked;
 }
 
-//! Returns how many hosts of a domain have at least kMinStrengthShare of the
+//! Returns how many hosts of a domain have at least kMinCapacityShare of the
 //! highest capacity.
 [[nodiscard]] std::size_t CountStrong(
     const std::vector<const HostRecord*>& ranked,
     std::uint32_t strongest) {
-  const double min_strength = kMinStrengthShare * strongest;
+  const double min_capacity = kMinCapacityShare * strongest;
   return static_cast<std::size_t>(
       std::ranges::count_if(ranked, [&](const HostRecord* host) {
-        return host->cpu_millicores >= min_strength;
+        return host->cpu_millicores >= min_capacity;
       }));
 }
 
@@ -58,10 +58,10 @@
     const Ranked& ranked,
     const std::map<FailureDomain, std::size_t>& counts) {
   std::vector<HostRecord> strongest_hosts;
-  for (const auto& [domain, of_domain] : ranked) {
-    const std::size_t count = std::min(counts.at(domain), of_domain.size());
+  for (const auto& [domain, domain_hosts] : ranked) {
+    const std::size_t count = std::min(counts.at(domain), domain_hosts.size());
     for (std::size_t i = 0; i < count; ++i) {
-      strongest_hosts.push_back(*of_domain[i]);
+      strongest_hosts.push_back(*domain_hosts[i]);
     }
   }
   return strongest_hosts;
@@ -84,9 +84,10 @@
   }
   const std::size_t per_domain =
       (kMinWatchers + ranked.size() - 1) / ranked.size();
-  for (const auto& [domain, of_domain] : ranked) {
-    for (std::size_t i = 0; i < std::min(per_domain, of_domain.size()); ++i) {
-      watchers.push_back(of_domain[i]->name);
+  for (const auto& [domain, domain_hosts] : ranked) {
+    for (std::size_t i = 0; i < std::min(per_domain, domain_hosts.size());
+         ++i) {
+      watchers.push_back(domain_hosts[i]->name);
     }
   }
   return watchers;
@@ -108,8 +109,8 @@
   const std::size_t max_per_domain =
       std::max<std::size_t>(max_fronts / ranked.size(), kMinFrontsPerDomain);
   std::map<FailureDomain, std::size_t> counts;
-  for (const auto& [domain, of_domain] : ranked) {
-    const std::size_t strong = CountStrong(of_domain, strongest);
+  for (const auto& [domain, domain_hosts] : ranked) {
+    const std::size_t strong = CountStrong(domain_hosts, strongest);
     counts[domain] = std::clamp(strong, kMinFrontsPerDomain, max_per_domain);
   }
   std::vector<HostRecord> fronts = TakeStrongest(ranked, counts);
--- a/src/jacinthdeck/discovery/held_entries.h
+++ b/src/jacinthdeck/discovery/held_entries.h
@@ -44,9 +44,9 @@
   [[nodiscard]] const Entry* FindAt(const std::string& key,
                                     const StorePosition& position) const {
     const auto found = m_slots.find(key);
-    const bool is_of_it =
+    const bool is_at_position =
         found != m_slots.end() && found->second.position == position;
-    return is_of_it ? &found->second.entry : nullptr;
+    return is_at_position ? &found->second.entry : nullptr;
   }
 
   /*! \brief Returns an entry that was last changed before an era; null if
@@ -54,9 +54,9 @@
   [[nodiscard]] const Entry* FindFromEarlierEra(const std::string& key,
                                                 StoreEra era) const {
     const auto found = m_slots.find(key);
-    const bool is_before =
+    const bool is_earlier =
         found != m_slots.end() && found->second.position.era < era;
-    return is_before ? &found->second.entry : nullptr;
+    return is_earlier ? &found->second.entry : nullptr;
   }
 
   /*! \brief Returns the earliest moment at which Expire() removes an entry. */
--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -64,7 +64,8 @@
 DiscoveryChange DiscoveryState::OnFullRead(std::span<const StoreChange> items,
                                            const StorePosition& position,
                                            TimePoint now) {
-  // A store may name its era only after it was restored from a backup.
+  // Era 0 counts as well: a store may name its era only from its first restore
+  // on.
   const bool restored = m_era && position.era > *m_era;
   if (restored) {
     BeginEra(position, now);
--- a/src/jacinthdeck/discovery/record_writer.h
+++ b/src/jacinthdeck/discovery/record_writer.h
@@ -63,7 +63,7 @@
  private:
   [[nodiscard]] RecordWriter Choose(const FleetRole& role, TimePoint now);
 
-  //! Moment from which on the known hosts are taken for the whole fleet.
+  //! Moment from which the known hosts are assumed to be the whole fleet.
   const TimePoint m_fleet_known_at;
   RecordWriter m_writer = RecordWriter::kNobody;
   //! Since when there is no feeder; nothing while there is one.
--- a/src/jacinthdeck/discovery/removal_hold.h
+++ b/src/jacinthdeck/discovery/removal_hold.h
@@ -9,7 +9,7 @@
 namespace jacinthdeck {
 
 /**
- * \brief Delays removals that an outage of the store explains.
+ * \brief Delays removals that an outage of the store may have caused.
  *
  * While the store is unavailable, leases expire although their holders are
  * alive; the holders register again soon after the store is back. A host that
--- a/src/jacinthdeck/discovery/restore_doubt.h
+++ b/src/jacinthdeck/discovery/restore_doubt.h
@@ -23,7 +23,7 @@
  */
 class RestoreGuard {
  public:
-  //! Longest time of which a restore loses the writes: the backup already
+  //! A restore loses at most the writes of this time; the backup already
   //! reflects older removals.
   static constexpr Duration kMaxLossWindow = std::chrono::seconds(60);
 
--- a/src/jacinthdeck/discovery/store_content.cc
+++ b/src/jacinthdeck/discovery/store_content.cc
@@ -72,13 +72,13 @@
     listed.insert(item.key);
   }
   for (auto at = m_items.begin(); at != m_items.end();) {
-    const bool gone =
+    const bool is_removed =
         !listed.contains(at->first) && at->second.position <= position;
-    if (gone) {
+    if (is_removed) {
       RecordRemoval(at->first, position);
       ++m_change_count;
     }
-    at = gone ? m_items.erase(at) : std::next(at);
+    at = is_removed ? m_items.erase(at) : std::next(at);
   }
   (void)Apply(items);
   // Keys that were removed between two full reads are recorded as removed at
--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -110,15 +110,15 @@
 }
 
 ContentUpdate StoreSession::UpdateSince(const StorePosition& position) const {
-  ContentUpdate handover{m_position, true, {}};
+  ContentUpdate update{m_position, true, {}};
   auto since =
       position.revision > 0 ? m_content.ChangesSince(position) : std::nullopt;
-  handover.whole = !since.has_value();
-  handover.changes = since ? std::move(*since) : m_content.Items();
+  update.whole = !since.has_value();
+  update.changes = since ? std::move(*since) : m_content.Items();
   if (auto config = m_discovery_state.CarriedOverConfig()) {
-    handover.changes.push_back(std::move(*config));
+    update.changes.push_back(std::move(*config));
   }
-  return handover;
+  return update;
 }
 
 bool StoreSession::IsNewEraOverdue() const {
@@ -159,12 +159,12 @@
 void StoreSession::ApplyPeerAge(std::optional<Duration> age, bool store_away) {
   const TimePoint now = m_clock.Now();
   if (age) {
-    const TimePoint heard = now - *age;
-    m_last_contact = std::max(m_last_contact.value_or(heard), heard);
-    m_peer_contact = heard;
+    const TimePoint contact_at = now - *age;
+    m_last_contact = std::max(m_last_contact.value_or(contact_at), contact_at);
+    m_peer_contact = contact_at;
   }
-  const bool heard_by_self = m_watching && m_loaded && !m_store_lost;
-  if (store_away && !heard_by_self) {
+  const bool reached_by_self = m_watching && m_loaded && !m_store_lost;
+  if (store_away && !reached_by_self) {
     m_discovery_state.OnStoreAway();
   } else if (!store_away && m_discovery_state.store_away()) {
     Notify(m_discovery_state.OnChanges({}, now));
@@ -184,7 +184,7 @@
                                 bool whole) {
   const TimePoint now = m_clock.Now();
   const std::uint64_t changes_before = m_content.changes();
-  const std::vector<StoreChange> news =
+  const std::vector<StoreChange> valid_changes =
       whole ? m_content.Replace(changes, position) : m_content.Apply(changes);
   if (!m_era_since || position.era > m_position.era) {
     m_era_since = now;
@@ -196,8 +196,8 @@
     m_ended_era_since = now;
   }
   const DiscoveryChange change =
-      whole ? m_discovery_state.OnFullRead(news, position, now)
-            : m_discovery_state.OnChanges(news, now);
+      whole ? m_discovery_state.OnFullRead(valid_changes, position, now)
+            : m_discovery_state.OnChanges(valid_changes, now);
   if (m_content.changes() == changes_before) {
     // Hosts that follow each other would exchange the same content endlessly.
   } else if (whole) {
@@ -206,7 +206,7 @@
     // permanently, so all known keys are sent instead.
     m_observer.OnContent(UpdateSince({}).changes, m_position, true);
   } else {
-    m_observer.OnContent(news, m_position, false);
+    m_observer.OnContent(valid_changes, m_position, false);
   }
   Notify(change);
 }
@@ -345,12 +345,12 @@
 
 void StoreSession::OnFailure(StoreStatus status, const std::string& problem) {
   ++m_counters.failures;
-  const bool heard_by_peer =
+  const bool reached_by_peer =
       m_peer_contact && m_clock.Now() - *m_peer_contact < kRecentContact;
   // If a store that refuses only this host were considered unavailable,
   // removals that other hosts report would be delayed, and targets that have
   // left would get requests.
-  if (!heard_by_peer) {
+  if (!reached_by_peer) {
     m_discovery_state.OnStoreAway();
   }
   if (!m_store_lost) {
@@ -370,10 +370,11 @@
     CheckOwnRecord();
     CompareMembers();
   }
-  const bool news = change.schema || !change.indexes.empty() || change.config ||
-                    change.targets || change.hosts ||
-                    !change.quarantines.empty() || !change.unreadable.empty();
-  if (news) {
+  const bool has_changes = change.schema || !change.indexes.empty() ||
+                           change.config || change.targets || change.hosts ||
+                           !change.quarantines.empty() ||
+                           !change.unreadable.empty();
+  if (has_changes) {
     m_observer.OnDiscoveryChange(change, m_position);
   }
 }
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -244,6 +244,7 @@
   //! nothing.
   StorePosition m_record_position;
   TimePoint m_renew_at;
+  //! Fingerprints that are still to be written for ShareQuarantine().
   std::vector<Fingerprint> m_quarantines;
 };
 
--- a/src/jacinthdeck/discovery/store_session_writes.cc
+++ b/src/jacinthdeck/discovery/store_session_writes.cc
@@ -1,4 +1,5 @@
-// Writes to the store: this host's record, its members' and crashing requests.
+// Writes to the store: the records of this host and its members, and the
+// fingerprints of crashing requests.
 #include <algorithm>
 #include <utility>
 
