--- a/src/jacinthdeck/peer/feed_choice.cc
+++ b/src/jacinthdeck/peer/feed_choice.cc
@@ -17,7 +17,7 @@
 //! heartbeats a second, so two lost ones and some delay are tolerated.
 constexpr Duration kSilenceTimeout = milliseconds(1600);
 //! Content that was confirmed by the store longer ago is stale. A feeder that
-//! watches hears from the store at least once per timeout of its watch.
+//! watches gets a reply of the store at least once per timeout of its watch.
 constexpr Duration kMaxContentAge = milliseconds(2700);
 //! Time to connect and receive the first heartbeat.
 constexpr Duration kOpenTimeout = milliseconds(600);
@@ -33,15 +33,15 @@
 //! once; at this value three feeders are tried within the time limit for
 //! learning that a target is leaving.
 constexpr Duration kStaleFeederTimeout = milliseconds(1000);
-//! A feeder that reports the store as away is left after this shorter time: it
-//! knows for certain that it has lost the store.
+//! A feeder that reports the store as unavailable is left after this shorter
+//! time: it knows for certain that it has lost the store.
 constexpr Duration kStoreAwayTimeout = milliseconds(300);
 //! A stale feeder is left after this longer time once all feeders that were
 //! tried proved stale.
 constexpr Duration kAllStaleTimeout = milliseconds(4000);
-//! Number of stale feeders in a row after which the store is taken to be away
-//! for all hosts: it is not expected to reject so many hosts of different
-//! failure domains while it serves others.
+//! Number of stale feeders in a row after which the store is considered
+//! unavailable for all hosts: it is not expected to reject so many hosts of
+//! different failure domains while it serves others.
 constexpr std::size_t kMaxStaleFeeders = 5;
 //! Time for which a feeder of another failure domain is followed before one of
 //! the own domain is tried again. It doubles with each try.
@@ -51,9 +51,9 @@
 //! Time for a seed to answer before this host reads the store, used where no
 //! callers wait for this host.
 constexpr Duration kSeedAnswerTimeout = milliseconds(1100);
-//! Hosts with less processor than this, in thousandths of a core, are rarely
-//! among those that callers are sent to.
-constexpr std::uint32_t kMinServingStrength = 200;
+//! Hosts with less processor capacity than this, in thousandths of a core, are
+//! rarely among those that callers are sent to.
+constexpr std::uint32_t kMinServingMillicores = 200;
 //! Number of hosts that is assumed while none is known.
 constexpr std::size_t kAssumedHostCount = 100;
 //! Spreads the first store reads of hosts that start at the same moment.
@@ -67,8 +67,8 @@
 //! to the feeder of its own domain keeps a link for less.
 constexpr Duration kSteadyLinkAge = milliseconds(1000);
 //! Spreads the store reads of hosts whose feeder is stale. If the feeder lost
-//! the store, the store is likely away for all hosts and calls to it fail, so
-//! this is longer than kLinkLostJitter.
+//! the store, the store is likely unavailable for all hosts and calls to it
+//! fail, so this is longer than kLinkLostJitter.
 constexpr Duration kStaleFeederJitter = milliseconds(1200);
 //! While the feeders are stale, the hosts that take no callers read the store
 //! in random order, on average one host per interval.
@@ -97,7 +97,7 @@
   if (!m_feeders.empty()) {
     m_next_feeder = m_random.Below(m_feeders.size());
   }
-  m_serves_callers = m_self.cpu_millicores >= kMinServingStrength;
+  m_serves_callers = m_self.cpu_millicores >= kMinServingMillicores;
   const bool waits_for_seed =
       fleet_starts || (!m_serves_callers && !m_is_watcher);
   ScheduleWatch(kStartJitter,
@@ -266,7 +266,7 @@
   }
   if (!m_return_at) {
     // The random part keeps the followers of one domain from all returning at
-    // the same moment after their feeder was away.
+    // the same moment after their feeder was unreachable.
     const auto bound = static_cast<std::uint64_t>(m_return_delay.count());
     m_return_at = now + m_return_delay +
                   Duration(static_cast<Duration::rep>(m_random.Below(bound)));
--- a/src/jacinthdeck/peer/feed_choice.h
+++ b/src/jacinthdeck/peer/feed_choice.h
@@ -39,14 +39,14 @@
  * the time until silence is detected. Watchers also follow one another beside
  * their own watch. Each feeder reports the age of its content: hosts that
  * follow each other in a cycle see that age grow and so detect that none of
- * them hears the store.
+ * them reaches the store.
  *
- * If one feeder after the other has lost the store, the store is taken to be
- * away for all hosts. Hundreds of hosts that go on asking the store and
+ * If one feeder after the other has lost the store, the store is considered
+ * unavailable for all hosts. Hundreds of hosts that go on calling the store and
  * switching feeders would only load both, so a host then stays with the nearest
  * feeder, whose next heartbeat reports that the store is back. Only hosts that
- * callers are sent to keep asking the store. The others ask it a few at a time,
- * in case the store rejects the feeders only.
+ * callers are sent to keep calling the store. The others call it a few at a
+ * time, in case the store rejects only the feeders.
  */
 class FeederSelector {
  public:
@@ -117,8 +117,8 @@
   [[nodiscard]] bool IsStale(TimePoint now) const;
   //! Tells whether to close the open link and try another feeder.
   [[nodiscard]] bool ShouldLeaveFeeder(TimePoint now) const;
-  //! Number of stale feeders in a row after which the store is taken to be away
-  //! for all hosts.
+  //! Number of stale feeders in a row after which the store is considered
+  //! unavailable for all hosts.
   [[nodiscard]] std::size_t StaleFeederLimit() const noexcept;
   //! Tells whether to switch back to a feeder in the own failure domain now.
   //! Schedules the next such switch.
--- a/src/jacinthdeck/peer/feed_message.cc
+++ b/src/jacinthdeck/peer/feed_message.cc
@@ -58,21 +58,21 @@
       .Union();
 }
 
-//! Value of a heartbeat's age field if the store was never heard.
-constexpr std::uint32_t kNeverHeard = std::numeric_limits<std::uint32_t>::max();
+//! Value of a heartbeat's age field if no call to the store has succeeded yet.
+constexpr std::uint32_t kNoContact = std::numeric_limits<std::uint32_t>::max();
 
 [[nodiscard]] std::uint32_t EncodeAge(std::optional<Duration> age) {
   if (!age) {
-    return kNeverHeard;
+    return kNoContact;
   }
   const auto milliseconds =
       std::chrono::duration_cast<std::chrono::milliseconds>(*age).count();
   return static_cast<std::uint32_t>(
-      std::clamp<std::int64_t>(milliseconds, 0, kNeverHeard - 1));
+      std::clamp<std::int64_t>(milliseconds, 0, kNoContact - 1));
 }
 
 [[nodiscard]] std::optional<Duration> DecodeAge(std::uint32_t field) {
-  if (field == kNeverHeard) {
+  if (field == kNoContact) {
     return std::nullopt;
   }
   return std::chrono::milliseconds(field);
--- a/src/jacinthdeck/peer/feed_message.h
+++ b/src/jacinthdeck/peer/feed_message.h
@@ -38,10 +38,10 @@
 struct FeedHeartbeat {
   //! Position of the sender's content.
   StorePosition position;
-  //! Time since the store was last heard, by the sender or the host that it got
-  //! its content from; nothing if it never was.
+  //! Time since the last successful call to the store, by the sender or the
+  //! host that it got its content from; nothing if there was none.
   std::optional<Duration> age;
-  //! Whether the store has given that host no answer since.
+  //! Whether the sender considers the store unavailable.
   bool store_away = false;
 };
 
--- a/src/jacinthdeck/peer/feed_server.cc
+++ b/src/jacinthdeck/peer/feed_server.cc
@@ -15,9 +15,11 @@
 
 namespace {
 
-//! Further followers are disconnected at once and find another feeder.
+//! Maximum number of followers; further ones are disconnected at once and find
+//! another feeder.
 constexpr std::size_t kMaxFollowers = 256;
-//! Bytes that may be queued for one follower; beyond that it is dropped.
+//! Maximum number of bytes queued for one follower; beyond that its link is
+//! closed.
 constexpr std::size_t kMaxUnsentBytes = std::size_t{8} << 20U;
 constexpr std::size_t kReadBufferBytes = 4096;
 
--- a/src/jacinthdeck/peer/feed_server.h
+++ b/src/jacinthdeck/peer/feed_server.h
@@ -67,8 +67,8 @@
   void Send(const std::shared_ptr<Follower>& follower,
             const std::shared_ptr<const std::string>& frame);
   void Write(const std::shared_ptr<Follower>& follower);
-  //! Sends the content that a follower lacks which knows all changes up to the
-  //! position; nothing if it lacks none.
+  //! Sends a follower the content that it lacks, if any.
+  //! \param position Position up to which the follower knows all changes.
   void SendContentSince(const std::shared_ptr<Follower>& follower,
                         const StorePosition& position);
   //! Copies the list of followers that have sent their hello; a copy, as
@@ -76,7 +76,7 @@
   [[nodiscard]] std::vector<std::shared_ptr<Follower>> SubscribedFollowers()
       const;
   void SendToAll(const FeedMessage& message);
-  //! Closes a follower's link; tells the observer if it was the host's last
+  //! Closes a follower's link; notifies the observer if it was the host's last
   //! one.
   void Drop(const std::shared_ptr<Follower>& follower);
 
--- a/src/jacinthdeck/peer/follower_observer.h
+++ b/src/jacinthdeck/peer/follower_observer.h
@@ -1,4 +1,4 @@
-// Interface that is told of the hosts that follow this one.
+// Interface that is notified of the hosts that follow this one.
 #ifndef JACINTHDECK_PEER_FOLLOWER_OBSERVER_H_
 #define JACINTHDECK_PEER_FOLLOWER_OBSERVER_H_
 
--- a/test/jacinthdeck/peer/feed_choice_test.cc
+++ b/test/jacinthdeck/peer/feed_choice_test.cc
@@ -187,7 +187,7 @@
   BOOST_TEST(tried == expected, boost::test_tools::per_element());
 }
 
-// Guards against hosts that follow each other in a cycle, none of which hears
+// Guards against hosts that follow each other in a cycle, none of which reaches
 // the store: the age that they report grows until each of them reads the store.
 BOOST_AUTO_TEST_CASE(Feeder_ContentAgeGrows_StoreIsRead) {
   Follow();
@@ -200,9 +200,9 @@
 }
 
 // The store rejects all hosts. Guards against hundreds of hosts without callers
-// that ask it and every feeder in turn for as long as that lasts. They must try
-// each feeder once and stay with the nearest, which reports when the store is
-// back.
+// that call it and every feeder in turn for as long as that lasts. They must
+// try each feeder once and stay with the nearest, which reports when the store
+// is back.
 BOOST_AUTO_TEST_CASE(Feeders_AllLostTheStore_HostStaysWithTheNearest) {
   selector.SetServesCallers(false);
   Follow();
@@ -276,13 +276,13 @@
 // another one and retry the own domain at growing intervals.
 BOOST_AUTO_TEST_CASE(Feeder_OfOwnDomainFails_IsRetriedWithBackoff) {
   selector.OnHosts(hosts, now);
-  int returns = 0;
+  int own_domain_tries = 0;
   bool linked = false;
   for (int i = 0; i < 600; ++i) {
     const FeederActions actions = StepAfter(milliseconds(100));
     if (actions.open_link_to) {
       linked = actions.open_link_to->address != "10.0.0.2";
-      returns += linked ? 0 : 1;
+      own_domain_tries += linked ? 0 : 1;
     }
     if (linked) {
       ReceiveHeartbeat();
@@ -290,8 +290,8 @@
       selector.OnLinkLost(now);
     }
   }
-  BOOST_TEST(returns >= 3);
-  BOOST_TEST(returns <= 8);
+  BOOST_TEST(own_domain_tries >= 3);
+  BOOST_TEST(own_domain_tries <= 8);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/jacinthdeck/peer/feed_message_test.cc
+++ b/test/jacinthdeck/peer/feed_message_test.cc
@@ -156,10 +156,10 @@
   BOOST_TEST(reader.broken());
 }
 
-// Guards against a made-up age. A feeder that had never heard the store
+// Guards against a made-up age. A feeder that had never reached the store
 // reported an age of one hour instead, which its follower logged, so that
 // readers of the log looked for an outage that had not happened.
-BOOST_AUTO_TEST_CASE(Heartbeat_StoreWasNeverHeard_HasNoAge) {
+BOOST_AUTO_TEST_CASE(Heartbeat_StoreWasNeverReached_HasNoAge) {
   const auto heartbeat =
       std::get<FeedHeartbeat>(RoundTrip(FeedHeartbeat{At(9), {}, false}));
   BOOST_TEST(!heartbeat.age.has_value());
--- a/test/jacinthdeck/peer/feed_server_test.cc
+++ b/test/jacinthdeck/peer/feed_server_test.cc
@@ -80,7 +80,9 @@
     value = changes.changes.back().value.value_or("");
     full_change_messages += changes.whole ? 1 : 0;
   }
-  void OnFeedHeartbeat(const FeedHeartbeat& /*beat*/) override { ++heartbeats; }
+  void OnFeedHeartbeat(const FeedHeartbeat& /*heartbeat*/) override {
+    ++heartbeats;
+  }
   void OnFeedLost(const std::string& problem) override {
     if (!link_may_end) {
       BOOST_FAIL("link lost: " + problem);
@@ -129,9 +131,10 @@
   BOOST_TEST(link.received_bytes() > source.value.size());
 }
 
-// While the store is away, dozens of followers connect to one feeder after the
-// other to look for newer content. Guards against sending the content each
-// time, which would saturate the feeder's network link and delay its callers.
+// While the store is unavailable, dozens of followers connect to one feeder
+// after the other to look for newer content. Guards against sending the content
+// each time, which would saturate the feeder's network link and delay its
+// callers.
 BOOST_AUTO_TEST_CASE(Follower_UpToDate_GetsOnlyAHeartbeat) {
   Follow(7);
   BOOST_TEST(change_messages == 0);
