--- a/src/jacinthdeck/entry/call_metrics.cc
+++ b/src/jacinthdeck/entry/call_metrics.cc
@@ -33,11 +33,11 @@
 
 }  // namespace
 
-Metrics::Series::Series()
+CallMetrics::Series::Series()
     : histogram(boost::histogram::make_histogram(
           Axis(kBucketCount, kLowestMs, kHighestMs))) {}
 
-void Metrics::Add(CallLabels labels, Duration latency) {
+void CallMetrics::Add(CallLabels labels, Duration latency) {
   const double milliseconds = ToMilliseconds(latency);
   const std::scoped_lock lock(m_mutex);
   if (m_series.size() >= kMaxSeries && m_series.count(labels) == 0) {
@@ -48,7 +48,7 @@
   series.histogram(milliseconds);
 }
 
-std::string Metrics::Render() const {
+std::string CallMetrics::Render() const {
   namespace acc = boost::accumulators;
   std::ostringstream out;
   out << "# TYPE jacinthdeck_call_ms histogram\n";
--- a/src/jacinthdeck/entry/call_metrics.h
+++ b/src/jacinthdeck/entry/call_metrics.h
@@ -31,7 +31,7 @@
 };
 
 /*! \brief Collects latency and outcomes of ended calls. Thread-safe. */
-class Metrics {
+class CallMetrics {
  public:
   //! Maximum number of label sets with a series of their own. Callers choose
   //! the tenant, so without a bound they could use up the memory. Calls with
--- a/src/jacinthdeck/entry/decision_log.cc
+++ b/src/jacinthdeck/entry/decision_log.cc
@@ -55,10 +55,10 @@
   std::size_t written = 0;
   for (const AttemptTrace& attempt : trace.attempts) {
     const bool ended = attempt.took >= Duration::zero();
-    const bool good = ended && attempt.outcome == AttemptOutcome::kResponse &&
-                      attempt.reason == AttemptReason::kFirst &&
-                      attempt.status < 300;
-    if ((good && trace.shards > 1) || written == kMaxAttempts) {
+    const bool is_successful_first =
+        ended && attempt.outcome == AttemptOutcome::kResponse &&
+        attempt.reason == AttemptReason::kFirst && attempt.status < 300;
+    if ((is_successful_first && trace.shards > 1) || written == kMaxAttempts) {
       continue;
     }
     LogLine line;
@@ -96,7 +96,7 @@
       .Text("answer", kAnswerKindNames.Name(call.answer.kind))
       .Text("reason", kForwardReasonNames.Name(call.answer.reason))
       .Milliseconds("took_ms", call.took)
-      .Milliseconds("knowledge_age_ms", call.knowledge_age)
+      .Milliseconds("knowledge_age_ms", call.discovery_age)
       .Count("open_calls", call.open_calls);
   if (trace.config != nullptr) {
     line.Count("config_version", trace.config->version());
@@ -236,7 +236,7 @@
 }
 
 bool DecisionLog::ShouldLog(LogEvent event) {
-  return event != LogEvent::kCallDone || m_good_calls++ % m_sample == 0;
+  return event != LogEvent::kCallDone || m_done_calls++ % m_sample == 0;
 }
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/decision_log.h
+++ b/src/jacinthdeck/entry/decision_log.h
@@ -35,7 +35,7 @@
   Duration took;
   //! Age of the discovery state that the call was routed by: the time since the
   //! last message from the store.
-  Duration knowledge_age;
+  Duration discovery_age;
   std::size_t open_calls = 0;
 };
 
@@ -48,8 +48,8 @@
  */
 class DecisionLog {
  public:
-  /*! \brief Makes a decision log that logs one in \p sample good calls; the
-   * event log outlives it. */
+  /*! \brief Makes a decision log that logs one in \p sample of the calls that
+   * end as LogEvent::kCallDone; the event log must outlive it. */
   DecisionLog(EventLog& log, std::uint32_t sample)
       : m_log(log), m_sample(sample) {}
 
@@ -81,7 +81,7 @@
 
   EventLog& m_log;
   const std::uint32_t m_sample;
-  std::uint32_t m_good_calls = 0;
+  std::uint32_t m_done_calls = 0;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -176,7 +176,7 @@
 
 void EntryNode::OnCall(ForwardCall call) {
   m_forwarder.Submit(std::move(call), m_clock.Now());
-  ArmDecisions();
+  ArmDecisionTimer();
 }
 
 void EntryNode::OnCallerLeft(CallId call,
@@ -202,7 +202,7 @@
     return;
   }
   const Duration took = m_clock.Now() - caller.arrived;
-  m_decisions.OnCallEnd({caller.request_id, answer, trace, took, KnowledgeAge(),
+  m_decisions.OnCallEnd({caller.request_id, answer, trace, took, DiscoveryAge(),
                          m_forwarder.open_calls()});
   m_metrics.Add(LabelsOf(answer, trace), took);
   caller.connection->Respond(
@@ -219,14 +219,14 @@
 void EntryNode::OnAttemptEnd(AttemptEnd& end) {
   if (TypedService::Owns(end.id)) {
     m_typed_service.OnAttemptEnd(end);
-    ArmDecisions();
+    ArmDecisionTimer();
     return;
   }
   m_forwarder.OnAttemptEnd(end, m_clock.Now());
-  ArmDecisions();
+  ArmDecisionTimer();
 }
 
-void EntryNode::ArmDecisions() {
+void EntryNode::ArmDecisionTimer() {
   auto next = m_forwarder.NextTimer();
   const auto next_typed = m_typed_service.calls().NextTimer();
   if (next_typed && (!next || *next_typed < *next)) {
@@ -249,7 +249,7 @@
   m_decision_due = TimePoint::max();
   m_forwarder.OnTimer(m_clock.Now());
   m_typed_service.calls().OnTimer(m_clock.Now());
-  ArmDecisions();
+  ArmDecisionTimer();
 }
 
 void EntryNode::Tick() {
@@ -271,7 +271,7 @@
   m_directory_server.CheckTimes();
   m_metrics_server.CheckTimes();
   m_queries_server.CheckTimes();
-  ArmDecisions();
+  ArmDecisionTimer();
   m_store.CheckTimes();
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
   m_feed_hub.Tick();
--- a/src/jacinthdeck/entry/entry_node.h
+++ b/src/jacinthdeck/entry/entry_node.h
@@ -105,7 +105,7 @@
   [[nodiscard]] bool IsReady() const;
 
   // Defined in entry_node.cc.
-  void ArmDecisions();
+  void ArmDecisionTimer();
   void OnDecisionTimer();
   void Tick();
   void LogReadiness();
@@ -120,7 +120,9 @@
   //! Returns the part of this host's record that comes from the settings. Only
   //! this part may be requested before the ports and their servers exist.
   [[nodiscard]] HostRecord ConfiguredRecord() const;
-  [[nodiscard]] Duration KnowledgeAge() const;
+  //! Returns the time since the last successful call to the store, by this host
+  //! or one that it follows; the time since the start before the first one.
+  [[nodiscard]] Duration DiscoveryAge() const;
 
   EntrySettings m_settings;
   const EntryProtocol m_protocol;
@@ -130,7 +132,7 @@
   LogWriter m_log_writer;
   EventLog m_log;
   DecisionLog m_decisions;
-  Metrics m_metrics;
+  CallMetrics m_metrics;
   asio::io_context m_loop;
   CallerHandler m_caller_handler;
   SimpleHandler m_ready_handler;
--- a/src/jacinthdeck/entry/entry_node_answers.cc
+++ b/src/jacinthdeck/entry/entry_node_answers.cc
@@ -66,7 +66,7 @@
   response.body =
       m_metrics.Render() +
       RenderNodeMetrics({m_forwarder, m_pool, m_callers_server, m_store, m_log,
-                         IsReady(), KnowledgeAge()});
+                         IsReady(), DiscoveryAge()});
   return response;
 }
 
@@ -78,7 +78,7 @@
       .Flag("ready", IsReady())
       .Flag("stopping", m_stopping)
       .Flag("store_away", discovery_state.store_away())
-      .Milliseconds("knowledge_age_ms", KnowledgeAge())
+      .Milliseconds("knowledge_age_ms", DiscoveryAge())
       .Count("store_era", EraNumber(m_store.position().era))
       .Milliseconds("store_era_for_ms",
                     m_clock.Now() - m_store.era_since().value_or(m_clock.Now()))
--- a/src/jacinthdeck/entry/entry_node_discovery.cc
+++ b/src/jacinthdeck/entry/entry_node_discovery.cc
@@ -89,7 +89,7 @@
   m_decisions.OnDiscoveryChange(change, discovery_state, position,
                                 now - m_started, now);
   LogReadiness();
-  ArmDecisions();
+  ArmDecisionTimer();
 }
 
 void EntryNode::OnContent(const std::vector<StoreChange>& changes,
@@ -118,7 +118,7 @@
   LogLine line = m_log.Begin(LogEvent::kFeedEnded);
   line.Text("problem", problem)
       .Count("store_revision", m_store.position().revision)
-      .Milliseconds("knowledge_age_ms", KnowledgeAge());
+      .Milliseconds("knowledge_age_ms", DiscoveryAge());
   m_log.Add(std::move(line));
 }
 
@@ -285,7 +285,7 @@
   return record;
 }
 
-Duration EntryNode::KnowledgeAge() const {
+Duration EntryNode::DiscoveryAge() const {
   const auto last_contact_at = m_store.last_contact();
   return m_clock.Now() - last_contact_at.value_or(m_started);
 }
--- a/src/jacinthdeck/entry/entry_settings.h
+++ b/src/jacinthdeck/entry/entry_settings.h
@@ -1,4 +1,4 @@
-// Settings of an entry process, read from a TOML file.
+// Settings of a host's process, read from a TOML file.
 #ifndef JACINTHDECK_ENTRY_ENTRY_SETTINGS_H_
 #define JACINTHDECK_ENTRY_ENTRY_SETTINGS_H_
 
@@ -55,7 +55,8 @@
   std::string log_level = "info";
   //! Maximum number of bytes logged per second.
   std::uint32_t log_bytes_per_second = 65536;
-  //! One in this many good calls is logged.
+  //! One in this many calls is logged that are neither refused, failed, partial
+  //! nor slow.
   std::uint32_t log_sample = 100;
 };
 
--- a/src/jacinthdeck/entry/fwd.h
+++ b/src/jacinthdeck/entry/fwd.h
@@ -5,9 +5,9 @@
 
 namespace jacinthdeck {
 
+class CallMetrics;
 class CallerHandler;
 class DecisionLog;
-class EntryMetrics;
 class EntryNode;
 class EventLog;
 class LogLine;
--- a/src/jacinthdeck/entry/node_metrics.cc
+++ b/src/jacinthdeck/entry/node_metrics.cc
@@ -102,7 +102,7 @@
   const StorePosition& position = source.store.position();
   WriteMetric(out, "store_era", static_cast<double>(EraNumber(position.era)));
   WriteMetric(out, "store_revision", static_cast<double>(position.revision));
-  WriteMetric(out, "knowledge_age_ms", ToMilliseconds(source.knowledge_age));
+  WriteMetric(out, "knowledge_age_ms", ToMilliseconds(source.discovery_age));
   WriteMetric(out, "config_version",
               discovery_state.config() == nullptr
                   ? 0
--- a/src/jacinthdeck/entry/node_metrics.h
+++ b/src/jacinthdeck/entry/node_metrics.h
@@ -1,4 +1,4 @@
-// Renders counters and gauges of an entry in the Prometheus text format.
+// Renders counters and gauges of a host in the Prometheus text format.
 #ifndef JACINTHDECK_ENTRY_NODE_METRICS_H_
 #define JACINTHDECK_ENTRY_NODE_METRICS_H_
 
@@ -23,10 +23,10 @@
   const EventLog& log;
   bool ready = false;
   //! Time since the last message from the store.
-  Duration knowledge_age{};
+  Duration discovery_age{};
 };
 
-/*! \brief Renders all metrics except the histograms of calls, which Metrics
+/*! \brief Renders all metrics except the histograms of calls, which CallMetrics
  * renders. */
 [[nodiscard]] std::string RenderNodeMetrics(const NodeMetricsSource& source);
 
--- a/src/jacinthdeck/entry/simple_handler.h
+++ b/src/jacinthdeck/entry/simple_handler.h
@@ -14,9 +14,10 @@
 /*! \brief Handles requests for readiness, the directory and metrics. */
 class SimpleHandler final : public EdgeHandler {
  public:
-  using Answer = std::function<EdgeResponse(const EdgeRequest&)>;
+  //! Returns the answer to a request.
+  using AnswerFunction = std::function<EdgeResponse(const EdgeRequest&)>;
 
-  explicit SimpleHandler(Answer answer) : m_answer(std::move(answer)) {}
+  explicit SimpleHandler(AnswerFunction answer) : m_answer(std::move(answer)) {}
 
   void OnRequest(const std::shared_ptr<EdgeConnection>& connection,
                  EdgeRequest request,
@@ -27,7 +28,7 @@
   void OnDisconnect(EdgeConnection& /*connection*/) override {}
 
  private:
-  Answer m_answer;
+  AnswerFunction m_answer;
 };
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/entry/typed_service.cc
+++ b/src/jacinthdeck/entry/typed_service.cc
@@ -71,8 +71,8 @@
 
 TypedService::TypedService(const Clock& clock,
                            TargetPool& pool,
-                           Metrics& metrics,
-                           HostList hosts,
+                           CallMetrics& metrics,
+                           HostsFunction hosts,
                            std::uint64_t seed)
     : m_clock(clock),
       m_pool(pool),
--- a/src/jacinthdeck/entry/typed_service.h
+++ b/src/jacinthdeck/entry/typed_service.h
@@ -31,13 +31,13 @@
 class TypedService final : public EdgeHandler, private TypedPort {
  public:
   //! Returns the hosts that are known now.
-  using HostList = std::function<std::vector<HostRecord>()>;
+  using HostsFunction = std::function<std::vector<HostRecord>()>;
 
   /*! \brief Makes the service; all referenced objects must outlive it. */
   TypedService(const Clock& clock,
                TargetPool& pool,
-               Metrics& metrics,
-               HostList hosts,
+               CallMetrics& metrics,
+               HostsFunction hosts,
                std::uint64_t seed);
 
   /*! \brief Returns the number of calls whose caller waits for an answer. */
@@ -81,8 +81,8 @@
 
   const Clock& m_clock;
   TargetPool& m_pool;
-  Metrics& m_metrics;
-  HostList m_hosts;
+  CallMetrics& m_metrics;
+  HostsFunction m_hosts;
   TypedCallRunner m_calls;
   std::uint64_t m_next_call = 1;
   std::unordered_map<CallId, WaitingCaller> m_waiting;
