--- a/src/jacinthdeck/discovery/knowledge.cc
+++ b/src/jacinthdeck/discovery/knowledge.cc
@@ -64,7 +64,8 @@
 DiscoveryChange DiscoveryState::OnFullRead(std::span<const StoreChange> items,
                                            const StorePosition& position,
                                            TimePoint now) {
-  // A store may name its era only after it was restored from a backup.
+  // Era 0 counts as well: a store may name its era only from its first restore
+  // on.
   const bool restored = m_era && position.era > *m_era;
   if (restored) {
     BeginEra(position, now);
@@ -174,7 +175,7 @@
     case KeyKind::kHost:
       ApplyHost(change, now, changed);
       break;
-    case KeyKind::kConviction: {
+    case KeyKind::kQuarantine: {
       std::uint64_t raw = 0;
       constexpr int kHex = 16;
       const char* end = name.id.data() + name.id.size();
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -127,7 +127,7 @@
   void RemoveMember(const HostId& name);
 
   /*! \brief Encodes a record as the store holds it. */
-  [[nodiscard]] std::string ValueOf(const HostRecord& record) const {
+  [[nodiscard]] std::string EncodeRecord(const HostRecord& record) const {
     return m_codec.WriteHost(record);
   }
 
@@ -184,7 +184,7 @@
   void EndLease();
   void RemoveRecord();
   void WriteMembers();
-  void WriteConviction();
+  void WriteQuarantine();
   void OnWriteFailed(StoreStatus status);
   void CheckOwnRecord();
   void CompareMembers();
@@ -244,6 +244,7 @@
   //! nothing.
   StorePosition m_record_position;
   TimePoint m_renew_at;
+  //! Fingerprints that are still to be written for ShareQuarantine().
   std::vector<Fingerprint> m_quarantines;
 };
 
