--- a/test/jacinthdeck/forward/cold_share_test.cc
+++ b/test/jacinthdeck/forward/cold_share_test.cc
@@ -1,4 +1,5 @@
-// Tests of the request rate that several hosts send to a cold target.
+// Tests of the request rate that several hosts, which do not coordinate, send
+// to a cold target.
 #include "jacinthdeck/forward/cold_share.h"
 
 #include <algorithm>
--- a/test/jacinthdeck/forward/in_flight_bound_test.cc
+++ b/test/jacinthdeck/forward/in_flight_bound_test.cc
@@ -29,11 +29,11 @@
 }
 
 // Guards against full queues at the targets. The load is three times what the
-// targets can handle. Limited by connections alone, hosts filled the queues,
-// and 60.9% of the calls were answered in time; the slots could have handled a
-// third of the work of the shards in full, and partial answers stretch that. At
-// least 55% of the calls must be answered in time, and the rest refused rather
-// than late.
+// targets can handle. With a limit by connections alone, hosts fill the queues,
+// and 60.9% of the calls are answered in time; the slots can handle a third of
+// the work of the shards in full, and partial answers stretch that. At least
+// 55% of the calls must be answered in time, and the rest refused rather than
+// late.
 BOOST_AUTO_TEST_CASE(MaxInFlight_LoadIsThreeTimesCapacity_FewAnswersAreLate) {
   constexpr std::uint64_t kSeeds = 4;
   const auto result = bench::RunSeeds(bench::AboveCapacity(), kSeeds);
--- a/test/jacinthdeck/forward/shared_targets_test.cc
+++ b/test/jacinthdeck/forward/shared_targets_test.cc
@@ -1,4 +1,4 @@
-// Load of several hosts on shared targets in model time, following the days
+// Load of several hosts on shared targets in simulated time, following the days
 // with the highest load that users report. The figures of each case are in
 // forward_cases.h.
 #include <boost/test/unit_test.hpp>
@@ -16,11 +16,12 @@
 
 }  // namespace
 
-// Guards against answers after the objective. One shard is down, so a fan-out
-// needs all nine others, and each of those has a slow target. Answers with nine
-// shards are worth 0.81 at most; hosts that send to slow targets, or hedge only
-// once, wait for the ninth shard beyond the objective. The users require 0.74.
-BOOST_AUTO_TEST_CASE(Fleet_ShardDownAndSlowTargets_AnswersStayInTime) {
+// Guards against answers after the objective. One shard is unresponsive, so a
+// fan-out needs all nine others, and each of those has a slow target. Answers
+// with nine shards are worth 0.81 at most; hosts that send to slow targets, or
+// hedge only once, wait for the ninth shard beyond the objective. The users
+// require 0.74.
+BOOST_AUTO_TEST_CASE(Fleet_UnresponsiveShardAndSlowTargets_AnswersStayInTime) {
   const auto result =
       bench::RunSeeds(bench::UnresponsiveShardAndSlowTargets(), kSeeds);
   BOOST_TEST(result.value() >= 0.74);
@@ -49,10 +50,10 @@
 
 // Guards against answers that lack a shard or two because their first target
 // paused and no hedge was sent, since the other targets had paused a moment
-// before. Four of 270 targets are paused at any time, so that almost every call
-// over 90 shards meets one. All targets are otherwise healthy and idle, so the
-// requirement of the users applies: 99 of 100 answers in time, with 0.99 of the
-// value of complete ones.
+// before. On average, four of the 90 first targets of a call are paused, so
+// that almost every call meets one. All targets are otherwise healthy and idle,
+// so the requirement of the users applies: 99 of 100 answers in time, with 0.99
+// of the value of complete ones.
 BOOST_AUTO_TEST_CASE(Fleet_ManyShardsWithPauses_AnswersAreCompleteAndInTime) {
   const auto result = bench::RunSeeds(bench::ManyShards(), 1);
   BOOST_TEST(static_cast<double>(result.in_time) >=
@@ -62,12 +63,12 @@
 }
 
 // Guards against first attempts that leave the failure domain although its
-// target answers fast enough. Formerly 0.34 of them left it; the users require
-// at most half of that.
+// target answers fast enough. The users' bound is half of 0.34, the share that
+// leaves the domain with a lower cost of other domains.
 BOOST_AUTO_TEST_CASE(Fleet_TargetsPauseOccasionally_FirstAttemptsStayInDomain) {
-  constexpr double kFormerShare = 0.34;
+  constexpr double kShareWithLowerCost = 0.34;
   const auto result = bench::RunSeeds(bench::SearchesAndChecks(), kSeeds);
-  BOOST_TEST(result.other_domain_share() <= kFormerShare / 2);
+  BOOST_TEST(result.other_domain_share() <= kShareWithLowerCost / 2);
   BOOST_TEST(result.refused == 0U);
   BOOST_TEST(static_cast<double>(result.in_time) >=
              0.99 * static_cast<double>(result.calls));
