--- a/test/platform/codecs_test.cc
+++ b/test/platform/codecs_test.cc
@@ -162,8 +162,8 @@
     BOOST_TEST((batch.status == StoreStatus::kCorrupt));
     BOOST_TEST((batch.position.era == StoreEra(2)));
   }
-  const ClientReply unnamed{200, R"({"events":[],"readRev":5})", "", false};
-  BOOST_TEST((codec.ReadWatchReply(unnamed, StoreEra(2)).position ==
+  const ClientReply without_era{200, R"({"events":[],"readRev":5})", "", false};
+  BOOST_TEST((codec.ReadWatchReply(without_era, StoreEra(2)).position ==
               StorePosition{StoreEra(2), 5}));
 }
 
