--- a/soak/main.cc
+++ b/soak/main.cc
@@ -24,7 +24,7 @@
 constexpr Duration kWarmUp = std::chrono::seconds(2);
 //! Time after the last fault: the recovery period, then a calm period in which
 //! calls must be answered.
-constexpr Duration kCalm = std::chrono::seconds(8);
+constexpr Duration kRecoveryAndCalm = std::chrono::seconds(8);
 //! Most violations printed per seed.
 constexpr std::size_t kMaxPrinted = 10;
 
@@ -43,15 +43,15 @@
              Duration length) {
   const TimePoint begin = cluster.Now() + kWarmUp;
   std::size_t next = 0;
-  bool is_calm = false;
-  while (cluster.Now() < begin + length + kCalm) {
+  bool faults_ended = false;
+  while (cluster.Now() < begin + length + kRecoveryAndCalm) {
     cluster.RunDueSteps();
     if (next < plan.size() && begin + plan[next].at <= cluster.Now()) {
       cluster.Apply(plan[next]);
       ++next;
-    } else if (!is_calm && begin + length < cluster.Now()) {
+    } else if (!faults_ended && begin + length < cluster.Now()) {
       cluster.EndAllFaults();
-      is_calm = true;
+      faults_ended = true;
     }
     std::this_thread::sleep_for(kTick);
   }
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -12,10 +12,10 @@
 
 using std::chrono::milliseconds;
 
-//! Range of fault durations, from 200 ms to longer than the time bounds of the
+//! Range of fault durations; the longest exceeds the time bounds of the
 //! promises.
-constexpr std::uint64_t kShortestMs = 200;
-constexpr std::uint64_t kLongestMs = 4000;
+constexpr std::uint64_t kShortestFaultMs = 200;
+constexpr std::uint64_t kLongestFaultMs = 4000;
 //! Range of evacuation durations; even the shortest exceeds the bound within
 //! which an evacuation must take effect.
 constexpr std::uint64_t kShortestEvacuationMs = 2000;
@@ -62,8 +62,8 @@
   return static_cast<Enum>(first + random.Below(Size - first));
 }
 
-//! Draws target links for half of the link faults: a loss there is what can
-//! lead an entry to report a wrong outcome.
+//! Draws target links for half of the link faults, because answers that are
+//! lost there can lead an entry to report a wrong outcome.
 [[nodiscard]] Link DrawLink(Random& random) {
   constexpr std::uint64_t kChances = 4;
   const std::uint64_t drawn = random.Below(kChances);
@@ -150,7 +150,8 @@
     action.mode = Draw(kLinkModeNames, random, 1);
     action.subject =
         random.Below(AffectsEntry(action) ? options.entries : kTargets);
-    const Span span = DrawSpan(options, kShortestMs, kLongestMs, random);
+    const Span span =
+        DrawSpan(options, kShortestFaultMs, kLongestFaultMs, random);
     action.at = span.at;
     plan.push_back(action);
     if (pair.end != pair.begin) {
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -54,14 +54,37 @@
      "restore_store"}};
 
 /*! \brief Failure mode of the store. */
-enum class StoreFault { kBusy, kDrop, kSilent, kSlow, kLosesReplies };
+enum class StoreFault {
+  //! Refuses every call with status 503.
+  kBusy,
+  //! Closes every connection without a reply.
+  kDrop,
+  //! Accepts calls and never answers them.
+  kSilent,
+  //! Delays every call.
+  kSlow,
+  //! Executes writes and lease calls, but loses half of their replies.
+  kLosesReplies
+};
 
 //! Names of the store's failure modes in reports.
 inline constexpr NameTable<StoreFault, 5> kStoreFaultNames{
     {"busy", "drop", "silent", "slow", "loses_replies"}};
 
 /*! \brief How a link treats the bytes sent over it. */
-enum class LinkMode { kPass, kDelay, kReset, kCutForward, kCutBack, kSilent };
+enum class LinkMode {
+  kPass,
+  //! Delays data in both directions.
+  kDelay,
+  //! Resets open and new connections.
+  kReset,
+  //! Holds back data from the client to the server.
+  kCutForward,
+  //! Holds back data from the server to the client.
+  kCutBack,
+  //! Holds back data in both directions.
+  kSilent
+};
 
 //! Names of the links' modes in reports.
 inline constexpr NameTable<LinkMode, 6> kLinkModeNames{
