--- a/soak/checks.cc
+++ b/soak/checks.cc
@@ -43,6 +43,8 @@
   return index;
 }
 
+//! Whether a fault with this effect may have affected a call: it lasted at some
+//! time during the call, or ended at most `contact` before the call was sent.
 [[nodiscard]] bool IsAffected(const History& history,
                               const Call& call,
                               FaultEffect effect,
--- a/soak/checks.h
+++ b/soak/checks.h
@@ -62,6 +62,7 @@
 /*! \brief Calls in the calm period at the end of a run. */
 struct CalmCalls {
   std::size_t sent = 0;
+  //! Calls with a successful answer; refusals do not count.
   std::size_t answered = 0;
 };
 
--- a/soak/cluster.cc
+++ b/soak/cluster.cc
@@ -29,8 +29,8 @@
 //! Time from writing a configuration until the old targets drain; longer than
 //! the bound within which all entries must use the configuration.
 constexpr Duration kOldTargetsDrainDelay = milliseconds(3200);
-//! Time that a continued process gets to handle what expired while it was
-//! stopped.
+//! Time that an entry gets to handle what expired while its process was stopped
+//! or while the link to its callers had a fault.
 constexpr Duration kContinueRecovery = seconds(1);
 //! Recovery period after the last fault: Bounds::contact and a margin. Calls
 //! sent after it must be answered.
@@ -222,8 +222,9 @@
 }
 
 Cluster::Target& Cluster::TargetOf(const Action& action) {
-  // Half of the requests go to the targets of the single service, so half of
-  // the faults, those with odd subjects, affect one of these targets.
+  // Claims and lookups, two of three calls, go to the targets of the single
+  // service. Half of the faults, those with odd subjects, therefore affect the
+  // last of these targets that was started and is not leaving.
   Target& any = *m_targets[action.subject / 2 % m_targets.size()];
   if (action.subject % 2 == 0) {
     return any;
