--- a/test/soak/checks_test.cc
+++ b/test/soak/checks_test.cc
@@ -72,7 +72,7 @@
   BOOST_TEST(HoldsAll());
 }
 
-BOOST_AUTO_TEST_CASE(Claim_ReportedNotRunAndRanLater_IsReported) {
+BOOST_AUTO_TEST_CASE(Claim_RefusedAsNotRunAndRanLater_IsReported) {
   Call& call = AddCall("a", seconds(1), 1);
   call.kind = CallKind::kClaim;
   call.status = http_status::kUnavailable;
--- a/test/soak/plan_test.cc
+++ b/test/soak/plan_test.cc
@@ -20,7 +20,7 @@
   BOOST_TEST((MakePlan(options) == MakePlan(options)));
 }
 
-BOOST_AUTO_TEST_CASE(Plan_AnySeed_IsInOrderAndInItsTime) {
+BOOST_AUTO_TEST_CASE(Plan_AnySeed_IsSortedAndWithinItsLength) {
   for (options.seed = 1; options.seed <= 100; ++options.seed) {
     const std::vector<Action> plan = MakePlan(options);
     BOOST_TEST(plan.size() >= options.faults);
--- a/test/soak/record_test.cc
+++ b/test/soak/record_test.cc
@@ -12,7 +12,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RecordTest, RecordFixture)
 
-BOOST_AUTO_TEST_CASE(Records_AreWritten_ReadBackTheSame) {
+BOOST_AUTO_TEST_CASE(Records_EncodedAndDecoded_AreEqual) {
   const Record other{2, 0, HashOf("a-1")};
   const auto read = DecodeRecords(Encode(record) + Encode(other));
   BOOST_REQUIRE(read.has_value());
@@ -21,7 +21,7 @@
   BOOST_TEST((read->back() == other));
 }
 
-BOOST_AUTO_TEST_CASE(Body_IsNotOfWholeRecords_IsRefused) {
+BOOST_AUTO_TEST_CASE(Body_EmptyOrIncompleteRecord_IsRejected) {
   BOOST_TEST(!DecodeRecords("").has_value());
   BOOST_TEST(!DecodeRecords(Encode(record).substr(1)).has_value());
 }
