--- a/test/scenario/script.cc
+++ b/test/scenario/script.cc
@@ -57,6 +57,8 @@
   return 0;
 }
 
+//! Reads a field of the table in the second argument; an absent field gives the
+//! fallback.
 [[nodiscard]] bool FlagIn(lua_State* lua, const char* name, bool fallback) {
   lua_getfield(lua, 2, name);
   const bool value =
@@ -65,6 +67,7 @@
   return value;
 }
 
+//! The same for a number.
 [[nodiscard]] double NumberIn(lua_State* lua,
                               const char* name,
                               double fallback) {
