--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -265,12 +265,12 @@
     PublishRecord();
   }
   m_last_tick = now;
-  m_pool.CheckTimes();
-  m_callers_server.CheckTimes();
-  m_ready_server.CheckTimes();
-  m_directory_server.CheckTimes();
-  m_metrics_server.CheckTimes();
-  m_queries_server.CheckTimes();
+  m_pool.ApplyTimeouts();
+  m_callers_server.ApplyTimeouts();
+  m_ready_server.ApplyTimeouts();
+  m_directory_server.ApplyTimeouts();
+  m_metrics_server.ApplyTimeouts();
+  m_queries_server.ApplyTimeouts();
   ArmDecisionTimer();
   m_store.CheckTimes();
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
--- a/src/jacinthdeck/http/edge_connection.cc
+++ b/src/jacinthdeck/http/edge_connection.cc
@@ -318,7 +318,7 @@
   }
 }
 
-void EdgeConnection::CheckTime(TimePoint now) {
+void EdgeConnection::ApplyTimeout(TimePoint now) {
   const EdgeLimits& limits = m_server.limits();
   const Duration time_in_phase = now - m_phase_started_at;
   switch (m_phase) {
--- a/src/jacinthdeck/http/edge_connection.h
+++ b/src/jacinthdeck/http/edge_connection.h
@@ -46,7 +46,7 @@
   /*! \brief Answers 408 to a request that arrives too slowly, and closes a
    * connection that stays idle, writes or lingers beyond its timeout. Called
    * periodically. */
-  void CheckTime(TimePoint now);
+  void ApplyTimeout(TimePoint now);
 
   /*! \brief Closes the connection if no byte of a request has arrived and none
    * awaits its response. */
--- a/src/jacinthdeck/http/edge_server.cc
+++ b/src/jacinthdeck/http/edge_server.cc
@@ -56,7 +56,7 @@
   }
 }
 
-void EdgeServer::CheckTimes() {
+void EdgeServer::ApplyTimeouts() {
   const TimePoint now = m_clock.Now();
   std::vector<std::shared_ptr<EdgeConnection>> connections;
   connections.reserve(m_connections.size());
@@ -64,7 +64,7 @@
     connections.push_back(connection);
   }
   for (const auto& connection : connections) {
-    connection->CheckTime(now);
+    connection->ApplyTimeout(now);
   }
 }
 
--- a/src/jacinthdeck/http/edge_server.h
+++ b/src/jacinthdeck/http/edge_server.h
@@ -78,7 +78,7 @@
 
   /*! \brief Applies the timeouts of all connections; called a few times per
    * second. */
-  void CheckTimes();
+  void ApplyTimeouts();
 
  private:
   friend class EdgeConnection;
--- a/src/jacinthdeck/http/target_connection.cc
+++ b/src/jacinthdeck/http/target_connection.cc
@@ -345,7 +345,7 @@
   m_pool.RemoveConnection(*this);
 }
 
-void TargetConnection::CheckTime(TimePoint now) {
+void TargetConnection::ApplyTimeout(TimePoint now) {
   if (m_phase == Phase::kOpening &&
       now - m_phase_started_at > kConnectTimeout) {
     ++m_pool.m_counters.open_failures;
--- a/src/jacinthdeck/http/target_connection.h
+++ b/src/jacinthdeck/http/target_connection.h
@@ -55,7 +55,7 @@
 
   /*! \brief Fails the attempt if connecting takes too long, and closes the
    * connection if it has been idle until usable_until(). */
-  void CheckTime(TimePoint now);
+  void ApplyTimeout(TimePoint now);
 
  private:
   using Parser =
--- a/src/jacinthdeck/http/target_pool.cc
+++ b/src/jacinthdeck/http/target_pool.cc
@@ -76,7 +76,7 @@
   }
 }
 
-void TargetPool::CheckTimes() {
+void TargetPool::ApplyTimeouts() {
   const TimePoint now = m_clock.Now();
   Connections all_connections;
   all_connections.reserve(m_connection_count);
@@ -85,7 +85,7 @@
                            connections.end());
   }
   for (const auto& connection : all_connections) {
-    connection->CheckTime(now);
+    connection->ApplyTimeout(now);
   }
 }
 
--- a/src/jacinthdeck/http/target_pool.h
+++ b/src/jacinthdeck/http/target_pool.h
@@ -78,7 +78,7 @@
 
   /*! \brief Applies the connect and idle timeouts of all connections; called a
    * few times per second. */
-  void CheckTimes();
+  void ApplyTimeouts();
 
  private:
   friend class TargetConnection;
--- a/test/jacinthdeck/http/edge_server_test.cc
+++ b/test/jacinthdeck/http/edge_server_test.cc
@@ -153,7 +153,7 @@
   loop.restart();
   loop.run_for(milliseconds(20));
   clock.Advance(seconds(4));
-  server.CheckTimes();
+  server.ApplyTimeouts();
   BOOST_TEST(ReadUntil(caller, "\r\n\r\n").starts_with("HTTP/1.1 408"));
 }
 
@@ -162,10 +162,10 @@
   SendText(caller, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   (void)ReadUntil(caller, "done");
   clock.Advance(seconds(14));
-  server.CheckTimes();
+  server.ApplyTimeouts();
   BOOST_TEST(server.connections() == 1U);
   clock.Advance(seconds(2));
-  server.CheckTimes();
+  server.ApplyTimeouts();
   BOOST_TEST(IsClosed(caller));
 }
 
