--- a/src/jacinthdeck/discovery/store_session.cc
+++ b/src/jacinthdeck/discovery/store_session.cc
@@ -211,7 +211,7 @@
   Notify(change);
 }
 
-void StoreSession::CheckTimes() {
+void StoreSession::ProcessTimers() {
   const TimePoint now = m_clock.Now();
   const auto due = m_discovery_state.NextTimer();
   if (due && *due <= now) {
--- a/src/jacinthdeck/discovery/store_session.h
+++ b/src/jacinthdeck/discovery/store_session.h
@@ -137,7 +137,7 @@
 
   /*! \brief Applies due removals and writes due member records; called a few
    * times a second. */
-  void CheckTimes();
+  void ProcessTimers();
 
  private:
   //! The era of a reply compared with the newest one that was observed before.
--- a/src/jacinthdeck/entry/entry_node.cc
+++ b/src/jacinthdeck/entry/entry_node.cc
@@ -272,7 +272,7 @@
   m_metrics_server.ApplyTimeouts();
   m_queries_server.ApplyTimeouts();
   ArmDecisionTimer();
-  m_store.CheckTimes();
+  m_store.ProcessTimers();
   m_forwarder.SetHosts(m_front_count.Highest(now), m_is_front, now);
   m_feed_hub.Tick();
   UpdateRecordWriter(now);
--- a/test/jacinthdeck/discovery/store_session_test.cc
+++ b/test/jacinthdeck/discovery/store_session_test.cc
@@ -82,7 +82,7 @@
       BOOST_REQUIRE(std::chrono::steady_clock::now() < end);
       loop.restart();
       loop.run_one_for(std::chrono::milliseconds(20));
-      session.CheckTimes();
+      session.ProcessTimers();
     }
   }
 
--- a/test/jacinthdeck/entry/feed_hub_test.cc
+++ b/test/jacinthdeck/entry/feed_hub_test.cc
@@ -87,7 +87,7 @@
     feeder.SendHeartbeat();
     loop.restart();
     loop.run_for(milliseconds(10));
-    session.CheckTimes();
+    session.ProcessTimers();
     hub->Tick();
   }
 
