--- a/src/jacinthdeck/core/bounded_ring.h
+++ b/src/jacinthdeck/core/bounded_ring.h
@@ -43,8 +43,8 @@
     return true;
   }
 
-  /*! \brief Appends an item; returns false and destroys it if the queue is
-   * full. */
+  /*! \brief Appends a temporary item; returns false and leaves the item as it
+   * is if the queue is full. */
   [[nodiscard]] bool TryPush(T&& item) { return TryPush(item); }
 
   /**
--- a/src/jacinthdeck/core/json.h
+++ b/src/jacinthdeck/core/json.h
@@ -11,8 +11,8 @@
 
 namespace jacinthdeck {
 
-//! Largest JSON text, in bytes, that is accepted from another system: a store
-//! value of 1 MiB after escaping, with its envelope.
+//! Largest JSON text, in bytes, that is accepted from another system; it has
+//! room for a store value of 1 MiB after escaping, with its envelope.
 inline constexpr std::size_t kMaxJsonBytes = std::size_t{4} << 20U;
 
 /**
--- a/src/jacinthdeck/core/json_reader.h
+++ b/src/jacinthdeck/core/json_reader.h
@@ -17,8 +17,8 @@
 /**
  * \brief View of a JSON value and its path within the document.
  *
- * Every failure has the code kCorrupt and the path of the member as its
- * subject. The value must outlive the reader.
+ * Every failure has the code kCorrupt and, as its subject, the path of the
+ * value that is missing or wrong. The value must outlive the reader.
  */
 class JsonReader {
  public:
--- a/src/jacinthdeck/core/link_bytes.h
+++ b/src/jacinthdeck/core/link_bytes.h
@@ -8,8 +8,8 @@
 namespace jacinthdeck {
 
 /*! \brief Bytes exchanged within the host's failure domain and with other
- * domains; traffic between domains has a higher latency and is charged for by
- * platforms. */
+ * domains. They are counted apart because traffic between domains has a higher
+ * latency, and platforms charge for it. */
 struct LinkBytes {
   std::uint64_t own_domain = 0;
   std::uint64_t other_domains = 0;
--- a/src/jacinthdeck/core/settings_table.h
+++ b/src/jacinthdeck/core/settings_table.h
@@ -38,9 +38,9 @@
 /**
  * \brief Typed access to the keys of a settings file.
  *
- * A wrong value returns its fallback and records an error with the key, the
- * value found and the values allowed, so that one run reports all errors of a
- * file.
+ * For an absent or wrong value, a function returns its fallback. A wrong value
+ * also records an error with the key, the value found and the values allowed,
+ * so that one run reports all errors of a file.
  */
 class SettingsTable {
  public:
@@ -55,7 +55,8 @@
                                  SettingPresence presence,
                                  const std::string& fallback = "");
 
-  /*! \brief Reads a string that must be one of the allowed values. */
+  /*! \brief Reads a string that must be one of the allowed values, as the
+   * fallback must be. */
   [[nodiscard]] std::string OneOf(
       const std::string& key,
       std::initializer_list<std::string_view> allowed,
