--- a/src/jacinthdeck/http/blocking_client.h
+++ b/src/jacinthdeck/http/blocking_client.h
@@ -11,8 +11,8 @@
 /**
  * \brief Calls a server over a new connection and blocks until the response
  * arrives or the call fails.
- * \return Reply with status 0 and an error if there is no response within the
- * timeout.
+ * \return The reply; if no response arrives within the timeout, its status is 0
+ * and it holds the error.
  */
 [[nodiscard]] ClientReply CallAndWait(const Endpoint& endpoint,
                                       const ClientRequest& request,
--- a/src/jacinthdeck/http/listening.h
+++ b/src/jacinthdeck/http/listening.h
@@ -15,7 +15,8 @@
  * \param acceptor Closed acceptor.
  * \param address IPv4 address in dotted decimal form.
  * \param port Port; 0 lets the kernel choose one.
- * \return kUnavailable with address and port as subject if any step fails.
+ * \return Nothing, or kUnavailable with address and port as subject if any step
+ * fails.
  */
 Result<void> StartListening(tcp::acceptor& acceptor,
                             const std::string& address,
--- a/src/jacinthdeck/http/target_pool.h
+++ b/src/jacinthdeck/http/target_pool.h
@@ -77,7 +77,8 @@
   void Retain(std::span<const TargetEntry> targets);
 
   /*! \brief Applies the connect and idle timeouts of all connections; called a
-   * few times per second. */
+   * few times per second. Ends of attempts whose connection did not open in
+   * time are reported from within this call. */
   void ApplyTimeouts();
 
  private:
--- a/src/jacinthdeck/http/target_pool_sink.h
+++ b/src/jacinthdeck/http/target_pool_sink.h
@@ -6,8 +6,8 @@
 
 namespace jacinthdeck {
 
-/*! \brief Receives the end of each attempt that is not cancelled exactly once,
- * never from within a call to the pool. */
+/*! \brief Receives the end of each attempt exactly once, unless the attempt is
+ * cancelled; never from within TargetPool::Send(), Cancel() or Retain(). */
 class TargetPoolSink {
  public:
   virtual ~TargetPoolSink() = default;
--- a/src/jacinthdeck/http/target_protocol.h
+++ b/src/jacinthdeck/http/target_protocol.h
@@ -13,7 +13,8 @@
 
 /*! \brief Header names, and the parser for the value of the load header. */
 struct TargetProtocol {
-  //! Id of one attempt of a caller; the target returns it in its response.
+  //! Id that the caller gave its attempt; absent if it gave none. The target
+  //! repeats it in its response.
   std::string request_id;
   //! Milliseconds for which the sender still waits.
   std::string time_left_ms;
@@ -29,7 +30,8 @@
   std::string part_stamps;
   //! In merged answers: number of parts that are missing.
   std::string missing_parts;
-  //! Parses the value of the load header; empty result if it is malformed.
+  //! Parses the value of the load header; returns std::nullopt if it is
+  //! malformed. Null if loads are not read.
   std::optional<LoadReport> (*read_load)(std::string_view value) = nullptr;
 };
 
--- a/test/jacinthdeck/http/edge_server_test.cc
+++ b/test/jacinthdeck/http/edge_server_test.cc
@@ -81,7 +81,7 @@
   BOOST_TEST(requests[0].Find("X-Hop").empty());
 }
 
-BOOST_AUTO_TEST_CASE(Requests_Pipelined_AreAnsweredInOrder) {
+BOOST_AUTO_TEST_CASE(Requests_Pipelined_AreHandledInOrder) {
   tcp::socket caller = Connect();
   SendText(
       caller,
--- a/test/jacinthdeck/http/loop_fixture.h
+++ b/test/jacinthdeck/http/loop_fixture.h
@@ -14,8 +14,8 @@
 
 namespace jacinthdeck {
 
-/*! \brief Runs the loop until a condition holds. The timeouts under test follow
- * a manual clock that only the test advances. */
+/*! \brief Event loop that only the test runs, and a manual clock that only the
+ * test advances; the timeouts under test follow this clock. */
 struct EventLoopFixture {
   //! Real time after which a hanging test fails; passing tests never reach it.
   static constexpr std::chrono::seconds kTestTimeout{20};
@@ -23,6 +23,7 @@
   asio::io_context loop;
   ManualClock clock;
 
+  //! Runs the loop until a condition holds; fails the test after kTestTimeout.
   void RunUntil(const std::function<bool()>& is_done) {
     const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!is_done()) {
--- a/test/jacinthdeck/http/target_pool_test.cc
+++ b/test/jacinthdeck/http/target_pool_test.cc
@@ -109,7 +109,7 @@
 // kept idle connections, the target would exceed its limit and reset those of
 // hosts that have a share. Such a connection is therefore closed with its
 // response.
-BOOST_AUTO_TEST_CASE(Response_AttemptGivesBackConnection_ConnectionIsClosed) {
+BOOST_AUTO_TEST_CASE(Response_CloseAfterResponseIsSet_ConnectionIsClosed) {
   OutgoingAttempt attempt = MakeAttempt();
   attempt.close_after_response = true;
   pool.Send(attempt);
