--- a/src/jacinthdeck/schema/request_parser.cc
+++ b/src/jacinthdeck/schema/request_parser.cc
@@ -18,15 +18,15 @@
 
 namespace {
 
-//! Line and text of an error of the parser, which reports it as
-//! `file:line: column: severity: text`. The file is always empty here.
+//! Line and text of an error message of the FlatBuffers parser.
 struct ParserMessage {
   std::string line;
   std::string text;
 };
 
 [[nodiscard]] ParserMessage SplitMessage(const std::string& message) {
-  // Observed forms: ":3: 12: error: text" and "(3): error: text".
+  // The parser writes `file:line: column: severity: text` with an empty file,
+  // as in ":3: 12: error: text", or the short form "(3): error: text".
   const std::size_t digits_start = message.find_first_of("0123456789");
   const std::size_t digits_end =
       message.find_first_not_of("0123456789", digits_start);
--- a/src/jacinthdeck/typed/answer_json.cc
+++ b/src/jacinthdeck/typed/answer_json.cc
@@ -23,6 +23,8 @@
 //! HTTP status of the answer, indexed by Outcome.
 constexpr std::array<std::uint16_t, 4> kHttpStatusByOutcome{200, 200, 503, 504};
 
+// Writes the digits that a double needs to be read back exactly. JSON has no
+// infinity or NaN, so 0 stands for them.
 [[nodiscard]] std::string EncodeNumber(double value) {
   if (!std::isfinite(value)) {
     return "0";
--- a/src/jacinthdeck/typed/answer_json.h
+++ b/src/jacinthdeck/typed/answer_json.h
@@ -37,8 +37,8 @@
     const Error& error,
     ExecutionStatus status = ExecutionStatus::kNotExecuted);
 
-/*! \brief Returns text as a quoted and escaped JSON string; an empty string if
- * the text is not valid UTF-8. */
+/*! \brief Returns text as a quoted and escaped JSON string; an empty JSON
+ * string, `""`, if the text is not valid UTF-8. */
 [[nodiscard]] std::string QuoteJson(const std::string& text);
 
 }  // namespace jacinthdeck
--- a/src/jacinthdeck/typed/partition_map_reader.h
+++ b/src/jacinthdeck/typed/partition_map_reader.h
@@ -16,17 +16,18 @@
  * \brief Reads the value of a store key `index/SERVICE`.
  * \param text JSON text of the value.
  * \param subject Name of the key, for error messages.
- * \return The maps, newest version last. kCorrupt if the JSON has a wrong
- * shape, if versions are out of order, or if shards leave a gap, overlap, share
- * an id or have no replica: with such a map an answer could claim to cover keys
- * that no target holds.
+ * \return The maps, newest version last. kTooLarge above kMaxJsonBytes.
+ * kCorrupt if the JSON is invalid or has a wrong shape, if versions are out of
+ * order, or if shards leave a gap, overlap, share an id, have no replica or
+ * name one twice: with such a map an answer could claim to cover keys that no
+ * target holds.
  */
 [[nodiscard]] Result<std::vector<PartitionMap>> ReadPartitionMaps(
     std::string_view text,
     std::string_view subject);
 
-/*! \brief Reads the partition maps from JSON that is already parsed; has the
- * same checks and results. */
+/*! \brief Reads the partition maps from JSON that is already parsed, with the
+ * same checks. */
 [[nodiscard]] Result<std::vector<PartitionMap>> ReadPartitionMaps(
     const JsonReader& index);
 
--- a/src/jacinthdeck/typed/typed_request.h
+++ b/src/jacinthdeck/typed/typed_request.h
@@ -14,7 +14,7 @@
 
 namespace jacinthdeck {
 
-/*! \brief Parts of a typed request as they came over HTTP, not checked yet. */
+/*! \brief Parts of a typed request as received over HTTP, not checked yet. */
 struct TypedRequest {
   std::string_view service;
   std::string_view method;
@@ -27,7 +27,7 @@
 };
 
 /**
- * \brief Checks a request against the schema and makes a call of it.
+ * \brief Checks a request against the schema and converts it to a call.
  * \param schema Schema in force; null if there is none.
  * \param request Request to check.
  * \param now Time from which the deadline counts.
--- a/test/jacinthdeck/typed/partition_map_reader_test.cc
+++ b/test/jacinthdeck/typed/partition_map_reader_test.cc
@@ -34,7 +34,7 @@
 
 // Guards against an incomplete or doubled answer that claims to be whole. It
 // comes about when an index builder publishes a map with a gap or an overlap:
-// keys in a gap are asked from no target, keys in an overlap are answered
+// keys in a gap are requested from no target, keys in an overlap are answered
 // twice.
 BOOST_AUTO_TEST_CASE(ReadPartitionMaps_InvalidPartition_IsRejected) {
   for (const std::string shards :
