--- a/src/jacinthdeck/schema/method_reader.cc
+++ b/src/jacinthdeck/schema/method_reader.cc
@@ -115,7 +115,7 @@
     const bool keyed = method.fan_out == FanOut::kKey;
     if (keyed != !method.key_field.empty()) {
       return Fail(ErrorCode::kInvalidArgument, Name(),
-                  "fan_out \"key\" and the attribute key go together");
+                  "fan_out \"key\" and the attribute key require each other");
     }
     if (keyed) {
       BOOST_LEAF_CHECK(CheckKeyField(method));
--- a/src/jacinthdeck/typed/partition_map_reader.cc
+++ b/src/jacinthdeck/typed/partition_map_reader.cc
@@ -42,7 +42,7 @@
     BOOST_LEAF_AUTO(name, replica.AsString());
     if (name.empty() || !distinct_names.insert(name).second) {
       return Fail(ErrorCode::kCorrupt, replica.path(),
-                  "is empty or stands twice, expected distinct targets");
+                  "is empty or a duplicate, expected distinct targets");
     }
     shard.replicas.emplace_back(name);
   }
@@ -81,7 +81,7 @@
     BOOST_LEAF_ASSIGN(end, CheckContiguous(shard_json, shard, end));
     if (!ids.insert(shard.id).second) {
       return Fail(ErrorCode::kCorrupt, shard_json.path() + ".id",
-                  "stands twice, expected distinct shards");
+                  "is a duplicate, expected distinct shard ids");
     }
     map.shards.push_back(std::move(shard));
   }
@@ -89,7 +89,7 @@
     return Fail(ErrorCode::kCorrupt, json.path() + ".shards",
                 "end at " + std::to_string(end) + ", expected " +
                     std::to_string(kKeySpaceEnd) +
-                    ": together they must be the whole key space");
+                    ": together they must cover the whole key space");
   }
   return map;
 }
