--- a/src/jacinthdeck/entry/entry_node_discovery.cc
+++ b/src/jacinthdeck/entry/entry_node_discovery.cc
@@ -220,7 +220,7 @@
     calls.SetTargets(TargetInfosOf(discovery_state, now), now);
   }
   if (change.hosts) {
-    calls.SetHosts(m_front_count.Highest(now), now);
+    calls.SetHostCount(m_front_count.Highest(now), now);
   }
 }
 
--- a/src/jacinthdeck/typed/typed_call_runner.cc
+++ b/src/jacinthdeck/typed/typed_call_runner.cc
@@ -28,7 +28,7 @@
   m_router.SetTargets(targets, now);
 }
 
-void TypedCallRunner::SetHosts(std::uint32_t hosts, TimePoint now) {
+void TypedCallRunner::SetHostCount(std::uint32_t hosts, TimePoint now) {
   m_router.SetHostCount(hosts, now);
 }
 
--- a/src/jacinthdeck/typed/typed_call_runner.h
+++ b/src/jacinthdeck/typed/typed_call_runner.h
@@ -59,7 +59,7 @@
   void SetTargets(const std::vector<TargetInfo>& targets, TimePoint now);
 
   /*! \brief Sets the number of hosts that share the limits of the targets. */
-  void SetHosts(std::uint32_t hosts, TimePoint now);
+  void SetHostCount(std::uint32_t hosts, TimePoint now);
 
   /*! \brief Starts a call, or refuses it at once through the port. */
   void Submit(Call call, TimePoint now);
