--- a/src/jacinthdeck/schema/request_parser.cc
+++ b/src/jacinthdeck/schema/request_parser.cc
@@ -18,15 +18,15 @@
 
 namespace {
 
-//! Line and text of an error of the parser, which reports it as
-//! `file:line: column: severity: text`. The file is always empty here.
+//! Line and text of an error message of the FlatBuffers parser.
 struct ParserMessage {
   std::string line;
   std::string text;
 };
 
 [[nodiscard]] ParserMessage SplitMessage(const std::string& message) {
-  // Observed forms: ":3: 12: error: text" and "(3): error: text".
+  // The parser writes `file:line: column: severity: text` with an empty file,
+  // as in ":3: 12: error: text", or the short form "(3): error: text".
   const std::size_t digits_start = message.find_first_of("0123456789");
   const std::size_t digits_end =
       message.find_first_not_of("0123456789", digits_start);
@@ -109,7 +109,7 @@
   const flatbuffers::RPCCall* call = FindCall(m_parser, method);
   if (call == nullptr) {
     return Fail(ErrorCode::kNotFound, method.service.raw() + "." + method.name,
-                "is not declared here");
+                "is not declared in this schema");
   }
   m_parser.root_struct_def_ = call->request;
   if (!m_parser.ParseJson(json.c_str())) {
@@ -138,7 +138,7 @@
     const auto key = ReadKeyText(body, method.key_field);
     if (!key) {
       return Fail(ErrorCode::kInvalidArgument, method.key_field,
-                  "is missing; it chooses the shard");
+                  "is missing; its value selects the shard");
     }
     request.key = HashKey(*key);
   }
