--- a/src/jacinthdeck/core/json.cc
+++ b/src/jacinthdeck/core/json.cc
@@ -30,7 +30,7 @@
   if (value == nullptr) {
     return Fail(
         ErrorCode::kCorrupt, std::string(subject),
-        "invalid JSON, line " + std::to_string(error.line) + ": " + error.text);
+        "no JSON, line " + std::to_string(error.line) + ": " + error.text);
   }
   return value;
 }
--- a/src/jacinthdeck/schema/request_parser.cc
+++ b/src/jacinthdeck/schema/request_parser.cc
@@ -109,7 +109,7 @@
   const flatbuffers::RPCCall* call = FindCall(m_parser, method);
   if (call == nullptr) {
     return Fail(ErrorCode::kNotFound, method.service.raw() + "." + method.name,
-                "is not declared in this schema");
+                "is not declared here");
   }
   m_parser.root_struct_def_ = call->request;
   if (!m_parser.ParseJson(json.c_str())) {
@@ -138,7 +138,7 @@
     const auto key = ReadKeyText(body, method.key_field);
     if (!key) {
       return Fail(ErrorCode::kInvalidArgument, method.key_field,
-                  "is missing; its value selects the shard");
+                  "is missing; it chooses the shard");
     }
     request.key = HashKey(*key);
   }
